--- a/crates/figscale-core/tests/fleet/backlog.rs
+++ b/crates/figscale-core/tests/fleet/backlog.rs
@@ -22,7 +22,7 @@
 use rstest::rstest;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 /// Half of the site on which it was seen, and of its rates.
 const WORKERS: usize = 175;
@@ -35,10 +35,10 @@
 const TRAFFIC_MS: u64 = 60_000;
 /// The gangs come more often from then to then.
 const PEAK_MS: std::ops::Range<u64> = 10_000..14_000;
-const PEAK_TIMES: f64 = 1.9;
+const PEAK_FACTOR: f64 = 1.9;
 /// What is open at the end of traffic should be under way by then.
 const CATCH_UP_MS: u64 = 14_000;
-const WATCHED_MS: u64 = 20_000;
+const OBSERVED_MS: u64 = 20_000;
 /// How long a step may wait beside free room.
 const MAX_IDLE_MS: u64 = 3_000;
 
@@ -48,7 +48,7 @@
     queue: fleet::Queue,
     step: fleet::StepDescription,
     /// Part of the workers that may run a step.
-    good_part: f64,
+    allowed_part: f64,
 }
 
 fn kinds() -> Vec<Kind> {
@@ -66,20 +66,20 @@
         Kind {
             per_s: 2.86,
             queue: queue(1, 2.2, 1_000, 559.0, 8.06),
-            step: kit::lasting(kit::gang(20, 18), 5_000),
-            good_part: 0.35,
+            step: kit::with_estimate(kit::gang(20, 18), 5_000),
+            allowed_part: 0.35,
         },
         Kind {
             per_s: 7.4,
             queue: queue(2, 4.0, 3_000, 130.0, 1.82),
-            step: kit::lasting(kit::step(25, 7), 2_700),
-            good_part: 0.45,
+            step: kit::with_estimate(kit::step(25, 7), 2_700),
+            allowed_part: 0.45,
         },
     ]
 }
 
 /// A job that was taken.
-struct Taken {
+struct AcceptedJob {
     kind: usize,
     step: fleet::StepDescription,
     /// For how long it has had nothing running beside free room.
@@ -87,85 +87,85 @@
 }
 
 struct Backlog {
-    cell: Cell,
+    cluster: TestCluster,
     kinds: Vec<Kind>,
-    taken: IndexMap<u64, Taken>,
+    accepted: IndexMap<u64, AcceptedJob>,
     /// Gangs that were taken.
     gangs: Vec<u64>,
     /// Questions on their way, with the time of the answer.
     asked: Vec<(u64, Question)>,
     ends: IndexMap<(fleet::TaskId, u32), u64>,
     /// How much later than expected answers are.
-    answers_late_ms: u64,
+    response_delay_ms: u64,
     at_ms: u64,
     submitted: u64,
     random: kit::Random,
     /// By what part lengths differ from estimates at most.
-    estimates_off: f64,
+    estimate_error: f64,
     /// Room counts also on workers where the policy forbids the job.
-    room_anywhere: bool,
+    count_forbidden_workers: bool,
     /// Entry instances that can ask the advisory service.
     members: usize,
 }
 
 impl Backlog {
-    fn new(seed: u64, answers_late_ms: u64) -> Self {
+    fn new(seed: u64, response_delay_ms: u64) -> Self {
         let mut backlog = Self {
-            cell: Cell::with_cores(WORKERS, CORES),
+            cluster: TestCluster::with_cores(WORKERS, CORES),
             kinds: kinds(),
-            taken: IndexMap::new(),
+            accepted: IndexMap::new(),
             gangs: Vec::new(),
             asked: Vec::new(),
             ends: IndexMap::new(),
-            answers_late_ms,
+            response_delay_ms,
             at_ms: 0,
             submitted: 0,
             random: kit::Random(seed),
-            estimates_off: 0.0,
-            room_anywhere: false,
+            estimate_error: 0.0,
+            count_forbidden_workers: false,
             members: MEMBERS,
         };
-        backlog.join();
+        backlog.join_entries();
         backlog
     }
 
-    fn join(&mut self) {
-        self.cell.join(1..=self.members);
+    fn join_entries(&mut self) {
+        self.cluster.join_entries(1..=self.members);
     }
 
     /// Plays the traffic, a change of leaders and the time after it; the jobs
     /// that waited beside free room for too long.
-    fn play(mut self) -> Vec<u64> {
+    fn simulate(mut self) -> Vec<u64> {
         while self.at_ms < TRAFFIC_MS {
             self.arrive();
             self.step();
         }
         self.asked.clear();
-        self.cell.questions.clear();
-        self.cell.take_over(2);
-        self.join();
+        self.cluster.queries.clear();
+        self.cluster.take_over(2);
+        self.join_entries();
         while self.at_ms < TRAFFIC_MS + CATCH_UP_MS {
             self.step();
         }
         let mut lost = Vec::new();
-        while self.at_ms < TRAFFIC_MS + CATCH_UP_MS + WATCHED_MS {
+        while self.at_ms < TRAFFIC_MS + CATCH_UP_MS + OBSERVED_MS {
             self.step();
-            self.watch(&mut lost);
+            self.collect_starved(&mut lost);
         }
         lost
     }
 
     /// Plays the traffic and what is left of it under one leader; the part of the
     /// gangs that ended in time.
-    fn play_in_time(mut self) -> f64 {
+    fn part_in_time(mut self) -> f64 {
         while self.at_ms < TRAFFIC_MS {
             self.arrive();
             self.step();
         }
-        while self.at_ms < TRAFFIC_MS + CATCH_UP_MS + WATCHED_MS {
+        while self.at_ms < TRAFFIC_MS + CATCH_UP_MS + OBSERVED_MS {
             self.step();
         }
-        let notes = self.cell.notes.iter();
+        let notes = self.cluster.notes.iter();
         let ended = notes.filter_map(|note| match note {
             Note::JobEnded { job, late, .. } => Some((job.0, *late)),
             _ => None,
@@ -179,7 +179,7 @@
         for kind in 0..self.kinds.len() {
             let gang = self.kinds[kind].step.gang;
             let times = match gang && PEAK_MS.contains(&self.at_ms) {
-                true => PEAK_TIMES,
+                true => PEAK_FACTOR,
                 false => 1.0,
             };
             let mut expected = self.kinds[kind].per_s * times * STEP_MS as f64 / 1_000.0;
@@ -209,51 +209,51 @@
         let number = self.submitted;
         self.submitted += 1;
         let answer = self
-            .cell
+            .cluster
             .submit(number, &queue, kit::job(vec![step.clone()]));
         if answer == Admission::Accepted && step.gang {
             self.gangs.push(number);
         }
         if answer == Admission::Accepted {
-            let taken = Taken {
+            let accepted = AcceptedJob {
                 kind,
                 step,
                 idle_ms: 0,
             };
-            self.taken.insert(number, taken);
+            self.accepted.insert(number, accepted);
         }
     }
 
     fn step(&mut self) {
         self.at_ms += STEP_MS;
-        self.cell.now += kit::ms(STEP_MS);
-        self.cell.wall_ms += STEP_MS;
-        let wall_ms = self.cell.wall_ms;
-        self.cell.scheduler.tick(self.cell.now, wall_ms);
+        self.cluster.now += kit::ms(STEP_MS);
+        self.cluster.wall_ms += STEP_MS;
+        let wall_ms = self.cluster.wall_ms;
+        self.cluster.scheduler.tick(self.cluster.now, wall_ms);
         self.end_due();
-        self.cell.report_all();
-        while self.cell.scheduler.has_records() {
-            self.cell.write();
+        self.cluster.report_all();
+        while self.cluster.scheduler.has_records() {
+            self.cluster.write();
         }
-        self.answer_due();
-        self.cell.scheduler.plan(self.cell.now);
-        self.cell.carry_out();
-        for question in std::mem::take(&mut self.cell.questions) {
-            let expected_ms = question.expected.as_millis() as u64;
-            let answered_ms = self.at_ms + expected_ms + self.answers_late_ms;
-            self.asked.push((answered_ms, question));
+        self.deliver_due_responses();
+        self.cluster.scheduler.plan(self.cluster.now);
+        self.cluster.execute_actions();
+        for query in std::mem::take(&mut self.cluster.queries) {
+            let expected_ms = query.expected.as_millis() as u64;
+            let answered_ms = self.at_ms + expected_ms + self.response_delay_ms;
+            self.asked.push((answered_ms, query));
         }
-        self.taken.retain(|number, _| {
-            let state = self.cell.scheduler.state(kit::job_id(*number));
+        self.accepted.retain(|number, _| {
+            let state = self.cluster.scheduler.state(kit::job_id(*number));
             state.is_some_and(|state| !state.is_final())
         });
     }
 
     fn end_due(&mut self) {
-        for worker in self.cell.workers.values() {
+        for worker in self.cluster.workers.values() {
             for key in worker.running.keys() {
-                if let Some(job) = self.taken.get(&key.0.job.0) {
-                    let length_ms = job.step.estimate_ms as f64 * self.accuracy(key.0.job);
+                if let Some(job) = self.accepted.get(&key.0.job.0) {
+                    let length_ms = job.step.estimate_ms as f64 * self.duration_factor(key.0.job);
                     let end_ms = self.at_ms + length_ms as u64;
                     self.ends.entry(*key).or_insert(end_ms);
                 }
@@ -262,51 +262,51 @@
         let at_ms = self.at_ms;
         let due = self.ends.extract_if(.., |_, end_ms| *end_ms <= at_ms);
         for ((task, attempt), _) in due {
-            for worker in self.cell.workers.values_mut() {
+            for worker in self.cluster.workers.values_mut() {
                 worker.end(task, attempt, fleet::End::Done);
             }
         }
     }
 
     /// What the tasks of a job take by their estimate, the same in each run.
-    fn accuracy(&self, job: fleet::JobId) -> f64 {
+    fn duration_factor(&self, job: fleet::JobId) -> f64 {
         let mixed = (job.0 + 7).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let part = (mixed >> 40) as f64 / f64::from(1_u32 << 24);
-        1.0 + self.estimates_off * (2.0 * part - 1.0)
+        1.0 + self.estimate_error * (2.0 * part - 1.0)
     }
 
-    fn answer_due(&mut self) {
+    fn deliver_due_responses(&mut self) {
         let at_ms = self.at_ms;
         let due = self.asked.extract_if(.., |(due_ms, _)| *due_ms <= at_ms);
-        for (_, question) in due.collect::<Vec<_>>() {
-            let job = question.task.job.0;
-            let kind = self.taken.get(&job).map_or(0, |job| job.kind);
-            let part = self.kinds[kind].good_part;
-            let tickets = kit::tickets(&question, |worker| is_good(job, worker, part));
-            self.cell
+        for (_, query) in due.collect::<Vec<_>>() {
+            let job = query.task.job.0;
+            let kind = self.accepted.get(&job).map_or(0, |job| job.kind);
+            let part = self.kinds[kind].allowed_part;
+            let tickets = kit::tickets(&query, |worker| is_allowed(job, worker, part));
+            self.cluster
                 .scheduler
-                .advice_answered(&question, Some(tickets), self.cell.now);
+                .advice_answered(&query, Some(tickets), self.cluster.now);
         }
     }
 
     /// Notes jobs that have nothing running while under half of the processors
     /// are in use and there is room for them twice over, where they may run.
-    fn watch(&mut self, lost: &mut Vec<u64>) {
+    fn collect_starved(&mut self, lost: &mut Vec<u64>) {
         let mut running = IndexMap::<u64, u32>::new();
-        for worker in self.cell.workers.values() {
+        for worker in self.cluster.workers.values() {
             for (task, _) in worker.running.keys() {
                 *running.entry(task.job.0).or_default() += 1;
             }
         }
-        let workers = self.cell.workers.values();
+        let workers = self.cluster.workers.values();
         let free: Vec<fleet::Room> = workers.map(|worker| self.free(worker)).collect();
         let free_millis: u64 = free.iter().map(|room| room.cpu_millis).sum();
         let half_free = free_millis * 2 > WORKERS as u64 * CORES * 1_000;
-        for (number, job) in &mut self.taken {
+        for (number, job) in &mut self.accepted {
             let count = u64::from(job.step.count);
-            let part = self.kinds[job.kind].good_part;
-            let anywhere = self.room_anywhere;
-            let allowed = |worker: &usize| anywhere || is_good(*number, *worker, part);
+            let part = self.kinds[job.kind].allowed_part;
+            let anywhere = self.count_forbidden_workers;
+            let allowed = |worker: &usize| anywhere || is_allowed(*number, *worker, part);
             let slots = (0..WORKERS).filter(allowed);
             let slots = slots.map(|worker| free[worker].times(&job.step.room, 2 * count));
             let twice = slots.sum::<u64>() >= 2 * count;
@@ -320,7 +320,7 @@
 
     fn free(&self, worker: &kit::FakeWorker) -> fleet::Room {
         let used = worker.running.keys().filter_map(|(task, _)| {
-            let job = self.taken.get(&task.job.0);
+            let job = self.accepted.get(&task.job.0);
             job.map(|job| job.step.room)
         });
         used.fold(worker.entry.room, |free, room| free.minus(&room))
@@ -328,7 +328,7 @@
 }
 
 /// Whether a worker may run a job's step, which never changes.
-fn is_good(job: u64, worker: usize, part: f64) -> bool {
+fn is_allowed(job: u64, worker: usize, part: f64) -> bool {
     let mixed = (job * 1_000 + worker as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     ((mixed >> 40) as f64 / f64::from(1_u32 << 24)) < part
 }
@@ -336,65 +336,65 @@
 /// What was accepted runs as soon as there is room for it, also where answers
 /// take longer than the service thinks.
 #[rstest]
-fn nothing_waits_beside_free_room(#[values(0, 100)] answers_late_ms: u64) {
-    let play = move |seed| Backlog::new(seed, answers_late_ms).play();
-    let plays = SEEDS.map(|seed| thread::spawn(move || play(seed)));
-    let lost = plays.map(|play| play.join().unwrap());
+fn no_job_starves_beside_free_capacity(#[values(0, 100)] response_delay_ms: u64) {
+    let simulate = move |seed| Backlog::new(seed, response_delay_ms).simulate();
+    let simulations = SEEDS.map(|seed| thread::spawn(move || simulate(seed)));
+    let lost = simulations.map(|simulation| simulation.join().unwrap());
     assert!(lost.iter().all(Vec::is_empty), "waiting, by seed: {lost:?}");
 }
 
 /// The same with as many instances for the workers as a larger site has.
 #[test]
-fn nothing_waits_beside_free_room_with_many_instances() {
-    let play = |seed| {
+fn no_job_starves_beside_free_capacity_with_many_instances() {
+    let simulate = |seed| {
         let mut backlog = Backlog::new(seed, 0);
         backlog.members = MANY_MEMBERS;
-        backlog.join();
-        backlog.play()
+        backlog.join_entries();
+        backlog.simulate()
     };
-    let plays = SEEDS.map(|seed| thread::spawn(move || play(seed)));
-    let lost = plays.map(|play| play.join().unwrap());
+    let simulations = SEEDS.map(|seed| thread::spawn(move || simulate(seed)));
+    let lost = simulations.map(|simulation| simulation.join().unwrap());
     assert!(lost.iter().all(Vec::is_empty), "waiting, by seed: {lost:?}");
 }
 
 /// The strictest reading, on the seeds that showed the fault first: also room on
 /// workers where a job may not run counts.
 #[test]
-fn nothing_waits_beside_room_anywhere() {
-    let play = |seed| {
+fn no_job_starves_beside_free_capacity_on_any_worker() {
+    let simulate = |seed| {
         let mut backlog = Backlog::new(seed, 0);
-        backlog.room_anywhere = true;
-        backlog.play()
+        backlog.count_forbidden_workers = true;
+        backlog.simulate()
     };
-    let plays = [1, 2, 3].map(|seed| thread::spawn(move || play(seed)));
-    let lost = plays.map(|play| play.join().unwrap());
+    let simulations = [1, 2, 3].map(|seed| thread::spawn(move || simulate(seed)));
+    let lost = simulations.map(|simulation| simulation.join().unwrap());
     assert!(lost.iter().all(Vec::is_empty), "waiting, by seed: {lost:?}");
 }
 
 /// Room where the policy allows it, with estimates off by up to nine tenths.
 #[test]
-fn nothing_waits_beside_free_room_with_estimates_that_are_off() {
-    let play = |seed| {
+fn no_job_starves_beside_free_capacity_with_inaccurate_estimates() {
+    let simulate = |seed| {
         let mut backlog = Backlog::new(seed, 0);
-        backlog.estimates_off = 0.9;
-        backlog.play()
+        backlog.estimate_error = 0.9;
+        backlog.simulate()
     };
-    let plays = [4, 12, 14].map(|seed| thread::spawn(move || play(seed)));
-    let lost = plays.map(|play| play.join().unwrap());
+    let simulations = [4, 12, 14].map(|seed| thread::spawn(move || simulate(seed)));
+    let lost = simulations.map(|simulation| simulation.join().unwrap());
     assert!(lost.iter().all(Vec::is_empty), "waiting, by seed: {lost:?}");
 }
 
 /// Many gangs wait at once on a large fleet, and all but few are in time.
 #[test]
-fn gangs_that_wait_together_are_in_time() {
-    let play = |seed| {
+fn gangs_that_wait_together_end_in_time() {
+    let simulate = |seed| {
         let mut backlog = Backlog::new(seed, 0);
         backlog.members = MANY_MEMBERS;
-        backlog.join();
-        backlog.play_in_time()
+        backlog.join_entries();
+        backlog.part_in_time()
     };
-    let plays = SEEDS.map(|seed| thread::spawn(move || play(seed)));
-    let in_time = plays.map(|play| play.join().unwrap());
+    let simulations = SEEDS.map(|seed| thread::spawn(move || simulate(seed)));
+    let in_time = simulations.map(|simulation| simulation.join().unwrap());
     let mean = in_time.iter().sum::<f64>() / in_time.len() as f64;
     assert!(mean > 0.9, "in time, by seed: {in_time:?}");
 }
@@ -402,22 +402,22 @@
 /// Of gangs that are late the one that has waited longest goes first, however
 /// short it is.
 #[test]
-fn a_late_gang_goes_before_those_that_came_after_it() {
-    let mut cell = Cell::with_cores(2, 10);
-    cell.run(1, &kit::queue(1), vec![kit::gang(2, 8)]);
-    cell.run(2, &kit::queue(1), vec![kit::gang(2, 8)]);
+fn a_late_gang_is_not_overtaken_by_a_later_longer_one() {
+    let mut cluster = TestCluster::with_cores(2, 10);
+    cluster.run(1, &kit::queue(1), vec![kit::gang(2, 8)]);
+    cluster.run(2, &kit::queue(1), vec![kit::gang(2, 8)]);
     let longer = fleet::StepDescription {
         estimate_ms: 5_000,
         ..kit::gang(2, 8)
     };
-    cell.pass(3_000);
-    cell.run(3, &kit::queue(1), vec![longer]);
-    cell.pass(20_000);
+    cluster.advance(3_000);
+    cluster.run(3, &kit::queue(1), vec![longer]);
+    cluster.advance(20_000);
     for index in 0..2 {
-        let (worker, attempt) = cell.placed(kit::task(1, 0, index))[0].clone();
-        cell.workers[&worker].end(kit::task(1, 0, index), attempt, fleet::End::Done);
+        let (worker, attempt) = cluster.placed(kit::task(1, 0, index))[0].clone();
+        cluster.workers[&worker].end(kit::task(1, 0, index), attempt, fleet::End::Done);
     }
-    cell.settle();
-    assert_eq!(cell.placed(kit::task(3, 0, 0)), []);
-    assert_eq!(cell.placed(kit::task(2, 0, 0)).len(), 1);
+    cluster.settle();
+    assert_eq!(cluster.placed(kit::task(3, 0, 0)), []);
+    assert_eq!(cluster.placed(kit::task(2, 0, 0)).len(), 1);
 }
--- a/crates/figscale-core/tests/fleet/carriers.rs
+++ b/crates/figscale-core/tests/fleet/carriers.rs
@@ -13,7 +13,7 @@
 /// workers itself, by which it is later still: 300 instances and 3,000 workers were
 /// never well again after the store had been away for 3 s.
 #[test]
-fn workers_of_a_slow_relay_go_to_the_next_one() {
+fn workers_of_a_slow_relay_use_the_next_relay() {
     let slow = Carrier {
         set_aside: true,
         hash: 9,
@@ -32,7 +32,7 @@
 
 /// Guards against workers that all move when one relay comes or goes.
 #[test]
-fn the_relay_of_a_worker_stays_while_others_come_and_go() {
+fn a_worker_keeps_its_relay_while_others_come_and_go() {
     let with = |hash| Carrier { hash, ..NEAR };
     assert_eq!(choose_carrier([with(3), with(9), with(4)]), Some(1));
     assert_eq!(choose_carrier([with(9), with(4)]), Some(0));
--- a/crates/figscale-core/tests/fleet/customers.rs
+++ b/crates/figscale-core/tests/fleet/customers.rs
@@ -8,7 +8,7 @@
 use figscale_types::fleet::StartOutcome;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 fn name(text: &str) -> fleet::CustomerName {
     text.parse().unwrap()
@@ -33,34 +33,35 @@
 }
 
 /// A cell in which customers have these limits.
-fn cell(workers: usize, limits: &[(&str, u64)]) -> Cell {
-    let mut cell = Cell::new(workers);
-    cell.scheduler.set_customers(Some(&customers(limits)));
-    cell
+fn cluster(workers: usize, limits: &[(&str, u64)]) -> TestCluster {
+    let mut cluster = TestCluster::new(workers);
+    cluster.scheduler.set_customers(Some(&customers(limits)));
+    cluster
 }
 
 fn submit(
-    cell: &mut Cell,
+    cluster: &mut TestCluster,
     customer: &str,
     number: u64,
     queue: &fleet::Queue,
     step: fleet::StepDescription,
 ) -> Admission {
     let description = kit::job(vec![step]);
-    let (id, now, wall_ms) = (kit::job_id(number), cell.now, cell.wall_ms);
+    let (id, now, wall_ms) = (kit::job_id(number), cluster.now, cluster.wall_ms);
     let customer = Some(name(customer));
-    cell.scheduler
+    cluster
+        .scheduler
         .submit_for(customer, id, queue, description, now, wall_ms)
 }
 
-fn run(cell: &mut Cell, customer: &str, number: u64, step: fleet::StepDescription) {
-    let taken = submit(cell, customer, number, &kit::queue(1), step);
+fn run(cluster: &mut TestCluster, customer: &str, number: u64, step: fleet::StepDescription) {
+    let taken = submit(cluster, customer, number, &kit::queue(1), step);
     assert_eq!(taken, Admission::Accepted);
-    cell.settle();
+    cluster.settle();
 }
 
-fn running(cell: &Cell, job: u64) -> usize {
-    let runs = cell
+fn running(cluster: &TestCluster, job: u64) -> usize {
+    let runs = cluster
         .workers
         .values()
         .flat_map(|worker| worker.running.keys());
@@ -70,80 +71,96 @@
 
 #[test]
 fn a_customer_runs_no_more_than_its_limit() {
-    let mut cell = cell(4, &[("a", 10)]);
-    run(&mut cell, "a", 1, kit::step(8, 2));
-    run(&mut cell, "a", 2, kit::step(8, 2));
-    assert_eq!((running(&cell, 1), running(&cell, 2)), (5, 0));
-    cell.end(kit::task(1, 0, 0), End::Done);
-    assert_eq!(running(&cell, 1), 5);
-    run(&mut cell, "b", 3, kit::step(8, 2));
-    assert_eq!(running(&cell, 3), 8, "one that is not named has no limit");
+    let mut cluster = cluster(4, &[("a", 10)]);
+    run(&mut cluster, "a", 1, kit::step(8, 2));
+    run(&mut cluster, "a", 2, kit::step(8, 2));
+    assert_eq!((running(&cluster, 1), running(&cluster, 2)), (5, 0));
+    cluster.end(kit::task(1, 0, 0), End::Done);
+    assert_eq!(running(&cluster, 1), 5);
+    run(&mut cluster, "b", 3, kit::step(8, 2));
+    assert_eq!(
+        running(&cluster, 3),
+        8,
+        "one that is not named has no limit"
+    );
 }
 
 /// Guards against room that is given again while what is stopped there still runs.
 #[test]
-fn what_is_being_stopped_counts_until_its_end() {
-    let mut cell = cell(2, &[("a", 4)]);
-    run(&mut cell, "a", 1, kit::step(4, 1));
-    for worker in cell.workers.values_mut() {
+fn runs_being_stopped_count_against_the_limit_until_they_end() {
+    let mut cluster = cluster(2, &[("a", 4)]);
+    run(&mut cluster, "a", 1, kit::step(4, 1));
+    for worker in cluster.workers.values_mut() {
         worker.stops_at_once = false;
     }
-    cell.scheduler.cancel(kit::job_id(1), cell.now);
-    run(&mut cell, "a", 2, kit::step(4, 1));
-    assert_eq!(running(&cell, 2), 0);
+    cluster.scheduler.cancel(kit::job_id(1), cluster.now);
+    run(&mut cluster, "a", 2, kit::step(4, 1));
+    assert_eq!(running(&cluster, 2), 0);
     for index in 0..4 {
-        cell.end(kit::task(1, 0, index), End::Stopped);
+        cluster.end(kit::task(1, 0, index), End::Stopped);
     }
-    assert_eq!(running(&cell, 2), 4);
+    assert_eq!(running(&cluster, 2), 4);
 }
 
 /// Guards against orders without an answer that are carried out late, beside what
 /// was started in their place.
 #[test]
-fn an_order_without_an_answer_counts() {
-    let mut cell = cell(1, &[("a", 4)]);
-    cell.worker(0).answer = Some(StartOutcome::Unknown);
-    run(&mut cell, "a", 1, kit::step(4, 1));
-    cell.worker(0).answer = None;
-    run(&mut cell, "a", 2, kit::step(4, 1));
-    assert_eq!(cell.starts(), 4);
-    cell.pass(2_000);
-    assert_eq!(running(&cell, 1) + running(&cell, 2), 4);
+fn an_unanswered_order_counts_against_the_limit() {
+    let mut cluster = cluster(1, &[("a", 4)]);
+    cluster.worker(0).answer = Some(StartOutcome::Unknown);
+    run(&mut cluster, "a", 1, kit::step(4, 1));
+    cluster.worker(0).answer = None;
+    run(&mut cluster, "a", 2, kit::step(4, 1));
+    assert_eq!(cluster.starts(), 4);
+    cluster.advance(2_000);
+    assert_eq!(running(&cluster, 1) + running(&cluster, 2), 4);
 }
 
 /// Guards against a limit that is lowered while its customer uses far more:
 /// nothing more starts, and nothing that runs is stopped for it.
 #[test]
 fn a_lowered_limit_starts_nothing_and_stops_nothing() {
-    let mut cell = cell(2, &[("a", 20)]);
-    run(&mut cell, "a", 1, kit::step(40, 1));
-    assert_eq!(running(&cell, 1), 20);
-    cell.scheduler.set_customers(Some(&customers(&[("a", 3)])));
-    cell.pass(1_000);
-    assert_eq!((running(&cell, 1), cell.stops.len()), (20, 0));
+    let mut cluster = cluster(2, &[("a", 20)]);
+    run(&mut cluster, "a", 1, kit::step(40, 1));
+    assert_eq!(running(&cluster, 1), 20);
+    cluster
+        .scheduler
+        .set_customers(Some(&customers(&[("a", 3)])));
+    cluster.advance(1_000);
+    assert_eq!((running(&cluster, 1), cluster.stops.len()), (20, 0));
     for index in 0..18 {
-        cell.end(kit::task(1, 0, index), End::Done);
+        cluster.end(kit::task(1, 0, index), End::Done);
     }
-    assert_eq!(running(&cell, 1), 3);
+    assert_eq!(running(&cluster, 1), 3);
 }
 
 /// Guards against a gang that waits for its customer's limit and keeps workers, or
 /// lanes to the advisory service, from others all the while.
 #[test]
-fn a_gang_held_by_a_limit_is_in_nobodys_way() {
-    let mut cell = cell(2, &[("a", 64), ("b", 0)]);
-    run(&mut cell, "a", 1, kit::lasting(kit::step(40, 1), 20_000));
+fn a_gang_held_by_a_limit_does_not_block_others() {
+    let mut cluster = cluster(2, &[("a", 64), ("b", 0)]);
+    run(
+        &mut cluster,
+        "a",
+        1,
+        kit::with_estimate(kit::step(40, 1), 20_000),
+    );
     let patient = fleet::Queue {
         target_latency_ms: 60_000,
-        ..kit::advised(1)
+        ..kit::advised_queue(1)
     };
-    let taken = submit(&mut cell, "a", 2, &patient, kit::gang(40, 1));
+    let taken = submit(&mut cluster, "a", 2, &patient, kit::gang(40, 1));
     assert_eq!(taken, Admission::Accepted);
-    cell.settle();
-    assert!(cell.questions.is_empty(), "asked for what may not start");
-    run(&mut cell, "b", 3, kit::lasting(kit::step(88, 1), 20_000));
+    cluster.settle();
+    assert!(cluster.queries.is_empty(), "asked for what may not start");
+    run(
+        &mut cluster,
+        "b",
+        3,
+        kit::with_estimate(kit::step(88, 1), 20_000),
+    );
     assert_eq!(
-        running(&cell, 3),
+        running(&cluster, 3),
         88,
         "workers are kept for what may not start"
     );
@@ -151,61 +168,68 @@
 
 #[test]
 fn a_gang_that_never_fits_its_limit_is_refused_at_once() {
-    let mut cell = cell(2, &[("a", 8)]);
-    let answer = submit(&mut cell, "a", 1, &kit::queue(1), kit::gang(9, 1));
+    let mut cluster = cluster(2, &[("a", 8)]);
+    let answer = submit(&mut cluster, "a", 1, &kit::queue(1), kit::gang(9, 1));
     assert_eq!(answer, Admission::TooLarge);
-    let answer = submit(&mut cell, "a", 2, &kit::queue(1), kit::gang(8, 1));
+    let answer = submit(&mut cluster, "a", 2, &kit::queue(1), kit::gang(8, 1));
     assert_eq!(answer, Admission::Accepted);
 }
 
 /// Guards against a task that waits for good since it alone is over the limit.
 #[test]
 fn a_task_over_the_limit_runs_alone() {
-    let mut cell = cell(2, &[("a", 2)]);
-    run(&mut cell, "a", 1, kit::step(2, 5));
-    assert_eq!(running(&cell, 1), 1);
-    cell.end(kit::task(1, 0, 0), End::Done);
-    assert_eq!(running(&cell, 1), 1);
+    let mut cluster = cluster(2, &[("a", 2)]);
+    run(&mut cluster, "a", 1, kit::step(2, 5));
+    assert_eq!(running(&cluster, 1), 1);
+    cluster.end(kit::task(1, 0, 0), End::Done);
+    assert_eq!(running(&cluster, 1), 1);
 }
 
 /// Guards against a leader that has read no configuration, or none that is proven
 /// to be in force, and starts without limits.
 #[test]
-fn nothing_starts_for_customers_whose_terms_are_not_known() {
-    let mut cell = Cell::new(1);
-    run(&mut cell, "a", 1, kit::step(1, 1));
-    cell.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
-    assert_eq!((running(&cell, 1), running(&cell, 2)), (0, 1));
-    cell.scheduler.set_customers(Some(&customers(&[("a", 1)])));
-    cell.settle();
-    assert_eq!(running(&cell, 1), 1);
-    cell.scheduler.forget_customers();
-    run(&mut cell, "b", 3, kit::step(1, 1));
-    assert_eq!(running(&cell, 3), 0);
+fn nothing_starts_for_customers_with_unknown_limits() {
+    let mut cluster = TestCluster::new(1);
+    run(&mut cluster, "a", 1, kit::step(1, 1));
+    cluster.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
+    assert_eq!((running(&cluster, 1), running(&cluster, 2)), (0, 1));
+    cluster
+        .scheduler
+        .set_customers(Some(&customers(&[("a", 1)])));
+    cluster.settle();
+    assert_eq!(running(&cluster, 1), 1);
+    cluster.scheduler.forget_customers();
+    run(&mut cluster, "b", 3, kit::step(1, 1));
+    assert_eq!(running(&cluster, 3), 0);
 }
 
 /// Guards against a new leader that starts as much again as runs on a worker that
 /// it does not reach.
 #[test]
-fn a_new_leader_counts_what_it_has_not_heard_of() {
+fn a_new_leader_counts_runs_on_unresponsive_workers() {
     let limits = [("a", 6), ("b", 100)];
-    let mut cell = cell(3, &limits);
-    run(&mut cell, "a", 1, kit::lasting(kit::step(6, 1), 20_000));
-    let home = cell.placed(kit::task(1, 0, 0))[0].0.clone();
-    let silent = cell.workers[&home].running.len();
-    cell.workers[&home].reachable = false;
-    cell.take_over(2);
-    cell.scheduler.set_customers(Some(&customers(&limits)));
-    cell.settle();
-    run(&mut cell, "a", 2, kit::step(6, 1));
-    assert_eq!(running(&cell, 2), 0, "{silent} of 6 run unheard");
-    run(&mut cell, "b", 3, kit::step(40, 1));
-    assert_eq!(running(&cell, 3), 40, "little of b can run unheard");
+    let mut cluster = cluster(3, &limits);
+    run(
+        &mut cluster,
+        "a",
+        1,
+        kit::with_estimate(kit::step(6, 1), 20_000),
+    );
+    let host_worker = cluster.placed(kit::task(1, 0, 0))[0].0.clone();
+    let silent = cluster.workers[&host_worker].running.len();
+    cluster.workers[&host_worker].reachable = false;
+    cluster.take_over(2);
+    cluster.scheduler.set_customers(Some(&customers(&limits)));
+    cluster.settle();
+    run(&mut cluster, "a", 2, kit::step(6, 1));
+    assert_eq!(running(&cluster, 2), 0, "{silent} of 6 run unheard");
+    run(&mut cluster, "b", 3, kit::step(40, 1));
+    assert_eq!(running(&cluster, 3), 40, "little of b can run unheard");
     // Its lease ends by itself, and with it what ran there.
-    cell.pass(4_600);
-    cell.workers[&home].running.clear();
-    cell.pass(2_000);
-    assert_eq!(running(&cell, 1) + running(&cell, 2), 6);
+    cluster.advance(4_600);
+    cluster.workers[&host_worker].running.clear();
+    cluster.advance(2_000);
+    assert_eq!(running(&cluster, 1) + running(&cluster, 2), 6);
 }
 
 /// Guards against a job that was cancelled under the last leader, whose tasks run
@@ -213,59 +237,68 @@
 #[test]
 fn a_new_leader_counts_what_a_cancelled_job_left_running() {
     let limits = [("a", 4)];
-    let mut cell = cell(1, &limits);
-    run(&mut cell, "a", 1, kit::lasting(kit::step(4, 1), 20_000));
-    cell.worker(0).reachable = false;
-    cell.scheduler.cancel(kit::job_id(1), cell.now);
-    cell.settle();
-    assert_eq!(running(&cell, 1), 4, "the stop does not reach it");
-    cell.add_worker(1, 64);
-    cell.take_over(2);
-    cell.scheduler.set_customers(Some(&customers(&limits)));
-    cell.settle();
-    run(&mut cell, "a", 2, kit::step(4, 1));
-    assert_eq!(running(&cell, 2), 0);
+    let mut cluster = cluster(1, &limits);
+    run(
+        &mut cluster,
+        "a",
+        1,
+        kit::with_estimate(kit::step(4, 1), 20_000),
+    );
+    cluster.worker(0).reachable = false;
+    cluster.scheduler.cancel(kit::job_id(1), cluster.now);
+    cluster.settle();
+    assert_eq!(running(&cluster, 1), 4, "the stop does not reach it");
+    cluster.add_worker(1, 64);
+    cluster.take_over(2);
+    cluster.scheduler.set_customers(Some(&customers(&limits)));
+    cluster.settle();
+    run(&mut cluster, "a", 2, kit::step(4, 1));
+    assert_eq!(running(&cluster, 2), 0);
 }
 
 /// Guards against a job that is shown, cancelled or taken over by another
 /// customer's key.
 #[test]
-fn a_job_is_its_customers_alone_and_stays_so() {
-    let mut cell = cell(1, &[("a", 4), ("b", 4)]);
-    run(&mut cell, "a", 1, kit::step(1, 1));
+fn a_job_is_not_accessible_to_other_customers() {
+    let mut cluster = cluster(1, &[("a", 4), ("b", 4)]);
+    run(&mut cluster, "a", 1, kit::step(1, 1));
     for term in [2, 3] {
         let (a, b) = (name("a"), name("b"));
-        assert!(cell.scheduler.is_open_to(kit::job_id(1), Some(&a)));
-        assert!(!cell.scheduler.is_open_to(kit::job_id(1), Some(&b)));
-        assert!(!cell.scheduler.is_open_to(kit::job_id(1), None));
-        let answer = submit(&mut cell, "b", 1, &kit::queue(1), kit::step(1, 1));
+        assert!(cluster.scheduler.is_open_to(kit::job_id(1), Some(&a)));
+        assert!(!cluster.scheduler.is_open_to(kit::job_id(1), Some(&b)));
+        assert!(!cluster.scheduler.is_open_to(kit::job_id(1), None));
+        let answer = submit(&mut cluster, "b", 1, &kit::queue(1), kit::step(1, 1));
         assert_eq!(answer, Admission::IdTaken);
-        let answer = submit(&mut cell, "a", 1, &kit::queue(1), kit::step(1, 1));
+        let answer = submit(&mut cluster, "a", 1, &kit::queue(1), kit::step(1, 1));
         assert_eq!(answer, Admission::Known);
         if term == 2 {
-            cell.end(kit::task(1, 0, 0), End::Done);
-            assert_eq!(cell.state(1), Some(JobState::Completed));
+            cluster.end(kit::task(1, 0, 0), End::Done);
+            assert_eq!(cluster.state(1), Some(JobState::Completed));
         }
-        cell.take_over(term);
-        cell.settle();
+        cluster.take_over(term);
+        cluster.settle();
     }
 }
 
 /// Guards against a customer that sends many times its usual and makes the others
 /// late: its work came first, and more of it is as urgent as theirs.
 #[test]
-fn a_customer_over_its_share_goes_after_the_others() {
-    let mut cell = cell(2, &[("hot", 0), ("quiet", 0)]);
+fn a_customer_over_its_share_does_not_delay_the_others() {
+    let mut cluster = cluster(2, &[("hot", 0), ("quiet", 0)]);
     for number in 1..=3 {
-        run(&mut cell, "hot", number, kit::step(64, 1));
+        run(&mut cluster, "hot", number, kit::step(64, 1));
     }
     assert_eq!(
-        (running(&cell, 1), running(&cell, 2), running(&cell, 3)),
+        (
+            running(&cluster, 1),
+            running(&cluster, 2),
+            running(&cluster, 3)
+        ),
         (64, 64, 0)
     );
-    run(&mut cell, "quiet", 4, kit::step(8, 1));
+    run(&mut cluster, "quiet", 4, kit::step(8, 1));
     for index in 0..8 {
-        cell.end(kit::task(1, 0, index), End::Done);
+        cluster.end(kit::task(1, 0, index), End::Done);
     }
-    assert_eq!((running(&cell, 3), running(&cell, 4)), (0, 8));
+    assert_eq!((running(&cluster, 3), running(&cluster, 4)), (0, 8));
 }
--- a/crates/figscale-core/tests/fleet/fitness.rs
+++ b/crates/figscale-core/tests/fleet/fitness.rs
@@ -36,7 +36,7 @@
 
 impl Instance {
     /// One that has been well for a while.
-    fn calm() -> Self {
+    fn steady() -> Self {
         let now = time::Instant::now();
         let mut instance = Self {
             fitness: Fitness::default(),
@@ -45,39 +45,39 @@
             turns: Vec::new(),
             handed_over: None,
         };
-        instance.beat_for(10_000, ON_TIME_US, USUAL_US);
+        instance.sample_for(10_000, ON_TIME_US, USUAL_US);
         instance.begun = instance.now;
         instance
     }
 
-    fn beat_for(&mut self, millis: u64, late_us: u64, took_us: u64) {
+    fn sample_for(&mut self, millis: u64, late_us: u64, took_us: u64) {
         let until = self.now + time::Duration::from_millis(millis);
         while self.now < until {
-            self.beat(late_us, took_us);
+            self.take_sample(late_us, took_us);
         }
     }
 
-    fn beat(&mut self, late_us: u64, took_us: u64) {
+    fn take_sample(&mut self, late_us: u64, took_us: u64) {
         let late = time::Duration::from_micros(late_us);
         let took = time::Duration::from_micros(took_us);
         self.now += BEAT + late;
         self.turns.extend(self.fitness.beat(late, took, self.now));
         let lag = self.fitness.lasting_lag(self.now);
-        let stronger = is_clearly_stronger(OWN, self.left());
+        let stronger = is_clearly_stronger(OWN, self.remaining_millis());
         if let Some(lag) = lag.filter(|_| stronger && self.handed_over.is_none()) {
             self.handed_over = Some((self.now - self.begun, lag));
         }
     }
 
-    fn left(&self) -> u64 {
+    fn remaining_millis(&self) -> u64 {
         self.fitness.left_of(OWN)
     }
 }
 
 #[test]
 fn a_leader_on_a_slow_machine_hands_over_within_a_second_and_a_half() {
-    let mut leader = Instance::calm();
-    leader.beat_for(6_000, LATE_US, SLOW_US);
+    let mut leader = Instance::steady();
+    leader.sample_for(6_000, LATE_US, SLOW_US);
     let (after, lag) = leader.handed_over.expect("it leads on");
     let millis = after.as_millis();
     assert!((800..1_500).contains(&millis), "after {millis} ms");
@@ -87,75 +87,78 @@
 
 /// A leader of 350 workers beats three times a second then.
 #[test]
-fn so_does_one_that_hardly_gets_to_beat() {
-    let mut leader = Instance::calm();
-    leader.beat_for(3_000, 210_000, SLOW_US);
+fn an_overloaded_leader_on_a_slow_machine_hands_over_sooner() {
+    let mut leader = Instance::steady();
+    leader.sample_for(3_000, 210_000, SLOW_US);
     let (after, _) = leader.handed_over.expect("it leads on");
     assert!(after < time::Duration::from_millis(1_000), "{after:?}");
 }
 
 #[rstest]
-#[case::busy_on_a_sound_machine(9_100, USUAL_US)]
-#[case::far_too_busy_on_a_sound_machine(210_000, USUAL_US * 2)]
-#[case::slow_but_its_timers_are_on_time(1_600, SLOW_US)]
-#[case::idle_and_a_little_slower(ON_TIME_US, USUAL_US * 2 + 20)]
-fn a_leader_leads_on(#[case] late_us: u64, #[case] took_us: u64) {
-    let mut leader = Instance::calm();
-    leader.beat_for(6_000, late_us, took_us);
+#[case::busy_on_a_normal_machine(9_100, USUAL_US)]
+#[case::overloaded_on_a_normal_machine(210_000, USUAL_US * 2)]
+#[case::slow_machine_with_timers_on_time(1_600, SLOW_US)]
+#[case::idle_on_a_slightly_slower_machine(ON_TIME_US, USUAL_US * 2 + 20)]
+fn a_leader_does_not_hand_over_for_load_or_slowness_alone(
+    #[case] late_us: u64,
+    #[case] took_us: u64,
+) {
+    let mut leader = Instance::steady();
+    leader.sample_for(6_000, late_us, took_us);
     assert_eq!(leader.handed_over, None);
 }
 
 #[test]
-fn a_freeze_that_is_over_changes_nothing() {
-    let mut leader = Instance::calm();
+fn a_past_freeze_does_not_count_as_a_slow_machine() {
+    let mut leader = Instance::steady();
     for _ in 0..5 {
-        leader.beat(3_000_000, USUAL_US);
-        leader.beat(1_000, 2_000_000);
-        leader.beat_for(400, ON_TIME_US, USUAL_US);
+        leader.take_sample(3_000_000, USUAL_US);
+        leader.take_sample(1_000, 2_000_000);
+        leader.sample_for(400, ON_TIME_US, USUAL_US);
     }
     assert_eq!(leader.handed_over, None);
     assert_eq!(leader.turns, []);
 }
 
 #[test]
-fn a_short_stall_is_no_reason_to_hand_over() {
-    let mut leader = Instance::calm();
+fn a_short_stall_does_not_cause_a_handover() {
+    let mut leader = Instance::steady();
     for _ in 0..10 {
-        leader.beat_for(600, LATE_US, SLOW_US);
-        leader.beat_for(1_000, ON_TIME_US, USUAL_US);
+        leader.sample_for(600, LATE_US, SLOW_US);
+        leader.sample_for(1_000, ON_TIME_US, USUAL_US);
     }
     assert_eq!(leader.handed_over, None);
 }
 
 #[test]
-fn a_slow_leader_beside_weaker_instances_leads_on() {
-    let mut leader = Instance::calm();
-    leader.beat_for(6_000, LATE_US, USUAL_US * 4);
+fn a_slow_leader_does_not_hand_over_to_weaker_instances() {
+    let mut leader = Instance::steady();
+    leader.sample_for(6_000, LATE_US, USUAL_US * 4);
     assert!(leader.handed_over.is_some());
-    assert!(!is_clearly_stronger(WEAKER, leader.left()));
+    assert!(!is_clearly_stronger(WEAKER, leader.remaining_millis()));
 }
 
 #[test]
-fn a_slow_instance_stands_later_until_it_has_been_well_for_a_while() {
-    let mut instance = Instance::calm();
-    assert!(standing_delay(instance.left(), OWN).is_zero());
-    instance.beat_for(600, 1_600, SLOW_US);
-    assert!(!standing_delay(instance.left(), OWN).is_zero());
+fn a_slow_instance_delays_its_candidacy_until_it_stays_normal() {
+    let mut instance = Instance::steady();
+    assert!(standing_delay(instance.remaining_millis(), OWN).is_zero());
+    instance.sample_for(600, 1_600, SLOW_US);
+    assert!(!standing_delay(instance.remaining_millis(), OWN).is_zero());
     // One good span is not enough.
-    instance.beat_for(5_000, 1_600, SLOW_US);
-    instance.beat_for(500, ON_TIME_US, USUAL_US);
-    assert!(!standing_delay(instance.left(), OWN).is_zero());
-    instance.beat_for(1_000, ON_TIME_US, USUAL_US);
-    assert!(standing_delay(instance.left(), OWN).is_zero());
+    instance.sample_for(5_000, 1_600, SLOW_US);
+    instance.sample_for(500, ON_TIME_US, USUAL_US);
+    assert!(!standing_delay(instance.remaining_millis(), OWN).is_zero());
+    instance.sample_for(1_000, ON_TIME_US, USUAL_US);
+    assert!(standing_delay(instance.remaining_millis(), OWN).is_zero());
     assert!(matches!(instance.turns[..], [Turn::Slow(5), Turn::Well(_)]));
 }
 
 #[test]
-fn where_all_are_slow_the_best_stands_first() {
+fn among_slow_instances_the_fastest_runs_for_leader_first() {
     let slow = |took_us| {
-        let mut instance = Instance::calm();
-        instance.beat_for(1_000, 1_600, took_us);
-        instance.left()
+        let mut instance = Instance::steady();
+        instance.sample_for(1_000, 1_600, took_us);
+        instance.remaining_millis()
     };
     let (better, worse) = (slow(USUAL_US * 3), slow(USUAL_US * 6));
     assert!(standing_delay(better, better).is_zero());
@@ -164,14 +167,14 @@
 
 /// A machine that stays as it is has turned into what it is.
 #[test]
-fn what_lasts_becomes_the_usual() {
-    let mut instance = Instance::calm();
-    instance.beat_for(200_000, 1_600, SLOW_US);
-    assert_eq!(instance.left(), OWN);
+fn lasting_slowness_becomes_the_baseline() {
+    let mut instance = Instance::steady();
+    instance.sample_for(200_000, 1_600, SLOW_US);
+    assert_eq!(instance.remaining_millis(), OWN);
 }
 
 #[test]
-fn a_process_that_has_just_started_judges_nothing() {
+fn a_new_process_does_not_judge_its_machine() {
     let now = time::Instant::now();
     let fitness = Fitness::default();
     let mut instance = Instance {
@@ -181,8 +184,8 @@
         turns: Vec::new(),
         handed_over: None,
     };
-    instance.beat_for(600, ON_TIME_US, USUAL_US);
-    instance.beat_for(1_000, LATE_US, SLOW_US);
+    instance.sample_for(600, ON_TIME_US, USUAL_US);
+    instance.sample_for(1_000, LATE_US, SLOW_US);
     assert_eq!(instance.turns, []);
     assert_eq!(instance.handed_over, None);
 }
--- a/crates/figscale-core/tests/fleet/kit.rs
+++ b/crates/figscale-core/tests/fleet/kit.rs
@@ -16,7 +16,7 @@
 use figscale_types::fleet::StartOutcome;
 use indexmap::IndexMap;
 
-pub(crate) const MOST_RECORDS: usize = 30;
+pub(crate) const MAX_RECORDS: usize = 30;
 const FIRST_CLOCK_MS: u64 = 100_000;
 const WALL_MS: u64 = 1_700_000_000_000;
 
@@ -55,7 +55,7 @@
     }
 }
 
-pub(crate) fn advised(priority: u32) -> fleet::Queue {
+pub(crate) fn advised_queue(priority: u32) -> fleet::Queue {
     let advice = fleet::AdvicePolicy {
         base_ms: 10.0,
         per_worker_ms: 1.0,
@@ -95,7 +95,10 @@
     }
 }
 
-pub(crate) fn lasting(step: fleet::StepDescription, estimate_ms: u64) -> fleet::StepDescription {
+pub(crate) fn with_estimate(
+    step: fleet::StepDescription,
+    estimate_ms: u64,
+) -> fleet::StepDescription {
     fleet::StepDescription {
         estimate_ms,
         ..step
@@ -103,12 +106,12 @@
 }
 
 /// Tickets for those workers of a question that may run its step, by number.
-pub(crate) fn tickets(question: &Question, good: impl Fn(usize) -> bool) -> Vec<fleet::Ticket> {
-    tickets_of(question, |id| good(id.as_str()[2..].parse().unwrap()))
+pub(crate) fn tickets(query: &Question, good: impl Fn(usize) -> bool) -> Vec<fleet::Ticket> {
+    tickets_of(query, |id| good(id.as_str()[2..].parse().unwrap()))
 }
 
-fn tickets_of(question: &Question, good: impl Fn(&fleet::WorkerId) -> bool) -> Vec<fleet::Ticket> {
-    let good = question.workers.iter().filter(|id| good(id));
+fn tickets_of(query: &Question, good: impl Fn(&fleet::WorkerId) -> bool) -> Vec<fleet::Ticket> {
+    let good = query.workers.iter().filter(|id| good(id));
     let tickets = good.map(|id| fleet::Ticket {
         worker: id.clone(),
         token: format!("t-{id}"),
@@ -142,24 +145,24 @@
 }
 
 /// Everything around one scheduler.
-pub(crate) struct Cell {
+pub(crate) struct TestCluster {
     pub(crate) scheduler: Scheduler,
     pub(crate) now: time::Instant,
     pub(crate) wall_ms: u64,
     pub(crate) workers: IndexMap<fleet::WorkerId, FakeWorker>,
     pub(crate) store: IndexMap<RecordKey, Vec<u8>>,
-    pub(crate) questions: Vec<Question>,
+    pub(crate) queries: Vec<Question>,
     pub(crate) notes: Vec<Note>,
     pub(crate) stops: Vec<(fleet::WorkerId, fleet::TaskId, u32)>,
     pub(crate) stepped_down: bool,
     /// Whether records are written and entries read.
-    pub(crate) store_answers: bool,
+    pub(crate) store_available: bool,
     /// Workers that there have been.
     pub(crate) added: usize,
     begun: time::Instant,
 }
 
-impl Cell {
+impl TestCluster {
     /// So many workers of 64 cores, in racks of four.
     pub(crate) fn new(workers: usize) -> Self {
         Self::with_cores(workers, 64)
@@ -171,26 +174,26 @@
 
     pub(crate) fn with_config(workers: usize, cores: u64, config: Config) -> Self {
         let now = time::Instant::now();
-        let mut cell = Self {
+        let mut cluster = Self {
             scheduler: Scheduler::new(config),
             now,
             wall_ms: WALL_MS,
             workers: IndexMap::new(),
             store: IndexMap::new(),
-            questions: Vec::new(),
+            queries: Vec::new(),
             notes: Vec::new(),
             stops: Vec::new(),
             stepped_down: false,
-            store_answers: true,
+            store_available: true,
             added: 0,
             begun: now,
         };
-        cell.scheduler.member_joined(&"entry-1".parse().unwrap());
+        cluster.scheduler.member_joined(&"entry-1".parse().unwrap());
         for number in 0..workers {
-            cell.add_worker(number, cores);
+            cluster.add_worker(number, cores);
         }
-        cell.settle();
-        cell
+        cluster.settle();
+        cluster
     }
 
     pub(crate) fn add_worker(&mut self, number: usize, cores: u64) {
@@ -226,7 +229,7 @@
     }
 
     /// Entry instances with these numbers can ask the advisory service.
-    pub(crate) fn join(&mut self, numbers: ops::RangeInclusive<usize>) {
+    pub(crate) fn join_entries(&mut self, numbers: ops::RangeInclusive<usize>) {
         for number in numbers {
             let member = format!("entry-{number}").parse().unwrap();
             self.scheduler.member_joined(&member);
@@ -268,13 +271,13 @@
     }
 
     pub(crate) fn write(&mut self) -> Records {
-        let records = self.scheduler.take_records(MOST_RECORDS);
-        self.keep(&records.records);
+        let records = self.scheduler.take_records(MAX_RECORDS);
+        self.apply_records(&records.records);
         self.scheduler.records_written(&records);
         records
     }
 
-    pub(crate) fn keep(&mut self, records: &[Record]) {
+    pub(crate) fn apply_records(&mut self, records: &[Record]) {
         for record in records {
             match &record.bytes {
                 Some(bytes) => {
@@ -291,18 +294,18 @@
     pub(crate) fn settle(&mut self) {
         for _ in 0..8 {
             self.report_all();
-            while self.store_answers && self.scheduler.has_records() {
+            while self.store_available && self.scheduler.has_records() {
                 self.write();
             }
             self.scheduler.plan(self.now);
-            if !self.carry_out() {
+            if !self.execute_actions() {
                 break;
             }
         }
     }
 
     /// Lets time pass in small parts, with reports as they come.
-    pub(crate) fn pass(&mut self, time_ms: u64) {
+    pub(crate) fn advance(&mut self, time_ms: u64) {
         for _ in 0..time_ms.div_ceil(100) {
             self.now += ms(100);
             self.wall_ms += 100;
@@ -314,7 +317,7 @@
     /// Entries are read, and workers report.
     pub(crate) fn report_all(&mut self) {
         let ids: Vec<fleet::WorkerId> = self.workers.keys().cloned().collect();
-        if self.store_answers {
+        if self.store_available {
             self.scheduler.entries_read(&ids, self.now);
         }
         for id in ids {
@@ -341,7 +344,7 @@
     }
 
     /// Carries out actions; true if there were any.
-    pub(crate) fn carry_out(&mut self) -> bool {
+    pub(crate) fn execute_actions(&mut self) -> bool {
         let actions = self.scheduler.take_actions();
         let any = !actions.is_empty();
         for action in actions {
@@ -352,7 +355,7 @@
                     task,
                     attempt,
                 } => self.stop(worker, task, attempt),
-                Action::Ask(question) => self.questions.push(question),
+                Action::Ask(query) => self.queries.push(query),
                 Action::StepDown => self.stepped_down = true,
                 Action::Tell(note) => self.notes.push(note),
             }
@@ -370,7 +373,7 @@
             (true, None) => StartOutcome::Started { clock_ms },
         };
         if matches!(outcome, StartOutcome::Started { .. }) {
-            worker.begin(&order);
+            worker.start_run(&order);
         }
         self.scheduler
             .start_answered(id, order.task, order.attempt, outcome, self.now);
@@ -385,7 +388,7 @@
     }
 
     /// Where a task runs once; `None` if it runs nowhere.
-    pub(crate) fn home(&self, task: fleet::TaskId) -> Option<fleet::WorkerId> {
+    pub(crate) fn host_worker(&self, task: fleet::TaskId) -> Option<fleet::WorkerId> {
         let placed = self.placed(task);
         assert!(placed.len() <= 1, "{task} runs at {placed:?}");
         placed.into_iter().next().map(|(worker, _)| worker)
@@ -450,13 +453,13 @@
     }
 
     /// Answers the oldest question; `good` says who may run the step.
-    pub(crate) fn advise(&mut self, good: impl Fn(&fleet::WorkerId) -> bool) -> Question {
-        let question = self.questions.remove(0);
-        let tickets = tickets_of(&question, good);
+    pub(crate) fn respond(&mut self, good: impl Fn(&fleet::WorkerId) -> bool) -> Question {
+        let query = self.queries.remove(0);
+        let tickets = tickets_of(&query, good);
         self.scheduler
-            .advice_answered(&question, Some(tickets), self.now);
+            .advice_answered(&query, Some(tickets), self.now);
         self.settle();
-        question
+        query
     }
 
     /// A new leader over the same store and workers.
@@ -491,7 +494,7 @@
 }
 
 impl FakeWorker {
-    pub(crate) fn begin(&mut self, order: &fleet::StartOrder) {
+    pub(crate) fn start_run(&mut self, order: &fleet::StartOrder) {
         let running = fleet::RunningTask {
             task: order.task,
             attempt: order.attempt,
--- a/crates/figscale-core/tests/fleet/leaving.rs
+++ b/crates/figscale-core/tests/fleet/leaving.rs
@@ -9,107 +9,116 @@
 use figscale_types::fleet::JobState;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 /// Has a worker say that it leaves.
-fn drain(cell: &mut Cell, number: usize, leaves_in_ms: u64) {
+fn drain(cluster: &mut TestCluster, number: usize, leaves_in_ms: u64) {
     let entry = fleet::WorkerEntry {
         draining: true,
         leaves_in: Some(kit::ms(leaves_in_ms)),
-        ..cell.worker(number).entry.clone()
+        ..cluster.worker(number).entry.clone()
     };
-    cell.worker(number).entry = entry.clone();
-    cell.scheduler.worker_listed(entry);
-    let at = cell.now + kit::ms(leaves_in_ms);
-    cell.scheduler.worker_leaves(&kit::worker_id(number), at);
+    cluster.worker(number).entry = entry.clone();
+    cluster.scheduler.worker_listed(entry);
+    let at = cluster.now + kit::ms(leaves_in_ms);
+    cluster.scheduler.worker_leaves(&kit::worker_id(number), at);
 }
 
 /// A cell of two workers with one task on one of them; the number of that one.
-fn cell_with_task() -> (Cell, usize) {
-    let mut cell = Cell::new(2);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let home = usize::from(cell.worker(0).running.is_empty());
-    (cell, home)
+fn cluster_with_task() -> (TestCluster, usize) {
+    let mut cluster = TestCluster::new(2);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    let host_worker = usize::from(cluster.worker(0).running.is_empty());
+    (cluster, host_worker)
 }
 
 #[test]
-fn what_would_be_lost_with_its_worker_goes_on_elsewhere() {
-    let (mut cell, home) = cell_with_task();
+fn a_run_that_outlasts_its_leaving_worker_moves() {
+    let (mut cluster, host_worker) = cluster_with_task();
     let key = (kit::task(1, 0, 0), 1);
-    cell.worker(home).running[&key].checkpoint = "saved".to_owned();
-    drain(&mut cell, home, 5_000);
-    cell.pass(2_000);
-    assert_eq!(cell.placed(key.0), [(kit::worker_id(home), 1)]);
-    cell.pass(2_000);
-    assert_eq!(cell.placed(key.0), [(kit::worker_id(1 - home), 2)]);
-    assert_eq!(cell.worker(1 - home).orders[0].checkpoint, "saved");
+    cluster.worker(host_worker).running[&key].checkpoint = "saved".to_owned();
+    drain(&mut cluster, host_worker, 5_000);
+    cluster.advance(2_000);
+    assert_eq!(cluster.placed(key.0), [(kit::worker_id(host_worker), 1)]);
+    cluster.advance(2_000);
+    assert_eq!(
+        cluster.placed(key.0),
+        [(kit::worker_id(1 - host_worker), 2)]
+    );
+    assert_eq!(
+        cluster.worker(1 - host_worker).orders[0].checkpoint,
+        "saved"
+    );
 }
 
 #[test]
-fn what_ends_before_its_worker_leaves_is_not_disturbed() {
-    let (mut cell, home) = cell_with_task();
-    drain(&mut cell, home, 5_000);
-    cell.pass(3_000);
-    cell.end(kit::task(1, 0, 0), End::Done);
-    cell.pass(2_000);
-    assert!(cell.stops.is_empty());
-    assert_eq!(cell.state(1), Some(JobState::Completed));
+fn a_run_that_ends_before_its_worker_leaves_is_not_stopped() {
+    let (mut cluster, host_worker) = cluster_with_task();
+    drain(&mut cluster, host_worker, 5_000);
+    cluster.advance(3_000);
+    cluster.end(kit::task(1, 0, 0), End::Done);
+    cluster.advance(2_000);
+    assert!(cluster.stops.is_empty());
+    assert_eq!(cluster.state(1), Some(JobState::Completed));
 }
 
 #[test]
-fn a_short_notice_is_acted_on_at_once() {
-    let (mut cell, home) = cell_with_task();
-    drain(&mut cell, home, 1_000);
-    cell.pass(100);
-    let placed = cell.placed(kit::task(1, 0, 0));
-    assert_eq!(placed, [(kit::worker_id(1 - home), 2)]);
+fn runs_move_at_once_on_a_short_notice() {
+    let (mut cluster, host_worker) = cluster_with_task();
+    drain(&mut cluster, host_worker, 1_000);
+    cluster.advance(100);
+    let placed = cluster.placed(kit::task(1, 0, 0));
+    assert_eq!(placed, [(kit::worker_id(1 - host_worker), 2)]);
 }
 
 /// Otherwise whatever the next leader does not find waits for the lease of a
 /// worker that has gone.
 #[test]
-fn the_next_leader_does_not_wait_for_a_worker_that_has_nothing_left() {
-    let (mut cell, home) = cell_with_task();
-    drain(&mut cell, home, 1_000);
-    cell.pass(500);
-    cell.worker(home).reachable = false;
+fn the_next_leader_does_not_wait_for_an_emptied_worker() {
+    let (mut cluster, host_worker) = cluster_with_task();
+    drain(&mut cluster, host_worker, 1_000);
+    cluster.advance(500);
+    cluster.worker(host_worker).reachable = false;
     let task = kit::task(1, 0, 0);
-    cell.worker(1 - home).end(task, 2, End::Stopped);
-    cell.take_over(2);
-    cell.pass(300);
-    assert_eq!(cell.placed(task), [(kit::worker_id(1 - home), 1_001)]);
+    cluster.worker(1 - host_worker).end(task, 2, End::Stopped);
+    cluster.take_over(2);
+    cluster.advance(300);
+    assert_eq!(
+        cluster.placed(task),
+        [(kit::worker_id(1 - host_worker), 1_001)]
+    );
 }
 
 /// An order that was not answered may still arrive.
 #[test]
-fn the_next_leader_waits_where_an_order_had_no_answer() {
-    let mut cell = Cell::new(1);
-    cell.worker(0).answer = Some(fleet::StartOutcome::Unknown);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    drain(&mut cell, 0, 5_000);
-    cell.worker(0).answer = None;
-    cell.pass(200);
-    cell.worker(0).reachable = false;
-    cell.add_worker(1, 64);
-    cell.take_over(2);
-    cell.pass(3_000);
-    assert!(cell.placed(kit::task(1, 0, 0)).is_empty());
-    cell.pass(3_000);
-    assert_eq!(cell.placed(kit::task(1, 0, 0)).len(), 1);
+fn the_next_leader_waits_for_a_worker_with_an_unanswered_order() {
+    let mut cluster = TestCluster::new(1);
+    cluster.worker(0).answer = Some(fleet::StartOutcome::Unknown);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    drain(&mut cluster, 0, 5_000);
+    cluster.worker(0).answer = None;
+    cluster.advance(200);
+    cluster.worker(0).reachable = false;
+    cluster.add_worker(1, 64);
+    cluster.take_over(2);
+    cluster.advance(3_000);
+    assert!(cluster.placed(kit::task(1, 0, 0)).is_empty());
+    cluster.advance(3_000);
+    assert_eq!(cluster.placed(kit::task(1, 0, 0)).len(), 1);
 }
 
 #[test]
-fn a_worker_that_stays_after_all_is_used_again() {
-    let mut cell = Cell::new(1);
-    drain(&mut cell, 0, 60_000);
-    cell.pass(500);
+fn a_worker_that_withdraws_its_notice_is_used_again() {
+    let mut cluster = TestCluster::new(1);
+    drain(&mut cluster, 0, 60_000);
+    cluster.advance(500);
     let entry = fleet::WorkerEntry {
         draining: false,
         leaves_in: None,
-        ..cell.worker(0).entry.clone()
+        ..cluster.worker(0).entry.clone()
     };
-    cell.scheduler.worker_listed(entry);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    assert_eq!(cell.starts(), 1);
-    assert!(cell.stops.is_empty());
+    cluster.scheduler.worker_listed(entry);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    assert_eq!(cluster.starts(), 1);
+    assert!(cluster.stops.is_empty());
 }
--- a/crates/figscale-core/tests/fleet/load.rs
+++ b/crates/figscale-core/tests/fleet/load.rs
@@ -15,19 +15,19 @@
 use indexmap::IndexMap;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 const WORKERS: usize = 4;
 const CORES: u64 = 64;
 /// Part of the fleet of the sheet that is played.
-const PART: f64 = 1.0 / 12.0;
+const FLEET_PART: f64 = 1.0 / 12.0;
 const SEEDS: u64 = 6;
 const STEP_MS: u64 = 100;
 const TRAFFIC_MS: u64 = 30_000;
 const AFTER_MS: u64 = 30_000;
-const PATIENCE: time::Duration = time::Duration::from_secs(3);
+const CALLER_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 /// What is paid for a job that ends within three objectives, but not one.
-const LATE_PART: f64 = 0.2;
+const LATE_PAYMENT_PART: f64 = 0.2;
 
 /// One kind of job.
 struct Kind {
@@ -50,21 +50,21 @@
             per_s: 30.9,
             worth: 0.44,
             queue: queue(0, 1.5, 250),
-            step: kit::lasting(kit::step(2, 6), 1_000),
+            step: kit::with_estimate(kit::step(2, 6), 1_000),
             peak: (5_000, 2.2),
         },
         Kind {
             per_s: 4.36,
             worth: 2.22,
             queue: queue(2, 4.0, 3_000),
-            step: kit::lasting(kit::step(15, 4), 3_400),
+            step: kit::with_estimate(kit::step(15, 4), 3_400),
             peak: (0, 1.0),
         },
         Kind {
             per_s: 1.81,
             worth: 8.55,
             queue: queue(1, 2.2, 1_000),
-            step: kit::lasting(kit::gang(7, 18), 5_000),
+            step: kit::with_estimate(kit::gang(7, 18), 5_000),
             peak: (15_000, 1.8),
         },
     ]
@@ -74,9 +74,9 @@
 struct Caller {
     kind: usize,
     step: fleet::StepDescription,
-    came: time::Instant,
+    arrived: time::Instant,
     next_try: Option<time::Instant>,
-    taken: bool,
+    accepted: bool,
     ended: Option<time::Instant>,
 }
 
@@ -89,7 +89,7 @@
 }
 
 struct Load {
-    cell: Cell,
+    cluster: TestCluster,
     kinds: Vec<Kind>,
     callers: Vec<Caller>,
     /// When what runs will end.
@@ -104,7 +104,7 @@
             ..Config::default()
         };
         Self {
-            cell: Cell::with_config(WORKERS, CORES, config),
+            cluster: TestCluster::with_config(WORKERS, CORES, config),
             kinds: kinds(),
             callers: Vec::new(),
             ends: IndexMap::new(),
@@ -112,13 +112,13 @@
         }
     }
 
-    fn play(mut self) -> Outcome {
+    fn simulate(mut self) -> Outcome {
         for at_ms in (0..TRAFFIC_MS + AFTER_MS).step_by(STEP_MS as usize) {
             if at_ms < TRAFFIC_MS {
                 self.arrive(at_ms);
             }
             self.submit();
-            self.cell.pass(STEP_MS);
+            self.cluster.advance(STEP_MS);
             self.end_due();
         }
         self.outcome()
@@ -128,17 +128,17 @@
         for kind in 0..self.kinds.len() {
             let (from_ms, times) = self.kinds[kind].peak;
             let peak = (from_ms..from_ms + 4_000).contains(&at_ms);
-            let per_s = self.kinds[kind].per_s * PART * if peak { times } else { 1.0 };
+            let per_s = self.kinds[kind].per_s * FLEET_PART * if peak { times } else { 1.0 };
             let mut expected = per_s * STEP_MS as f64 / 1_000.0;
             while expected > 0.0 {
                 if self.random.next() < expected {
-                    let step = self.sized(kind);
+                    let step = self.vary_step(kind);
                     self.callers.push(Caller {
                         kind,
                         step,
-                        came: self.cell.now,
-                        next_try: Some(self.cell.now),
-                        taken: false,
+                        arrived: self.cluster.now,
+                        next_try: Some(self.cluster.now),
+                        accepted: false,
                         ended: None,
                     });
                 }
@@ -148,7 +148,7 @@
     }
 
     /// A step of a kind; lengths and widths are from half to twice the mean.
-    fn sized(&mut self, kind: usize) -> fleet::StepDescription {
+    fn vary_step(&mut self, kind: usize) -> fleet::StepDescription {
         let longer = 0.5 + 1.5 * self.random.next().powi(2);
         let wider = 0.5 + 1.5 * self.random.next().powi(2);
         let mean = &self.kinds[kind].step;
@@ -160,21 +160,21 @@
     }
 
     fn submit(&mut self) {
-        let now = self.cell.now;
+        let now = self.cluster.now;
         for (number, caller) in self.callers.iter_mut().enumerate() {
             if caller.next_try.is_none_or(|next| next > now) {
                 continue;
             }
             let kind = &self.kinds[caller.kind];
             let job = kit::job(vec![caller.step.clone()]);
-            match self.cell.submit(number as u64, &kind.queue, job) {
+            match self.cluster.submit(number as u64, &kind.queue, job) {
                 Admission::Refused { retry_after, .. } => {
                     let next = now + retry_after;
-                    caller.next_try = (next < caller.came + PATIENCE).then_some(next);
+                    caller.next_try = (next < caller.arrived + CALLER_TIMEOUT).then_some(next);
                 }
                 _ => {
                     caller.next_try = None;
-                    caller.taken = true;
+                    caller.accepted = true;
                 }
             }
         }
@@ -182,8 +182,8 @@
 
     /// Ends what has run for its time, and notes what has started.
     fn end_due(&mut self) {
-        let now = self.cell.now;
-        let workers = self.cell.workers.values();
+        let now = self.cluster.now;
+        let workers = self.cluster.workers.values();
         let running: Vec<(fleet::TaskId, u32)> = workers
             .flat_map(|worker| worker.running.keys().copied())
             .collect();
@@ -194,73 +194,77 @@
             let caller = &self.callers[key.0.job.0 as usize];
             let estimate = kit::ms(caller.step.estimate_ms);
             self.ends
-                .insert(key, now + estimate.mul_f64(accuracy(&key.0)));
+                .insert(key, now + estimate.mul_f64(duration_factor(&key.0)));
         }
         let due = self.ends.extract_if(.., |_, end| *end <= now);
         let due: Vec<(fleet::TaskId, u32)> = due.map(|(key, _)| key).collect();
         for (task, attempt) in due {
-            for worker in self.cell.workers.values_mut() {
+            for worker in self.cluster.workers.values_mut() {
                 worker.end(task, attempt, fleet::End::Done);
             }
         }
-        self.cell.settle();
+        self.cluster.settle();
         for (number, caller) in self.callers.iter_mut().enumerate() {
-            let done = self.cell.state(number as u64) == Some(fleet::JobState::Completed);
-            if caller.taken && caller.ended.is_none() && done {
+            let done = self.cluster.state(number as u64) == Some(fleet::JobState::Completed);
+            if caller.accepted && caller.ended.is_none() && done {
                 caller.ended = Some(now);
             }
         }
     }
 
     fn outcome(&self) -> Outcome {
-        let (mut earned, mut owed) = (0.0, 0.0);
+        let (mut earned, mut total_worth) = (0.0, 0.0);
         for caller in &self.callers {
             let kind = &self.kinds[caller.kind];
-            owed += kind.worth;
+            total_worth += kind.worth;
             let chain = kit::ms(caller.step.estimate_ms).mul_f64(kind.queue.stretch);
             let objective = chain + kit::ms(kind.queue.target_latency_ms);
             let Some(ended) = caller.ended else {
                 continue;
             };
-            let took = ended - caller.came;
+            let took = ended - caller.arrived;
             earned += kind.worth
                 * match took {
                     took if took <= objective => 1.0,
-                    took if took <= objective * 3 => LATE_PART,
+                    took if took <= objective * 3 => LATE_PAYMENT_PART,
                     _ => 0.0,
                 };
         }
-        let refused = self.callers.iter().filter(|caller| !caller.taken).count();
+        let refused = self
+            .callers
+            .iter()
+            .filter(|caller| !caller.accepted)
+            .count();
         Outcome {
-            earned: earned / owed,
+            earned: earned / total_worth,
             refused: refused * 1_000 / self.callers.len(),
         }
     }
 }
 
 /// What a task takes by its estimate, the same in each run.
-fn accuracy(task: &fleet::TaskId) -> f64 {
+fn duration_factor(task: &fleet::TaskId) -> f64 {
     let mixed = (task.job.0 + u64::from(task.index) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     0.8 + 0.4 * (mixed >> 40) as f64 / f64::from(1_u32 << 24)
 }
 
 /// Means over some seeds.
-fn play(max_of_objective_percent: u32) -> (f64, usize) {
-    let played: Vec<Outcome> = (1..=SEEDS)
-        .map(|seed| Load::new(max_of_objective_percent, seed).play())
+fn simulate(max_of_objective_percent: u32) -> (f64, usize) {
+    let outcomes: Vec<Outcome> = (1..=SEEDS)
+        .map(|seed| Load::new(max_of_objective_percent, seed).simulate())
         .collect();
-    println!("{max_of_objective_percent} percent: {played:?}");
-    let earned: f64 = played.iter().map(|outcome| outcome.earned).sum();
-    let refused: usize = played.iter().map(|outcome| outcome.refused).sum();
+    println!("{max_of_objective_percent} percent: {outcomes:?}");
+    let earned: f64 = outcomes.iter().map(|outcome| outcome.earned).sum();
+    let refused: usize = outcomes.iter().map(|outcome| outcome.refused).sum();
     (earned / SEEDS as f64, refused / SEEDS as usize)
 }
 
 /// Jobs that would be late are worth taking: what is late makes way for what
 /// is not, so most of them are in time after all.
 #[test]
-fn two_peaks_are_served_better_by_taking_what_may_be_late() {
-    let strict = play(100);
-    let lenient = play(Config::default().max_of_objective_percent);
+fn accepting_possibly_late_jobs_earns_more_over_two_peaks() {
+    let strict = simulate(100);
+    let lenient = simulate(Config::default().max_of_objective_percent);
     println!("earned, and refused of 1,000: strict {strict:?}, lenient {lenient:?}");
     assert!(lenient.0 > strict.0 + 0.05);
     assert!(lenient.1 < strict.1);
--- a/crates/figscale-core/tests/fleet/losses.rs
+++ b/crates/figscale-core/tests/fleet/losses.rs
@@ -13,10 +13,10 @@
 use figscale_core::fleet::Losses;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 #[test]
-fn waits_are_short_while_answers_get_lost() {
+fn report_waits_are_shorter_while_responses_get_lost() {
     let now = time::Instant::now();
     let mut losses = Losses::default();
     let usual = losses.report_wait(now);
@@ -28,25 +28,29 @@
 }
 
 #[test]
-fn a_worker_with_an_overdue_call_gets_nothing_new_until_it_is_heard() {
-    let mut cell = Cell::new(2);
-    cell.scheduler.worker_doubted(&kit::worker_id(0), cell.now);
+fn a_worker_with_an_overdue_call_gets_no_work_until_it_reports() {
+    let mut cluster = TestCluster::new(2);
+    cluster
+        .scheduler
+        .worker_doubted(&kit::worker_id(0), cluster.now);
     let queue = kit::queue(0);
     assert_eq!(
-        cell.submit(1, &queue, kit::job(vec![kit::step(4, 1)])),
+        cluster.submit(1, &queue, kit::job(vec![kit::step(4, 1)])),
         figscale_core::fleet::Admission::Accepted
     );
-    while cell.scheduler.has_records() {
-        cell.write();
+    while cluster.scheduler.has_records() {
+        cluster.write();
     }
-    cell.scheduler.plan(cell.now);
-    cell.carry_out();
-    assert!(cell.worker(0).running.is_empty());
-    assert_eq!(cell.worker(1).running.len(), 4);
+    cluster.scheduler.plan(cluster.now);
+    cluster.execute_actions();
+    assert!(cluster.worker(0).running.is_empty());
+    assert_eq!(cluster.worker(1).running.len(), 4);
 
-    cell.report_all();
-    cell.worker(1).reachable = false;
-    cell.scheduler.worker_doubted(&kit::worker_id(1), cell.now);
-    cell.run(2, &queue, vec![kit::step(4, 1)]);
-    assert_eq!(cell.worker(0).running.len(), 4);
+    cluster.report_all();
+    cluster.worker(1).reachable = false;
+    cluster
+        .scheduler
+        .worker_doubted(&kit::worker_id(1), cluster.now);
+    cluster.run(2, &queue, vec![kit::step(4, 1)]);
+    assert_eq!(cluster.worker(0).running.len(), 4);
 }
--- a/crates/figscale-core/tests/fleet/passes.rs
+++ b/crates/figscale-core/tests/fleet/passes.rs
@@ -21,13 +21,13 @@
 use figscale_types::fleet;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 const WORKERS: usize = 350;
 const CORES: u64 = 64;
 const MEMBERS: usize = 35;
-const FEW: u64 = 30;
-const MANY: u64 = 150;
+const FEW_GANGS: u64 = 30;
+const MANY_GANGS: u64 = 150;
 /// Rounds of answers before the service falls silent: some gangs then know
 /// enough good workers, others wait for their first question.
 const ANSWERED_ROUNDS: usize = 3;
@@ -50,54 +50,55 @@
 
 /// A full fleet, with so many gangs that wait and all lanes for long questions
 /// busy.
-fn full_fleet(gangs_waiting: u64) -> Cell {
-    let mut cell = Cell::with_cores(WORKERS, CORES);
-    cell.join(1..=MEMBERS);
+fn full_fleet(gangs_waiting: u64) -> TestCluster {
+    let mut cluster = TestCluster::with_cores(WORKERS, CORES);
+    cluster.join_entries(1..=MEMBERS);
     let fill = fleet::StepDescription {
         estimate_ms: 30_000,
         ..kit::step(WORKERS as u32 * 8, 8)
     };
-    cell.run(0, &kit::queue(2), vec![fill]);
-    assert_eq!(cell.starts(), WORKERS * 8);
+    cluster.run(0, &kit::queue(2), vec![fill]);
+    assert_eq!(cluster.starts(), WORKERS * 8);
     for number in 1..=gangs_waiting {
         let gang = fleet::StepDescription {
             estimate_ms: 5_000,
             ..kit::gang(20, 18)
         };
-        let answer = cell.submit(number, &gangs(), kit::job(vec![gang]));
+        let answer = cluster.submit(number, &gangs(), kit::job(vec![gang]));
         assert_eq!(answer, Admission::Accepted);
     }
     for _ in 0..ANSWERED_ROUNDS {
-        cell.settle();
-        for question in mem::take(&mut cell.questions) {
-            answer(&mut cell, &question);
+        cluster.settle();
+        for query in mem::take(&mut cluster.queries) {
+            answer(&mut cluster, &query);
         }
     }
-    cell.settle();
-    cell
+    cluster.settle();
+    cluster
 }
 
 /// One worker in three may run a gang.
-fn answer(cell: &mut Cell, question: &Question) {
-    let job = question.task.job.0;
-    let tickets = kit::tickets(question, |worker| (worker as u64 + job).is_multiple_of(3));
-    cell.scheduler
-        .advice_answered(question, Some(tickets), cell.now);
+fn answer(cluster: &mut TestCluster, query: &Question) {
+    let job = query.task.job.0;
+    let tickets = kit::tickets(query, |worker| (worker as u64 + job).is_multiple_of(3));
+    cluster
+        .scheduler
+        .advice_answered(query, Some(tickets), cluster.now);
 }
 
 /// Looks at workers of a pass that finds nothing to do.
-fn looks_of_a_pass(cell: &mut Cell) -> usize {
-    cell.scheduler.plan(cell.now);
-    assert!(cell.scheduler.take_actions().is_empty());
-    cell.scheduler.counts(cell.now).pass_looks
+fn workers_scanned_by_a_pass(cluster: &mut TestCluster) -> usize {
+    cluster.scheduler.plan(cluster.now);
+    assert!(cluster.scheduler.take_actions().is_empty());
+    cluster.scheduler.counts(cluster.now).pass_looks
 }
 
 /// A pass that can start and ask nothing costs little, however many gangs wait.
 #[test]
-fn a_backlog_of_gangs_does_not_slow_the_passes() {
-    let few = looks_of_a_pass(&mut full_fleet(FEW));
-    let many = looks_of_a_pass(&mut full_fleet(MANY));
+fn a_backlog_of_gangs_does_not_slow_placement_passes() {
+    let few = workers_scanned_by_a_pass(&mut full_fleet(FEW_GANGS));
+    let many = workers_scanned_by_a_pass(&mut full_fleet(MANY_GANGS));
     let growth = many as f64 / few as f64;
-    println!("a pass beside {FEW} gangs looks {few} times, beside {MANY} {many} times");
+    println!("a pass beside {FEW_GANGS} gangs looks {few} times, beside {MANY_GANGS} {many} times");
     assert!(growth < MAX_GROWTH, "{growth:.1} times as many looks");
 }
--- a/crates/figscale-core/tests/fleet/proof.rs
+++ b/crates/figscale-core/tests/fleet/proof.rs
@@ -13,7 +13,7 @@
 
 /// Guards against an instance cut from the store that serves a revoked key.
 #[test]
-fn a_proof_grows_old_where_the_store_cannot_be_asked() {
+fn a_proof_expires_while_the_store_is_unavailable() {
     let mut proof = ConfigProof::default();
     assert!(!proof.holds(BOUND, ms(0)), "nothing was ever read");
     proof.read(7, ms(1_000));
@@ -28,7 +28,7 @@
 /// Guards against a silent watch, or one that brings old news, that is taken for a
 /// proof: the store may have moved on unheard.
 #[test]
-fn a_watch_proves_nothing() {
+fn a_watch_event_does_not_extend_a_proof() {
     let mut proof = ConfigProof::default();
     proof.read(7, ms(1_000));
     proof.seen(8);
@@ -38,7 +38,7 @@
 
 /// Guards against an answer that was long on its way: it counts from its question.
 #[test]
-fn a_late_answer_is_as_old_as_its_question() {
+fn a_late_response_is_dated_by_its_request() {
     let mut proof = ConfigProof::default();
     proof.read(7, ms(1_000));
     proof.read(7, ms(500));
@@ -51,7 +51,7 @@
 
 /// Guards against a leader cut off that goes on confirming what it knows.
 #[test]
-fn a_proof_passed_on_keeps_its_age() {
+fn a_forwarded_proof_keeps_its_age() {
     let mut leader = ConfigProof::default();
     leader.read(7, ms(100_000));
     let stamp = leader.stamp(ms(103_000)).unwrap();
@@ -65,7 +65,7 @@
 /// Guards against a revoked key at an instance whose leader knows of the change
 /// already: a stamp of a newer revision confirms nothing here.
 #[test]
-fn a_stamp_of_a_newer_revision_calls_for_a_reading() {
+fn a_stamp_of_a_newer_revision_requires_a_read() {
     let mut entry = ConfigProof::default();
     entry.read(7, ms(10_000));
     let newer = ProofStamp {
--- a/crates/figscale-core/tests/fleet/silence.rs
+++ b/crates/figscale-core/tests/fleet/silence.rs
@@ -17,16 +17,16 @@
 
 const MISSED: PeerView = PeerView::Heard(SILENCE);
 const HEARD: PeerView = PeerView::Heard(time::Duration::from_millis(399));
-const AWAY: PeerView = PeerView::Unreachable;
-const NEW: PeerView = PeerView::Unknown;
+const UNREACHABLE: PeerView = PeerView::Unreachable;
+const UNKNOWN: PeerView = PeerView::Unknown;
 
 #[rstest]
 #[case::all_miss_it(&[MISSED, MISSED, MISSED], true)]
-#[case::most_miss_it_and_nobody_hears_it(&[MISSED, MISSED, AWAY], true)]
+#[case::most_miss_it_and_nobody_hears_it(&[MISSED, MISSED, UNREACHABLE], true)]
 #[case::one_still_hears_it(&[MISSED, MISSED, HEARD], false)]
-#[case::this_instance_is_cut_off(&[AWAY, AWAY, AWAY], false)]
-#[case::half_of_the_instances_are_cut_off(&[MISSED, AWAY, AWAY], false)]
-#[case::the_others_have_just_started(&[NEW, NEW, MISSED], false)]
+#[case::this_instance_is_cut_off(&[UNREACHABLE, UNREACHABLE, UNREACHABLE], false)]
+#[case::half_of_the_instances_are_cut_off(&[MISSED, UNREACHABLE, UNREACHABLE], false)]
+#[case::the_others_have_just_started(&[UNKNOWN, UNKNOWN, MISSED], false)]
 #[case::there_is_no_other(&[], false)]
 #[case::the_only_other_misses_it(&[MISSED], true)]
 fn a_leader_is_lost_once_most_peers_agree(#[case] peers: &[PeerView], #[case] lost: bool) {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_leader_that_answers_here_is_not_lost() {
+fn a_leader_that_responds_here_is_not_lost() {
     let heard = SILENCE - time::Duration::from_millis(1);
     assert!(!is_lost(heard, &[MISSED, MISSED, MISSED], SILENCE));
 }
@@ -46,7 +46,7 @@
 /// speaks for it: LEADER_ENDED within 0.2 s of each election, with no line of a
 /// leader that fell silent, and this test, which fails without the epoch.
 #[test]
-fn each_winner_has_its_own_time_to_begin() {
+fn each_election_winner_has_its_own_time_to_begin() {
     let begun = time::Instant::now();
     let at = |millis| begun + time::Duration::from_millis(millis);
     let mut not_leading = NotLeading::default();
@@ -62,7 +62,7 @@
 /// A leader loses its power as it answers a greeting. The next one is sent a
 /// pause later and waits in vain, and its peers are asked at last.
 #[test]
-fn a_silent_leader_is_missed_before_its_lease_ends() {
+fn an_unresponsive_leader_is_detected_before_its_lease_ends() {
     let shortest_lease = time::Duration::from_millis(1_100);
     let missed = HELLO_PAUSE + HELLO_TIMEOUT;
     assert!(missed >= SILENCE, "a peer would say that it still hears it");
@@ -75,12 +75,12 @@
 /// Guards against a leader that has the more greetings to answer the more instances
 /// there are: 300 of them sent 1,200 a second to a quarter of a core.
 #[test]
-fn the_greetings_of_many_instances_are_bounded() {
-    let a_second = |instances: usize| instances as f64 / hello_pause(instances).as_secs_f64();
+fn heartbeats_of_many_instances_are_bounded() {
+    let per_second = |instances: usize| instances as f64 / hello_pause(instances).as_secs_f64();
     assert_eq!(hello_pause(8), HELLO_PAUSE);
     assert_eq!(hello_pause(97), HELLO_PAUSE);
     for instances in [128, 300, 1_000, 3_000] {
-        assert!(a_second(instances) <= 513.0, "{instances} instances");
+        assert!(per_second(instances) <= 513.0, "{instances} instances");
         assert!(member_silence(instances) >= hello_pause(instances) * 4);
     }
 }
@@ -107,7 +107,7 @@
 
 /// Once it does not answer at all, also a slow leader is replaced.
 #[test]
-fn a_slow_leader_without_power_is_lost_in_the_end() {
+fn a_slow_leader_without_power_is_replaced() {
     let mut times = AnswerTimes::default();
     times.note(time::Duration::from_secs(10));
     let silent = time::Duration::from_secs(3);
--- a/crates/figscale-core/tests/fleet/starving.rs
+++ b/crates/figscale-core/tests/fleet/starving.rs
@@ -8,17 +8,17 @@
 use indexmap::IndexMap;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 const STEP_MS: u64 = 50;
 /// More than three objectives of each job that is waited for here.
-const LONG_MS: u64 = 40_000;
+const MAX_WAIT_MS: u64 = 40_000;
 /// First number of the jobs of a stream.
-const STREAM: u64 = 10_000;
+const FIRST_STREAM_JOB: u64 = 10_000;
 
 /// A fleet whose runs take what they were estimated at.
-struct Fleet {
-    cell: Cell,
+struct SimulatedFleet {
+    cluster: TestCluster,
     /// Questions on their way, with the time of the answer.
     asked: Vec<(time::Instant, Question)>,
     good: fn(usize) -> bool,
@@ -28,54 +28,54 @@
     next: u64,
 }
 
-impl Fleet {
-    fn new(cell: Cell) -> Self {
+impl SimulatedFleet {
+    fn new(cluster: TestCluster) -> Self {
         Self {
-            cell,
+            cluster,
             asked: Vec::new(),
             good: |_| true,
             answers: true,
             lengths_ms: IndexMap::new(),
             since: IndexMap::new(),
-            next: STREAM,
+            next: FIRST_STREAM_JOB,
         }
     }
 
     fn run(&mut self, number: u64, queue: &fleet::Queue, step: fleet::StepDescription) {
         self.lengths_ms.insert(number, step.estimate_ms);
-        self.cell.run(number, queue, vec![step]);
+        self.cluster.run(number, queue, vec![step]);
     }
 
     /// One more job of a stream; whether it was taken.
-    fn stream(&mut self, queue: &fleet::Queue, step: &fleet::StepDescription) -> bool {
+    fn submit_stream_job(&mut self, queue: &fleet::Queue, step: &fleet::StepDescription) -> bool {
         let number = self.next;
         self.next += 1;
         self.lengths_ms.insert(number, step.estimate_ms);
         let steps = vec![step.clone()];
-        self.cell.submit(number, queue, kit::job(steps)) == Admission::Accepted
+        self.cluster.submit(number, queue, kit::job(steps)) == Admission::Accepted
     }
 
     fn step(&mut self) {
-        self.cell.now += kit::ms(STEP_MS);
-        self.cell.wall_ms += STEP_MS;
-        let (now, wall_ms) = (self.cell.now, self.cell.wall_ms);
-        self.cell.scheduler.tick(now, wall_ms);
+        self.cluster.now += kit::ms(STEP_MS);
+        self.cluster.wall_ms += STEP_MS;
+        let (now, wall_ms) = (self.cluster.now, self.cluster.wall_ms);
+        self.cluster.scheduler.tick(now, wall_ms);
         self.end_due();
         let due = self.asked.extract_if(.., |(at, _)| *at <= now);
-        for (_, question) in due.collect::<Vec<_>>() {
-            let tickets = kit::tickets(&question, self.good);
+        for (_, query) in due.collect::<Vec<_>>() {
+            let tickets = kit::tickets(&query, self.good);
             let tickets = self.answers.then_some(tickets);
-            self.cell.scheduler.advice_answered(&question, tickets, now);
+            self.cluster.scheduler.advice_answered(&query, tickets, now);
         }
-        self.cell.settle();
-        for question in std::mem::take(&mut self.cell.questions) {
-            self.asked.push((now + question.expected, question));
+        self.cluster.settle();
+        for query in std::mem::take(&mut self.cluster.queries) {
+            self.asked.push((now + query.expected, query));
         }
     }
 
     fn end_due(&mut self) {
-        let now = self.cell.now;
-        for worker in self.cell.workers.values_mut() {
+        let now = self.cluster.now;
+        for worker in self.cluster.workers.values_mut() {
             let keys: Vec<_> = worker.running.keys().copied().collect();
             for (task, attempt) in keys {
                 let since = *self.since.entry((task, attempt)).or_insert(now);
@@ -88,11 +88,15 @@
     }
 
     /// Steps, with what `each` adds, until a job has begun; how long it took.
-    fn until_begun(&mut self, number: u64, mut each: impl FnMut(&mut Self, u64)) -> Option<u64> {
-        for at_ms in (0..LONG_MS).step_by(STEP_MS as usize) {
+    fn ms_until_started(
+        &mut self,
+        number: u64,
+        mut each: impl FnMut(&mut Self, u64),
+    ) -> Option<u64> {
+        for at_ms in (0..MAX_WAIT_MS).step_by(STEP_MS as usize) {
             each(self, at_ms);
             self.step();
-            if self.cell.state(number) != Some(fleet::JobState::Queued) {
+            if self.cluster.state(number) != Some(fleet::JobState::Queued) {
                 return Some(at_ms);
             }
         }
@@ -102,11 +106,11 @@
 
 /// More workers than one question for tickets names; tickets outlast two of them.
 #[test]
-fn a_gang_on_more_workers_than_one_question_names_starts() {
+fn a_gang_wider_than_one_query_starts() {
     let mut never = Vec::new();
     for count in [101, 190] {
-        let mut fleet = Fleet::new(Cell::with_cores(220, 40));
-        fleet.cell.join(2..=8);
+        let mut fleet = SimulatedFleet::new(TestCluster::with_cores(220, 40));
+        fleet.cluster.join_entries(2..=8);
         let queue = fleet::Queue {
             advice: Some(fleet::AdvicePolicy {
                 base_ms: 559.0,
@@ -115,8 +119,8 @@
             }),
             ..kit::queue(1)
         };
-        fleet.run(1, &queue, kit::lasting(kit::gang(count, 27), 5_000));
-        if fleet.until_begun(1, |_, _| ()).is_none() {
+        fleet.run(1, &queue, kit::with_estimate(kit::gang(count, 27), 5_000));
+        if fleet.ms_until_started(1, |_, _| ()).is_none() {
             never.push(count);
         }
     }
@@ -125,8 +129,8 @@
 
 /// One to a worker, and all in one rack if that can be.
 #[test]
-fn gangs_with_wishes_run_beside_a_stream_of_small_work() {
-    let small = kit::lasting(kit::step(1, 6), 2_000);
+fn gangs_with_constraints_start_beside_a_stream_of_small_work() {
+    let small = kit::with_estimate(kit::step(1, 6), 2_000);
     let gangs = [
         fleet::StepDescription {
             max_per_worker: Some(1),
@@ -141,17 +145,17 @@
             ..kit::gang(4, 9)
         },
     ];
-    for queue in [kit::queue(1), kit::advised(1)] {
+    for queue in [kit::queue(1), kit::advised_queue(1)] {
         for gang in &gangs {
-            let mut fleet = Fleet::new(Cell::with_cores(8, 10));
+            let mut fleet = SimulatedFleet::new(TestCluster::with_cores(8, 10));
             for _ in 0..7 {
-                fleet.stream(&kit::queue(1), &small);
+                fleet.submit_stream_job(&kit::queue(1), &small);
                 fleet.step();
             }
             fleet.run(1, &queue, gang.clone());
-            let begun = fleet.until_begun(1, |fleet, at_ms| {
+            let begun = fleet.ms_until_started(1, |fleet, at_ms| {
                 if at_ms % 250 == 0 {
-                    fleet.stream(&kit::queue(1), &small);
+                    fleet.submit_stream_job(&kit::queue(1), &small);
                 }
             });
             assert!(begun.is_some(), "{gang:?}");
@@ -161,15 +165,15 @@
 
 /// The instance that asks leaves each time.
 #[test]
-fn a_gang_whose_questions_are_lost_runs_in_the_end() {
-    let mut fleet = Fleet::new(Cell::with_cores(4, 10));
-    fleet.cell.join(2..=4);
-    fleet.run(1, &kit::advised(1), kit::gang(3, 8));
-    let begun = fleet.until_begun(1, |fleet, at_ms| {
+fn a_gang_whose_queries_are_lost_starts() {
+    let mut fleet = SimulatedFleet::new(TestCluster::with_cores(4, 10));
+    fleet.cluster.join_entries(2..=4);
+    fleet.run(1, &kit::advised_queue(1), kit::gang(3, 8));
+    let begun = fleet.ms_until_started(1, |fleet, at_ms| {
         if at_ms < 5_000 {
-            for (_, question) in std::mem::take(&mut fleet.asked) {
-                fleet.cell.scheduler.member_left(&question.member);
-                fleet.cell.scheduler.member_joined(&question.member);
+            for (_, query) in std::mem::take(&mut fleet.asked) {
+                fleet.cluster.scheduler.member_left(&query.member);
+                fleet.cluster.scheduler.member_joined(&query.member);
             }
         }
     });
@@ -178,53 +182,53 @@
 
 /// All workers known to be good leave, and others come.
 #[test]
-fn a_gang_asks_about_workers_that_came_later() {
-    let mut fleet = Fleet::new(Cell::with_cores(8, 10));
+fn a_gang_queries_workers_that_joined_later() {
+    let mut fleet = SimulatedFleet::new(TestCluster::with_cores(8, 10));
     fleet.good = |number| number >= 6;
-    fleet.run(1, &kit::advised(1), kit::gang(4, 8));
+    fleet.run(1, &kit::advised_queue(1), kit::gang(4, 8));
     for _ in 0..40 {
         fleet.step();
     }
     for number in 6..8 {
-        fleet.cell.workers.swap_remove(&kit::worker_id(number));
-        let now = fleet.cell.now;
+        fleet.cluster.workers.swap_remove(&kit::worker_id(number));
+        let now = fleet.cluster.now;
         fleet
-            .cell
+            .cluster
             .scheduler
             .worker_unlisted(&kit::worker_id(number), now);
     }
     for number in 8..12 {
-        fleet.cell.add_worker(number, 10);
+        fleet.cluster.add_worker(number, 10);
     }
-    let begun = fleet.until_begun(1, |_, _| ());
+    let begun = fleet.ms_until_started(1, |_, _| ());
     assert!(begun.is_some_and(|at_ms| at_ms < 3_000), "{begun:?}");
 }
 
 /// Gangs that no fleet of this size holds were there first, more of them than
 /// may keep workers.
 #[test]
-fn gangs_that_can_never_run_take_nobodys_turn() {
+fn infeasible_gangs_do_not_block_another_gang() {
     for advice in [false, true] {
-        let mut fleet = Fleet::new(Cell::with_cores(2, 10));
+        let mut fleet = SimulatedFleet::new(TestCluster::with_cores(2, 10));
         let queue = if advice {
-            kit::advised(1)
+            kit::advised_queue(1)
         } else {
             kit::queue(1)
         };
-        let single = kit::lasting(kit::step(1, 8), 2_000);
-        fleet.stream(&kit::queue(1), &single);
+        let single = kit::with_estimate(kit::step(1, 8), 2_000);
+        fleet.submit_stream_job(&kit::queue(1), &single);
         fleet.step();
         for number in 400..404 {
-            fleet.run(number, &queue, kit::lasting(kit::gang(3, 8), 100));
+            fleet.run(number, &queue, kit::with_estimate(kit::gang(3, 8), 100));
         }
         for _ in 0..20 {
             fleet.step();
         }
-        fleet.stream(&kit::queue(1), &single);
+        fleet.submit_stream_job(&kit::queue(1), &single);
         fleet.run(500, &queue, kit::gang(2, 8));
-        let begun = fleet.until_begun(500, |fleet, at_ms| {
+        let begun = fleet.ms_until_started(500, |fleet, at_ms| {
             if at_ms % 1_000 == 0 {
-                fleet.stream(&kit::queue(1), &single);
+                fleet.submit_stream_job(&kit::queue(1), &single);
             }
         });
         assert!(begun.is_some(), "never, advice {advice}");
@@ -233,15 +237,15 @@
 
 /// Quick work, one task of three cores at a time on two workers of ten.
 #[test]
-fn a_gang_runs_beside_a_stream_of_quick_work() {
-    let mut fleet = Fleet::new(Cell::with_cores(2, 10));
-    let quick = kit::lasting(kit::step(1, 3), 1_000);
-    fleet.stream(&kit::queue(0), &quick);
+fn a_gang_is_not_starved_by_a_stream_of_quick_work() {
+    let mut fleet = SimulatedFleet::new(TestCluster::with_cores(2, 10));
+    let quick = kit::with_estimate(kit::step(1, 3), 1_000);
+    fleet.submit_stream_job(&kit::queue(0), &quick);
     fleet.step();
     fleet.run(1, &kit::queue(1), kit::gang(2, 8));
-    let begun = fleet.until_begun(1, |fleet, at_ms| {
+    let begun = fleet.ms_until_started(1, |fleet, at_ms| {
         if at_ms % 900 == 0 {
-            fleet.stream(&kit::queue(0), &quick);
+            fleet.submit_stream_job(&kit::queue(0), &quick);
         }
     });
     assert!(begun.is_some(), "never");
@@ -249,59 +253,59 @@
 
 /// The advisory service has said who is good, and then answers no more.
 #[test]
-fn gangs_without_answers_do_not_keep_the_whole_fleet() {
+fn gangs_without_responses_do_not_reserve_the_whole_fleet() {
     let patient = |policy: fleet::Queue, target_latency_ms| fleet::Queue {
         target_latency_ms,
         ..policy
     };
-    let mut fleet = Fleet::new(Cell::with_cores(8, 10));
-    fleet.cell.join(2..=24);
+    let mut fleet = SimulatedFleet::new(TestCluster::with_cores(8, 10));
+    fleet.cluster.join_entries(2..=24);
     let filling = fleet::StepDescription {
         max_per_worker: Some(1),
-        ..kit::lasting(kit::step(8, 8), 6_000)
+        ..kit::with_estimate(kit::step(8, 8), 6_000)
     };
     fleet.run(1, &kit::queue(1), filling);
     for number in 2..10 {
-        let gang = kit::lasting(kit::gang(2, 8), 5_000);
-        fleet.run(number, &patient(kit::advised(1), 60_000), gang);
+        let gang = kit::with_estimate(kit::gang(2, 8), 5_000);
+        fleet.run(number, &patient(kit::advised_queue(1), 60_000), gang);
     }
     for at_ms in (0..8_000).step_by(STEP_MS as usize) {
         fleet.answers = at_ms < 3_000;
         fleet.step();
     }
-    let small = kit::lasting(kit::step(1, 4), 3_000);
+    let small = kit::with_estimate(kit::step(1, 4), 3_000);
     fleet.run(20, &patient(kit::queue(2), 90_000), small);
-    let begun = fleet.until_begun(20, |_, _| ());
+    let begun = fleet.ms_until_started(20, |_, _| ());
     assert!(begun.is_some_and(|at_ms| at_ms < 3_000), "{begun:?}");
 }
 
 /// One of three workers refuses whatever it gets, and to stop a run takes time.
 #[test]
-fn a_gang_runs_beside_a_worker_that_refuses() {
+fn a_gang_completes_beside_a_worker_that_refuses() {
     use fleet::StartRefusal;
     for (refusal, stop_ms) in [
         (StartRefusal::NoRoom, 400),
         (StartRefusal::Unhealthy, 1_100),
         (StartRefusal::Unhealthy, 600),
     ] {
-        let mut fleet = Fleet::new(Cell::with_cores(3, 10));
-        for worker in fleet.cell.workers.values_mut() {
+        let mut fleet = SimulatedFleet::new(TestCluster::with_cores(3, 10));
+        for worker in fleet.cluster.workers.values_mut() {
             worker.stops_at_once = false;
         }
-        fleet.cell.worker(0).answer = Some(fleet::StartOutcome::Refused(refusal));
+        fleet.cluster.worker(0).answer = Some(fleet::StartOutcome::Refused(refusal));
         fleet.run(1, &kit::queue(1), kit::gang(2, 8));
         let mut stops = Vec::new();
         for _ in 0..400 {
             fleet.step();
-            let now = fleet.cell.now;
-            let new = std::mem::take(&mut fleet.cell.stops).into_iter();
+            let now = fleet.cluster.now;
+            let new = std::mem::take(&mut fleet.cluster.stops).into_iter();
             stops.extend(new.map(|stop| (now + kit::ms(stop_ms), stop)));
             for (_, (worker, task, attempt)) in stops.extract_if(.., |(at, _)| *at <= now) {
-                let worker = fleet.cell.workers.get_mut(&worker).unwrap();
+                let worker = fleet.cluster.workers.get_mut(&worker).unwrap();
                 worker.end(task, attempt, fleet::End::Stopped);
             }
         }
-        let state = fleet.cell.state(1);
+        let state = fleet.cluster.state(1);
         assert_eq!(
             state,
             Some(fleet::JobState::Completed),
@@ -313,13 +317,13 @@
 /// Guards against an overdue gang that is never asked about: few ways to the service,
 /// and always more urgent small work that needs them.
 #[test]
-fn a_late_gang_is_asked_about_beside_a_stream_of_small_work() {
+fn a_late_gang_is_queried_beside_a_stream_of_small_work() {
     for members in [1, 2, 3] {
-        let mut fleet = Fleet::new(Cell::with_cores(4, 64));
-        fleet.cell.join(2..=members);
+        let mut fleet = SimulatedFleet::new(TestCluster::with_cores(4, 64));
+        fleet.cluster.join_entries(2..=members);
         let filling = fleet::StepDescription {
             max_per_worker: Some(1),
-            ..kit::lasting(kit::step(4, 8), 12_000)
+            ..kit::with_estimate(kit::step(4, 8), 12_000)
         };
         let policy = fleet::AdvicePolicy {
             base_ms: 300.0,
@@ -331,13 +335,13 @@
             advice: Some(policy),
             ..kit::queue(1)
         };
-        let gang = kit::lasting(kit::gang(2, 60), 1_000);
+        let gang = kit::with_estimate(kit::gang(2, 60), 1_000);
         fleet.run(1, &queue, gang);
         fleet.run(2, &kit::queue(1), filling);
-        let small = kit::lasting(kit::step(1, 1), 500);
-        let begun = fleet.until_begun(1, |fleet, at_ms| {
+        let small = kit::with_estimate(kit::step(1, 1), 500);
+        let begun = fleet.ms_until_started(1, |fleet, at_ms| {
             if at_ms > 10_000 && at_ms % 200 == 0 {
-                fleet.stream(&queue, &small);
+                fleet.submit_stream_job(&queue, &small);
             }
         });
         assert!(begun.is_some(), "{members} members");
@@ -346,17 +350,17 @@
 
 /// A task as wide as a worker, beside small work on a part of each.
 #[test]
-fn a_wide_task_runs_beside_a_stream_of_small_work() {
-    let mut fleet = Fleet::new(Cell::with_cores(2, 10));
-    let first = kit::lasting(kit::step(1, 6), 2_000);
-    fleet.stream(&kit::queue(1), &first);
-    fleet.stream(&kit::queue(1), &first);
+fn a_wide_task_is_not_starved_by_a_stream_of_small_work() {
+    let mut fleet = SimulatedFleet::new(TestCluster::with_cores(2, 10));
+    let first = kit::with_estimate(kit::step(1, 6), 2_000);
+    fleet.submit_stream_job(&kit::queue(1), &first);
+    fleet.submit_stream_job(&kit::queue(1), &first);
     fleet.step();
     fleet.run(1, &kit::queue(1), kit::step(1, 10));
-    let small = kit::lasting(kit::step(1, 3), 2_000);
-    let begun = fleet.until_begun(1, |fleet, at_ms| {
+    let small = kit::with_estimate(kit::step(1, 3), 2_000);
+    let begun = fleet.ms_until_started(1, |fleet, at_ms| {
         if at_ms % 450 == 0 {
-            fleet.stream(&kit::queue(1), &small);
+            fleet.submit_stream_job(&kit::queue(1), &small);
         }
     });
     assert!(begun.is_some(), "never");
--- a/crates/figscale-core/tests/fleet/terms/customers.rs
+++ b/crates/figscale-core/tests/fleet/terms/customers.rs
@@ -2,7 +2,7 @@
 
 use figscale_types::fleet;
 
-use super::World;
+use super::Simulation;
 
 /// What each customer may have running at first.
 pub(super) const FIRST_LIMIT_CORES: u64 = 14;
@@ -17,10 +17,10 @@
     format!("customer-{}", job.0 % CUSTOMERS).parse().unwrap()
 }
 
-impl World {
+impl Simulation {
     /// Operators change limits, and leaders hear of it some time later.
     pub(super) fn change_limits(&mut self) {
-        if !self.troubles.customers {
+        if !self.faults.customers {
             return;
         }
         if self.one_in(400) {
@@ -45,8 +45,8 @@
     }
 
     /// A task of a job was started.
-    pub(super) fn judge_limit(&mut self, job: fleet::JobId) {
-        if !self.troubles.customers {
+    pub(super) fn check_limit(&mut self, job: fleet::JobId) {
+        if !self.faults.customers {
             return;
         }
         let customer = customer_of(job);
@@ -61,8 +61,8 @@
         let in_force = in_force.filter(|(_, end)| now_ms <= end.saturating_add(APPLY_MS));
         let limit = in_force.map(|((_, cores), _)| *cores).max().unwrap();
         if running * 10 > limit * 11 + 10 {
-            let broken = format!("{now_ms}: {customer} has {running} running, may have {limit}");
-            self.broken.push(broken);
+            let violation = format!("{now_ms}: {customer} has {running} running, may have {limit}");
+            self.violations.push(violation);
         }
     }
 }
--- a/crates/figscale-core/tests/fleet/terms/leaders.rs
+++ b/crates/figscale-core/tests/fleet/terms/leaders.rs
@@ -10,28 +10,28 @@
 use figscale_types::fleet::WorkerId;
 use indexmap::IndexMap;
 
-use super::Called;
+use super::CallResult;
 use super::Event;
-use super::LIST_PAUSE_MS;
+use super::LISTING_INTERVAL_MS;
 use super::Leader;
 use super::Link;
 use super::MAX_WRITES;
-use super::SILENCE_PAUSE_MS;
+use super::NO_RESPONSE_PAUSE_MS;
+use super::Simulation;
 use super::UNACKNOWLEDGED_PAUSE_MS;
 use super::WALL_MS;
 use super::Worker;
-use super::World;
-use super::Written;
+use super::WriteResult;
 use super::customers;
 use crate::kit;
 
-impl World {
+impl Simulation {
     pub(super) fn elect(&mut self) {
         let led = self.leaders.iter().any(|leader| leader.alive);
-        if led && self.now_ms < self.elects_ms {
+        if led && self.now_ms < self.next_election_ms {
             return;
         }
-        self.elects_ms = self.now_ms + 300 + self.random(7_000);
+        self.next_election_ms = self.now_ms + 300 + self.random(7_000);
         if self.one_in(2)
             && let Some(last) = self.leaders.last_mut()
         {
@@ -43,8 +43,8 @@
             ..Config::default()
         };
         let mut scheduler = Scheduler::new(config);
-        let wall_off_ms = self.random(self.troubles.clocks_off_ms + 1);
-        let wall_ms = WALL_MS + self.now_ms - wall_off_ms;
+        let wall_lag_ms = self.random(self.faults.max_clock_lag_ms + 1);
+        let wall_ms = WALL_MS + self.now_ms - wall_lag_ms;
         let now = self.now();
         let mut recorded = Vec::new();
         for (key, bytes) in &self.store {
@@ -60,7 +60,7 @@
             }
         }
         let begins_ms = self.now_ms + self.random(600);
-        let slow_ms = match self.random(4) {
+        let max_delay_ms = match self.random(4) {
             0 => self.random(2_000),
             _ => 0,
         };
@@ -74,10 +74,10 @@
             writes: IndexMap::new(),
             wrote_ms: 0,
             listed_ms: 0,
-            slow_ms,
-            wall_off_ms,
+            max_delay_ms,
+            wall_lag_ms,
             limits_known_ms: None,
-            cut: IndexMap::new(),
+            cut_off: IndexMap::new(),
         });
     }
 
@@ -93,7 +93,7 @@
                 self.jobs[number].clone()
             }
             false => {
-                let description = self.describe();
+                let description = self.random_job();
                 self.jobs.push((known + 1, description.clone()));
                 (known + 1, description)
             }
@@ -112,11 +112,11 @@
         let queue = kit::queue(u32::from(number.is_multiple_of(2)));
         let scheduler = &mut self.leaders[leader].scheduler;
         let id = kit::job_id(number);
-        let customer = self.troubles.customers.then(|| customers::customer_of(id));
+        let customer = self.faults.customers.then(|| customers::customer_of(id));
         scheduler.submit_for(customer, id, &queue, description, now, wall_ms);
     }
 
-    pub(super) fn describe(&mut self) -> fleet::JobDescription {
+    pub(super) fn random_job(&mut self) -> fleet::JobDescription {
         let count = 1 + self.random(4) as u32;
         let first = fleet::StepDescription {
             gang: self.one_in(6),
@@ -131,7 +131,7 @@
             });
         }
         let mut job = kit::job(steps);
-        if self.troubles.occurrences && self.one_in(3) {
+        if self.faults.occurrences && self.one_in(3) {
             job.occurrences = 3;
             job.first_due_ms = WALL_MS + self.now_ms + self.random(1_000);
             job.interval_ms = 500 + self.random(2_000);
@@ -140,7 +140,7 @@
     }
 
     /// What a leader does in one step of its loop.
-    pub(super) fn lead(&mut self, number: usize) {
+    pub(super) fn run_leader(&mut self, number: usize) {
         let (now, wall_ms) = (self.now(), self.wall_ms(number));
         let leader = &mut self.leaders[number];
         if let Some(recorded) = leader.recorded.take() {
@@ -166,26 +166,26 @@
                 }
                 Action::StepDown => self.leaders[number].alive = false,
                 Action::Tell(Note::TaskCrashesWorkers { task, losses }) => {
-                    self.judge_given_up(task, losses);
+                    self.check_permanent_failure(task, losses);
                 }
                 Action::Ask(_) | Action::Tell(_) => (),
             }
         }
-        self.list(number);
+        self.send_listing(number);
         self.call(number);
         self.write(number);
     }
 
-    pub(super) fn list(&mut self, number: usize) {
+    pub(super) fn send_listing(&mut self, number: usize) {
         if self.now_ms < self.leaders[number].listed_ms {
             return;
         }
-        self.leaders[number].listed_ms = self.now_ms + LIST_PAUSE_MS;
+        self.leaders[number].listed_ms = self.now_ms + LISTING_INTERVAL_MS;
         let now_ms = self.now_ms;
         let listed = |worker: &&Worker| worker.listed && now_ms >= worker.unlisted_until_ms;
         let listed = self.workers.values().filter(listed);
         let entries = listed.map(|worker| worker.entry.clone()).collect();
-        let delay = self.random(100) + self.random(self.leaders[number].slow_ms + 1);
+        let delay = self.random(100) + self.random(self.leaders[number].max_delay_ms + 1);
         self.send(delay, Event::Listed(number, entries));
     }
 
@@ -246,7 +246,10 @@
         };
         let delay = self.delay() + self.random(longest_ms);
         match self.one_in(15) {
-            true => self.send(delay, Event::WriteAnswered(number, id, Written::Not)),
+            true => self.send(
+                delay,
+                Event::WriteAnswered(number, id, WriteResult::NotWritten),
+            ),
             false => self.send(delay, Event::WriteArrives(number, id, written)),
         }
     }
@@ -254,7 +257,9 @@
     pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::ReportArrives(leader, id, due) => self.report(leader, &id, due),
-            Event::ReportAnswered(leader, id, called) => self.answer(leader, &id, &called),
+            Event::ReportAnswered(leader, id, call_result) => {
+                self.answer(leader, &id, &call_result)
+            }
             Event::StartArrives(leader, id, order) => self.start(leader, &id, &order),
             Event::StartAnswered(leader, id, task, attempt, outcome) => {
                 let now = self.now();
@@ -268,10 +273,10 @@
             Event::WriteArrives(leader, id, records) => {
                 let written = match self.leaders[leader].epoch == self.epoch {
                     true => {
-                        self.keep(&records);
-                        Written::Done
+                        self.apply_records(&records);
+                        WriteResult::Done
                     }
-                    false => Written::Deposed,
+                    false => WriteResult::Deposed,
                 };
                 let delay = self.delay_to(leader);
                 self.send(delay, Event::WriteAnswered(leader, id, written));
@@ -282,16 +287,16 @@
                     return;
                 };
                 match written {
-                    Written::Done => leader.scheduler.records_written(&records),
-                    Written::Not => leader.scheduler.records_not_written(&records),
-                    Written::Deposed => leader.alive = false,
+                    WriteResult::Done => leader.scheduler.records_written(&records),
+                    WriteResult::NotWritten => leader.scheduler.records_not_written(&records),
+                    WriteResult::Deposed => leader.alive = false,
                 }
             }
             Event::Listed(leader, entries) => self.listed(leader, entries),
         }
     }
 
-    pub(super) fn keep(&mut self, records: &[Record]) {
+    pub(super) fn apply_records(&mut self, records: &[Record]) {
         for record in records {
             match &record.bytes {
                 Some(bytes) => {
@@ -335,29 +340,29 @@
         leader.scheduler.entries_read(&ids, now);
     }
 
-    pub(super) fn answer(&mut self, number: usize, id: &WorkerId, called: &Called) {
+    pub(super) fn answer(&mut self, number: usize, id: &WorkerId, call_result: &CallResult) {
         let (now, now_ms) = (self.now(), self.now_ms);
         let leader = &mut self.leaders[number];
         if !leader.alive {
             return;
         }
-        match called {
-            Called::Report(report) => leader.scheduler.worker_reported(id, report, now),
-            Called::StaleEpoch => leader.alive = false,
-            Called::OtherLife => leader.scheduler.worker_replaced(id, now),
-            Called::Nothing => leader.scheduler.worker_doubted(id, now),
+        match call_result {
+            CallResult::Report(report) => leader.scheduler.worker_reported(id, report, now),
+            CallResult::StaleEpoch => leader.alive = false,
+            CallResult::OtherIncarnation => leader.scheduler.worker_replaced(id, now),
+            CallResult::Nothing => leader.scheduler.worker_doubted(id, now),
         }
         let unacknowledged = leader.scheduler.has_unacknowledged(id);
-        let pause_ms = match called {
-            Called::Report(_) if unacknowledged => UNACKNOWLEDGED_PAUSE_MS,
-            Called::Report(_) => 50,
-            _ => SILENCE_PAUSE_MS,
+        let pause_ms = match call_result {
+            CallResult::Report(_) if unacknowledged => UNACKNOWLEDGED_PAUSE_MS,
+            CallResult::Report(_) => 50,
+            _ => NO_RESPONSE_PAUSE_MS,
         };
         if let Some(link) = leader.links.get_mut(id) {
             *link = Link {
                 calling: false,
                 at_ms: now_ms + pause_ms,
-                unacknowledged: unacknowledged && matches!(called, Called::Report(_)),
+                unacknowledged: unacknowledged && matches!(call_result, CallResult::Report(_)),
             };
         }
     }
--- a/crates/figscale-core/tests/fleet/terms/mod.rs
+++ b/crates/figscale-core/tests/fleet/terms/mod.rs
@@ -38,25 +38,25 @@
 
 const WALL_MS: u64 = 1_700_000_000_000;
 const STEP_MS: u64 = 10;
-const PLAY_MS: u64 = 40_000;
+const SIMULATED_MS: u64 = 40_000;
 const WORKERS: usize = 6;
 const MAX_WRITES: usize = 4;
-const LIST_PAUSE_MS: u64 = 600;
+const LISTING_INTERVAL_MS: u64 = 600;
 const CALL_TIMEOUT_MS: u64 = 950;
-const SILENCE_PAUSE_MS: u64 = 200;
+const NO_RESPONSE_PAUSE_MS: u64 = 200;
 const UNACKNOWLEDGED_PAUSE_MS: u64 = 600;
 /// How long after its start a task crashes its worker.
 const CRASH_DELAY_MS: u64 = 20;
 /// Starts of a task each of which crashed its worker: three more after the third.
-const TOO_MANY_CRASHES: usize = 6;
+const TOO_MANY_STARTS: usize = 6;
 
 /// What a play has beside the usual troubles.
 #[derive(Clone, Copy)]
-struct Troubles {
+struct Faults {
     /// Jobs with several occurrences.
     occurrences: bool,
     /// By how much the leaders' times of day differ at most.
-    clocks_off_ms: u64,
+    max_clock_lag_ms: u64,
     /// Tasks that crash each worker that starts them.
     crashing: bool,
     /// Customers with limits, which change.
@@ -122,53 +122,53 @@
     wrote_ms: u64,
     listed_ms: u64,
     /// Everything reaches it so much later at most.
-    slow_ms: u64,
-    wall_off_ms: u64,
+    max_delay_ms: u64,
+    wall_lag_ms: u64,
     /// When it last heard of customers' limits.
     limits_known_ms: Option<u64>,
     /// Workers that it does not reach, until when.
-    cut: IndexMap<WorkerId, u64>,
+    cut_off: IndexMap<WorkerId, u64>,
 }
 
 #[derive(Clone)]
-enum Called {
+enum CallResult {
     Report(fleet::WorkerReport),
     StaleEpoch,
-    OtherLife,
+    OtherIncarnation,
     Nothing,
 }
 
 enum Event {
     ReportArrives(usize, WorkerId, ReportDue),
-    ReportAnswered(usize, WorkerId, Called),
+    ReportAnswered(usize, WorkerId, CallResult),
     StartArrives(usize, WorkerId, fleet::StartOrder),
     StartAnswered(usize, WorkerId, fleet::TaskId, u32, StartOutcome),
     StopArrives(usize, WorkerId, fleet::TaskId, u32),
     WriteArrives(usize, u64, Vec<Record>),
-    WriteAnswered(usize, u64, Written),
+    WriteAnswered(usize, u64, WriteResult),
     Listed(usize, Vec<fleet::WorkerEntry>),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Written {
+enum WriteResult {
     Done,
-    Not,
+    NotWritten,
     Deposed,
 }
 
 /// Starts and good ends of one task as they really were.
 #[derive(Clone, Default)]
-struct Seen {
+struct TaskHistory {
     starts_ms: Vec<u64>,
     /// Ends that were acknowledged.
-    noted_ms: Vec<u64>,
+    acknowledged_ms: Vec<u64>,
 }
 
-struct World {
+struct Simulation {
     begun: time::Instant,
     now_ms: u64,
     seed: u64,
-    troubles: Troubles,
+    faults: Faults,
     leaders: Vec<Leader>,
     workers: IndexMap<WorkerId, Worker>,
     added: usize,
@@ -177,25 +177,25 @@
     events: BTreeMap<(u64, u64), Event>,
     sent: u64,
     jobs: Vec<(u64, fleet::JobDescription)>,
-    seen: IndexMap<fleet::TaskId, Seen>,
-    elects_ms: u64,
+    seen: IndexMap<fleet::TaskId, TaskHistory>,
+    next_election_ms: u64,
     /// Limits of each customer in cores, with when they came into force.
     limits: Vec<(u64, u64)>,
     /// Until when the store is slow.
     slow_store_ms: u64,
     /// Workers that crashed under a task.
     crashes: IndexMap<fleet::TaskId, usize>,
-    broken: Vec<String>,
+    violations: Vec<String>,
     starts: usize,
 }
 
-impl World {
-    fn new(seed: u64, troubles: Troubles) -> Self {
-        let mut world = Self {
+impl Simulation {
+    fn new(seed: u64, faults: Faults) -> Self {
+        let mut simulation = Self {
             begun: time::Instant::now(),
             now_ms: 0,
             seed,
-            troubles,
+            faults,
             leaders: Vec::new(),
             workers: IndexMap::new(),
             added: 0,
@@ -205,17 +205,17 @@
             sent: 0,
             jobs: Vec::new(),
             seen: IndexMap::new(),
-            elects_ms: 0,
+            next_election_ms: 0,
             limits: vec![(0, customers::FIRST_LIMIT_CORES)],
             slow_store_ms: 0,
             crashes: IndexMap::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             starts: 0,
         };
         for _ in 0..WORKERS {
-            world.add_worker();
+            simulation.add_worker();
         }
-        world
+        simulation
     }
 
     /// A number below `below`, the same ones in each run.
@@ -234,7 +234,7 @@
     }
 
     fn wall_ms(&self, leader: usize) -> u64 {
-        WALL_MS + self.now_ms - self.leaders[leader].wall_off_ms
+        WALL_MS + self.now_ms - self.leaders[leader].wall_lag_ms
     }
 
     fn send(&mut self, in_ms: u64, event: Event) {
@@ -253,14 +253,14 @@
 
     /// Way of an answer to a leader, with the time until it gets to it.
     fn delay_to(&mut self, leader: usize) -> u64 {
-        let slow_ms = self.leaders[leader].slow_ms;
-        self.delay() + self.random(slow_ms + 1)
+        let max_delay_ms = self.leaders[leader].max_delay_ms;
+        self.delay() + self.random(max_delay_ms + 1)
     }
 
-    fn play(mut self) -> (Vec<String>, usize) {
-        while self.now_ms < PLAY_MS && self.broken.is_empty() {
+    fn simulate(mut self) -> (Vec<String>, usize) {
+        while self.now_ms < SIMULATED_MS && self.violations.is_empty() {
             self.now_ms += STEP_MS;
-            self.trouble();
+            self.inject_faults();
             self.change_limits();
             self.elect();
             self.submit();
@@ -274,30 +274,30 @@
             }
             for leader in 0..self.leaders.len() {
                 if self.leaders[leader].alive && self.now_ms >= self.leaders[leader].begins_ms {
-                    self.lead(leader);
+                    self.run_leader(leader);
                 }
             }
         }
-        (self.broken, self.starts)
+        (self.violations, self.starts)
     }
 }
 
 /// Plays seeds; what was broken, by seed.
-fn play(troubles: Troubles, seeds: &[u64]) -> Vec<(u64, Vec<String>)> {
+fn simulate(faults: Faults, seeds: &[u64]) -> Vec<(u64, Vec<String>)> {
     const THREADS: usize = 4;
     // Beside workers out of reach a leader of a few seconds hardly bounds what a
     // customer uses.
-    let least_starts = if troubles.customers { 10 } else { 100 };
+    let min_starts = if faults.customers { 10 } else { 100 };
     let part = move |seeds: Vec<u64>| {
-        let plays = seeds.into_iter().map(|seed| {
-            let (broken, starts) = World::new(seed * 7_919 + 1, troubles).play();
+        let simulations = seeds.into_iter().map(|seed| {
+            let (violations, starts) = Simulation::new(seed * 7_919 + 1, faults).simulate();
             assert!(
-                !broken.is_empty() || starts > least_starts,
+                !violations.is_empty() || starts > min_starts,
                 "seed {seed}: {starts} starts"
             );
-            (seed, broken)
+            (seed, violations)
         });
-        plays.collect::<Vec<_>>()
+        simulations.collect::<Vec<_>>()
     };
     let parts = seeds.chunks(seeds.len().div_ceil(THREADS));
     let parts = parts.map(|seeds| {
@@ -305,8 +305,10 @@
         thread::spawn(move || part(seeds))
     });
     let parts: Vec<_> = parts.collect();
-    let plays = parts.into_iter().flat_map(|part| part.join().unwrap());
-    plays.filter(|(_, broken)| !broken.is_empty()).collect()
+    let simulations = parts.into_iter().flat_map(|part| part.join().unwrap());
+    simulations
+        .filter(|(_, violations)| !violations.is_empty())
+        .collect()
 }
 
 /// Seeds to play: those given, or the first so many by the environment.
@@ -320,38 +322,42 @@
 /// though what had ended there was not in the store.
 #[test]
 fn no_task_runs_twice_over_many_terms() {
-    let troubles = Troubles {
-        clocks_off_ms: 0,
+    let faults = Faults {
+        max_clock_lag_ms: 0,
         occurrences: false,
         crashing: false,
         customers: false,
     };
-    let broken = play(troubles, &seeds(&[0, 1, 2, 3, 4, 5, 66, 385]));
-    assert!(broken.is_empty(), "{} broken: {broken:#?}", broken.len());
+    let violations = simulate(faults, &seeds(&[0, 1, 2, 3, 4, 5, 66, 385]));
+    assert!(
+        violations.is_empty(),
+        "{} broken: {violations:#?}",
+        violations.len()
+    );
 }
 
 /// A leader begins an occurrence by its own time of day, and the next one may
 /// not find it in any record.
 #[test]
 fn no_occurrence_runs_twice_over_many_terms() {
-    for clocks_off_ms in [0, 2_000] {
-        let troubles = Troubles {
+    for max_clock_lag_ms in [0, 2_000] {
+        let faults = Faults {
             occurrences: true,
-            clocks_off_ms,
+            max_clock_lag_ms,
             crashing: false,
             customers: false,
         };
-        let broken = play(troubles, &seeds(&[0, 1, 2, 3]));
+        let violations = simulate(faults, &seeds(&[0, 1, 2, 3]));
         assert!(
-            broken.is_empty(),
-            "times {clocks_off_ms} ms apart, {} broken: {broken:#?}",
-            broken.len()
+            violations.is_empty(),
+            "times {max_clock_lag_ms} ms apart, {} broken: {violations:#?}",
+            violations.len()
         );
     }
 }
 
-const CRASHING: Troubles = Troubles {
-    clocks_off_ms: 0,
+const CRASHING: Faults = Faults {
+    max_clock_lag_ms: 0,
     occurrences: false,
     crashing: true,
     customers: false,
@@ -361,22 +367,30 @@
 /// not heard, and against leaders that start by limits of long ago.
 #[test]
 fn limits_hold_over_many_terms() {
-    let troubles = Troubles {
-        clocks_off_ms: 0,
+    let faults = Faults {
+        max_clock_lag_ms: 0,
         occurrences: false,
         crashing: false,
         customers: true,
     };
-    let broken = play(troubles, &seeds(&[0, 1, 2, 3, 4, 5, 6, 7]));
-    assert!(broken.is_empty(), "{} broken: {broken:#?}", broken.len());
+    let violations = simulate(faults, &seeds(&[0, 1, 2, 3, 4, 5, 6, 7]));
+    assert!(
+        violations.is_empty(),
+        "{} broken: {violations:#?}",
+        violations.len()
+    );
 }
 
 /// Guards against losses of workers that a leader forgets, or holds against tasks
 /// that only ran there.
 #[test]
 fn crashing_tasks_are_given_up_over_many_terms() {
-    let broken = play(CRASHING, &seeds(&[0, 1, 2, 3, 4, 5, 7, 26, 62, 345, 385]));
-    assert!(broken.is_empty(), "{} broken: {broken:#?}", broken.len());
+    let violations = simulate(CRASHING, &seeds(&[0, 1, 2, 3, 4, 5, 7, 26, 62, 345, 385]));
+    assert!(
+        violations.is_empty(),
+        "{} broken: {violations:#?}",
+        violations.len()
+    );
 }
 
 /// Guards against crashes that nobody remembers, since their leaders are lost
@@ -384,6 +398,10 @@
 /// their leader is lost before it has heard the worker again.
 #[test]
 fn crashes_are_counted_beside_leaders_that_are_lost_at_once() {
-    let broken = play(CRASHING, &[588, 683, 1442, 1999]);
-    assert!(broken.is_empty(), "{} broken: {broken:#?}", broken.len());
+    let violations = simulate(CRASHING, &[588, 683, 1442, 1999]);
+    assert!(
+        violations.is_empty(),
+        "{} broken: {violations:#?}",
+        violations.len()
+    );
 }
--- a/crates/figscale-core/tests/fleet/terms/workers.rs
+++ b/crates/figscale-core/tests/fleet/terms/workers.rs
@@ -9,14 +9,14 @@
 
 use super::CALL_TIMEOUT_MS;
 use super::CRASH_DELAY_MS;
-use super::Called;
+use super::CallResult;
 use super::Event;
 use super::Finished;
 use super::RunKey;
 use super::Running;
-use super::TOO_MANY_CRASHES;
+use super::Simulation;
+use super::TOO_MANY_STARTS;
 use super::Worker;
-use super::World;
 use crate::kit;
 
 impl Worker {
@@ -50,14 +50,14 @@
     }
 
     /// Goes, with all that runs there.
-    pub(super) fn go(&mut self) -> Vec<fleet::TaskId> {
+    pub(super) fn shut_down(&mut self) -> Vec<fleet::TaskId> {
         self.up = false;
         let running = std::mem::take(&mut self.running);
         running.into_keys().map(|(task, _)| task).collect()
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn add_worker(&mut self) {
         let number = self.added;
         self.added += 1;
@@ -98,7 +98,7 @@
     }
 
     /// Workers leave, crash, and come and go on the list; leaders lose them.
-    pub(super) fn trouble(&mut self) {
+    pub(super) fn inject_faults(&mut self) {
         let now_ms = self.now_ms;
         if self.one_in(250) {
             let number = self.random(self.workers.len() as u64) as usize;
@@ -114,7 +114,7 @@
                     self.add_worker();
                 }
                 2 if worker.up => {
-                    let lost = worker.go();
+                    let lost = worker.shut_down();
                     worker.replaced = listed_ms.is_multiple_of(2);
                     self.add_worker();
                     self.count_crash(lost);
@@ -137,7 +137,7 @@
             let number = self.random(self.workers.len() as u64) as usize;
             let until_ms = now_ms + self.random(7_000);
             let worker = self.workers.get_index(number).unwrap().0.clone();
-            self.leaders[leader].cut.insert(worker, until_ms);
+            self.leaders[leader].cut_off.insert(worker, until_ms);
         }
     }
 
@@ -146,7 +146,7 @@
         let mut crashed = Vec::new();
         for worker in self.workers.values_mut() {
             if worker.leaves_ms.is_some_and(|at| now_ms >= at) && worker.up {
-                worker.go();
+                worker.shut_down();
             }
             // A worker that is gone is on the list for some time.
             if !worker.up && worker.listed && now_ms.is_multiple_of(3_000) {
@@ -162,7 +162,7 @@
                     .filter(|(_, run)| now_ms >= run.ends_ms)
             };
             if over().any(|(_, run)| run.crashes) {
-                crashed.push(worker.go());
+                crashed.push(worker.shut_down());
                 worker.replaced = true;
                 continue;
             }
@@ -191,7 +191,7 @@
     }
 
     /// A leader holds losses of workers against a task, or a gang.
-    pub(super) fn judge_given_up(&mut self, task: fleet::TaskId, losses: usize) {
+    pub(super) fn check_permanent_failure(&mut self, task: fleet::TaskId, losses: usize) {
         let of_step = self
             .crashes
             .iter()
@@ -199,19 +199,20 @@
         let most = of_step.map(|(_, crashes)| *crashes).max().unwrap_or(0);
         if most < 2 {
             let now_ms = self.now_ms;
-            let broken = format!("{now_ms}: {task} given up after {losses} losses, {most} crashes");
-            self.broken.push(broken);
+            let violation =
+                format!("{now_ms}: {task} given up after {losses} losses, {most} crashes");
+            self.violations.push(violation);
         }
     }
 
     /// Whether a task crashes each worker that starts it.
     fn is_crashing(&self, task: fleet::TaskId) -> bool {
-        self.troubles.crashing && task.job.0 % 6 == 3 && task.step == 0 && task.index == 0
+        self.faults.crashing && task.job.0 % 6 == 3 && task.step == 0 && task.index == 0
     }
 
     /// Whether a message gets from a leader to a worker, or back.
     pub(super) fn reaches(&mut self, leader: usize, id: &WorkerId) -> bool {
-        let cut_until_ms = self.leaders[leader].cut.get(id).copied().unwrap_or(0);
+        let cut_until_ms = self.leaders[leader].cut_off.get(id).copied().unwrap_or(0);
         !self.one_in(40) && self.now_ms >= cut_until_ms
     }
 
@@ -220,10 +221,10 @@
         let arrives = self.reaches(number, id);
         let answered = self.reaches(number, id);
         let worker = &mut self.workers[id];
-        let mut noted = Vec::new();
-        let mut called = Called::Nothing;
+        let mut acknowledged_ends = Vec::new();
+        let mut call_result = CallResult::Nothing;
         if arrives && worker.up {
-            called = Called::StaleEpoch;
+            call_result = CallResult::StaleEpoch;
             if epoch >= worker.fence {
                 worker.fence = epoch;
                 let until_ms = due.lease_until_clock_ms.unwrap_or(0);
@@ -233,26 +234,29 @@
                     let counts = lapsed_ms.is_none_or(|lapsed| lapsed < end.at_ms);
                     let kept = end.run.number > due.acknowledged;
                     if !kept && counts && end.run.end == fleet::End::Done {
-                        noted.push((end.run.task, end.at_ms));
+                        acknowledged_ends.push((end.run.task, end.at_ms));
                     }
                     kept
                 });
-                called = Called::Report(worker.report(now_ms));
+                call_result = CallResult::Report(worker.report(now_ms));
             }
         } else if arrives && worker.replaced {
-            called = Called::OtherLife;
+            call_result = CallResult::OtherIncarnation;
         }
-        for (task, ended_ms) in noted {
-            self.note(task, ended_ms);
+        for (task, ended_ms) in acknowledged_ends {
+            self.record_acknowledged_end(task, ended_ms);
         }
         let delay = match answered {
             true => self.delay_to(number),
             false => {
-                called = Called::Nothing;
+                call_result = CallResult::Nothing;
                 CALL_TIMEOUT_MS
             }
         };
-        self.send(delay, Event::ReportAnswered(number, id.clone(), called));
+        self.send(
+            delay,
+            Event::ReportAnswered(number, id.clone(), call_result),
+        );
     }
 
     pub(super) fn start(&mut self, number: usize, id: &WorkerId, order: &fleet::StartOrder) {
@@ -260,7 +264,7 @@
         let arrives = self.reaches(number, id);
         let answered = self.reaches(number, id);
         let key = (order.task, order.attempt);
-        let (length_ms, luck) = (50 + self.random(2_000), self.random(20));
+        let (length_ms, failure_draw) = (50 + self.random(2_000), self.random(20));
         let crashes = self.is_crashing(order.task);
         let worker = &mut self.workers[id];
         let clock_ms = worker.clock_ms(now_ms);
@@ -284,7 +288,7 @@
                     pace_percent: 100,
                     used_cpu_millis: Some(1_000),
                 };
-                let ends_as = match luck {
+                let ends_as = match failure_draw {
                     0 => fleet::End::Failed,
                     _ => fleet::End::Done,
                 };
@@ -297,7 +301,7 @@
                     crashes,
                 };
                 worker.running.insert(key, running);
-                self.judge_start(key);
+                self.check_start(key);
             }
         }
         if !answered {
@@ -318,41 +322,42 @@
         }
     }
 
-    pub(super) fn judge_start(&mut self, key: RunKey) {
+    pub(super) fn check_start(&mut self, key: RunKey) {
         let (task, attempt) = key;
         self.starts += 1;
-        self.judge_limit(task.job);
+        self.check_limit(task.job);
         let up = self.workers.values().filter(|worker| worker.up);
         let runs = up.flat_map(|worker| worker.running.keys());
         let live = runs.filter(|(other, _)| *other == task).count();
         let now_ms = self.now_ms;
         if live > 1 {
-            let broken = format!("{now_ms}: {task} attempt {attempt} runs beside another");
-            self.broken.push(broken);
+            let violation = format!("{now_ms}: {task} attempt {attempt} runs beside another");
+            self.violations.push(violation);
         }
         let crashes = self.is_crashing(task);
         let seen = self.seen.entry(task).or_default();
         seen.starts_ms.push(now_ms);
-        if crashes && seen.starts_ms.len() >= TOO_MANY_CRASHES {
-            let broken = format!("{now_ms}: {task} started at {:?}", seen.starts_ms);
-            self.broken.push(broken);
+        if crashes && seen.starts_ms.len() >= TOO_MANY_STARTS {
+            let violation = format!("{now_ms}: {task} started at {:?}", seen.starts_ms);
+            self.violations.push(violation);
         }
-        if let Some(ended_ms) = seen.noted_ms.first() {
-            let broken = format!("{now_ms}: {task} attempt {attempt} after its end at {ended_ms}");
-            self.broken.push(broken);
+        if let Some(ended_ms) = seen.acknowledged_ms.first() {
+            let violation =
+                format!("{now_ms}: {task} attempt {attempt} after its end at {ended_ms}");
+            self.violations.push(violation);
         }
     }
 
     /// A good end is acknowledged.
-    pub(super) fn note(&mut self, task: fleet::TaskId, ended_ms: u64) {
+    pub(super) fn record_acknowledged_end(&mut self, task: fleet::TaskId, ended_ms: u64) {
         let now_ms = self.now_ms;
         let seen = self.seen.entry(task).or_default();
-        seen.noted_ms.push(ended_ms);
+        seen.acknowledged_ms.push(ended_ms);
         if let Some(start_ms) = seen.starts_ms.iter().find(|start| **start > ended_ms) {
-            let broken = format!(
+            let violation = format!(
                 "{now_ms}: end of {task} at {ended_ms} acknowledged, started again at {start_ms}"
             );
-            self.broken.push(broken);
+            self.violations.push(violation);
         }
     }
 }
--- a/crates/figscale-core/tests/fleet/trouble.rs
+++ b/crates/figscale-core/tests/fleet/trouble.rs
@@ -7,100 +7,105 @@
 use figscale_types::fleet::StartRefusal;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 #[test]
-fn a_start_without_an_answer_keeps_its_room_until_it_has_expired() {
-    let mut cell = Cell::with_cores(1, 10);
-    cell.worker(0).answer = Some(StartOutcome::Unknown);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
-    cell.worker(0).answer = None;
-    cell.pass(1_300);
-    assert_eq!(cell.starts(), 1);
-    cell.pass(500);
-    assert_eq!(cell.starts(), 2);
-    assert_eq!(cell.worker(0).orders[1].attempt, 2);
+fn an_unanswered_start_reserves_its_capacity_until_it_expires() {
+    let mut cluster = TestCluster::with_cores(1, 10);
+    cluster.worker(0).answer = Some(StartOutcome::Unknown);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
+    cluster.worker(0).answer = None;
+    cluster.advance(1_300);
+    assert_eq!(cluster.starts(), 1);
+    cluster.advance(500);
+    assert_eq!(cluster.starts(), 2);
+    assert_eq!(cluster.worker(0).orders[1].attempt, 2);
 }
 
 #[test]
-fn a_start_without_an_answer_that_ran_is_found() {
-    let mut cell = Cell::new(1);
-    cell.worker(0).answer = Some(StartOutcome::Unknown);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
-    let order = cell.worker(0).orders[0].clone();
-    cell.worker(0).begin(&order);
-    cell.pass(4_000);
-    assert_eq!(cell.starts(), 1);
-    cell.end(kit::task(1, 0, 0), End::Done);
-    assert_eq!(cell.state(1), Some(fleet::JobState::Completed));
+fn an_unanswered_start_that_ran_is_found() {
+    let mut cluster = TestCluster::new(1);
+    cluster.worker(0).answer = Some(StartOutcome::Unknown);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
+    let order = cluster.worker(0).orders[0].clone();
+    cluster.worker(0).start_run(&order);
+    cluster.advance(4_000);
+    assert_eq!(cluster.starts(), 1);
+    cluster.end(kit::task(1, 0, 0), End::Done);
+    assert_eq!(cluster.state(1), Some(fleet::JobState::Completed));
 }
 
 #[test]
-fn work_on_a_silent_worker_starts_elsewhere_after_its_lease() {
-    let mut cell = Cell::new(2);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let (home, _) = cell.placed(kit::task(1, 0, 0))[0].clone();
-    cell.workers.get_mut(&home).unwrap().reachable = false;
-    cell.pass(4_400);
-    assert_eq!(cell.starts(), 1, "started while its first run may go on");
-    cell.pass(1_000);
-    assert_eq!(cell.starts(), 2);
+fn tasks_of_an_unresponsive_worker_restart_only_after_its_lease() {
+    let mut cluster = TestCluster::new(2);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    let (host_worker, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    cluster.workers.get_mut(&host_worker).unwrap().reachable = false;
+    cluster.advance(4_400);
+    assert_eq!(cluster.starts(), 1, "started while its first run may go on");
+    cluster.advance(1_000);
+    assert_eq!(cluster.starts(), 2);
 }
 
 #[test]
-fn another_life_proves_that_nothing_runs() {
-    let mut cell = Cell::new(2);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let (home, _) = cell.placed(kit::task(1, 0, 0))[0].clone();
-    cell.workers.get_mut(&home).unwrap().reachable = false;
-    cell.workers.get_mut(&home).unwrap().running.clear();
-    cell.scheduler.worker_replaced(&home, cell.now);
-    cell.settle();
-    assert_eq!(cell.starts(), 2);
-    assert_ne!(cell.placed(kit::task(1, 0, 0))[0].0, home);
+fn a_new_incarnation_proves_that_nothing_runs() {
+    let mut cluster = TestCluster::new(2);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    let (host_worker, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    cluster.workers.get_mut(&host_worker).unwrap().reachable = false;
+    cluster
+        .workers
+        .get_mut(&host_worker)
+        .unwrap()
+        .running
+        .clear();
+    cluster.scheduler.worker_replaced(&host_worker, cluster.now);
+    cluster.settle();
+    assert_eq!(cluster.starts(), 2);
+    assert_ne!(cluster.placed(kit::task(1, 0, 0))[0].0, host_worker);
 }
 
 #[test]
-fn a_worker_that_fails_everything_is_set_aside() {
-    let mut cell = Cell::new(2);
+fn a_worker_that_fails_every_task_is_ejected() {
+    let mut cluster = TestCluster::new(2);
     for number in 1..=3 {
-        cell.run(number, &kit::queue(1), vec![kit::step(1, 1)]);
+        cluster.run(number, &kit::queue(1), vec![kit::step(1, 1)]);
     }
-    let (home, _) = cell.placed(kit::task(1, 0, 0))[0].clone();
+    let (host_worker, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
     for number in 1..=3 {
         let task = kit::task(number, 0, 0);
-        if cell.placed(task)[0].0 == home {
-            let (_, attempt) = cell.placed(task)[0].clone();
-            cell.workers[&home].end(task, attempt, End::Failed);
+        if cluster.placed(task)[0].0 == host_worker {
+            let (_, attempt) = cluster.placed(task)[0].clone();
+            cluster.workers[&host_worker].end(task, attempt, End::Failed);
         }
     }
-    cell.settle();
+    cluster.settle();
     let set_aside =
-        |note: &Note| matches!(note, Note::WorkerSetAside { worker, .. } if *worker == home);
-    assert!(cell.notes.iter().any(set_aside));
-    assert!(cell.workers[&home].running.is_empty());
-    cell.pass(3_100);
-    cell.run(10, &kit::queue(1), vec![kit::step(100, 1)]);
+        |note: &Note| matches!(note, Note::WorkerSetAside { worker, .. } if *worker == host_worker);
+    assert!(cluster.notes.iter().any(set_aside));
+    assert!(cluster.workers[&host_worker].running.is_empty());
+    cluster.advance(3_100);
+    cluster.run(10, &kit::queue(1), vec![kit::step(100, 1)]);
     assert_eq!(
-        cell.workers[&home].running.len(),
+        cluster.workers[&host_worker].running.len(),
         1,
         "tried with one task at a time"
     );
 }
 
 #[test]
-fn failures_of_one_job_say_little_of_a_worker() {
-    let mut cell = Cell::new(1);
+fn failures_of_one_job_do_not_eject_a_worker() {
+    let mut cluster = TestCluster::new(1);
     let queue = fleet::Queue {
         max_attempts: 10,
         ..kit::queue(1)
     };
-    cell.run(1, &queue, vec![kit::step(1, 1)]);
+    cluster.run(1, &queue, vec![kit::step(1, 1)]);
     for _ in 0..6 {
-        cell.end(kit::task(1, 0, 0), End::Failed);
+        cluster.end(kit::task(1, 0, 0), End::Failed);
     }
     assert!(
-        !cell
+        !cluster
             .notes
             .iter()
             .any(|note| matches!(note, Note::WorkerSetAside { .. }))
@@ -108,53 +113,55 @@
 }
 
 #[test]
-fn a_task_that_stands_still_is_moved() {
-    let mut cell = Cell::new(2);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let (home, attempt) = cell.placed(kit::task(1, 0, 0))[0].clone();
+fn a_stalled_task_is_moved() {
+    let mut cluster = TestCluster::new(2);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    let (host_worker, attempt) = cluster.placed(kit::task(1, 0, 0))[0].clone();
     let key = (kit::task(1, 0, 0), attempt);
-    cell.workers[&home]
+    cluster.workers[&host_worker]
         .running
         .get_mut(&key)
         .unwrap()
         .used_cpu_millis = Some(0);
-    cell.pass(1_000);
-    assert_eq!(cell.starts(), 1);
-    cell.pass(1_500);
-    assert_eq!(cell.starts(), 2);
-    assert_ne!(cell.placed(kit::task(1, 0, 0))[0].0, home);
+    cluster.advance(1_000);
+    assert_eq!(cluster.starts(), 1);
+    cluster.advance(1_500);
+    assert_eq!(cluster.starts(), 2);
+    assert_ne!(cluster.placed(kit::task(1, 0, 0))[0].0, host_worker);
 }
 
 #[test]
-fn a_later_epoch_ends_the_term() {
-    let mut cell = Cell::new(1);
-    cell.worker(0).answer = Some(StartOutcome::Refused(StartRefusal::StaleEpoch));
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    assert!(cell.stepped_down);
+fn a_leader_steps_down_on_a_later_epoch() {
+    let mut cluster = TestCluster::new(1);
+    cluster.worker(0).answer = Some(StartOutcome::Refused(StartRefusal::StaleEpoch));
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    assert!(cluster.stepped_down);
 }
 
 #[test]
 fn a_stop_is_repeated_until_the_run_has_ended() {
-    let mut cell = Cell::new(1);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    cell.worker(0).reachable = false;
-    cell.scheduler.cancel(kit::job_id(1), cell.now);
-    cell.settle();
-    cell.pass(1_600);
-    assert!(cell.stops.len() >= 3, "{} stops", cell.stops.len());
-    cell.worker(0).reachable = true;
-    cell.pass(1_000);
-    assert!(cell.placed(kit::task(1, 0, 0)).is_empty());
+    let mut cluster = TestCluster::new(1);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.worker(0).reachable = false;
+    cluster.scheduler.cancel(kit::job_id(1), cluster.now);
+    cluster.settle();
+    cluster.advance(1_600);
+    assert!(cluster.stops.len() >= 3, "{} stops", cluster.stops.len());
+    cluster.worker(0).reachable = true;
+    cluster.advance(1_000);
+    assert!(cluster.placed(kit::task(1, 0, 0)).is_empty());
 }
 
 #[test]
-fn a_worker_whose_entry_lapsed_is_used_while_it_answers() {
-    let mut cell = Cell::new(1);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    cell.scheduler.worker_unlisted(&kit::worker_id(0), cell.now);
-    cell.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
-    assert_eq!(cell.starts(), 2);
-    cell.pass(2_600);
-    cell.run(3, &kit::queue(1), vec![kit::step(1, 1)]);
-    assert_eq!(cell.starts(), 2);
+fn a_worker_whose_entry_lapsed_is_used_while_it_responds() {
+    let mut cluster = TestCluster::new(1);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster
+        .scheduler
+        .worker_unlisted(&kit::worker_id(0), cluster.now);
+    cluster.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
+    assert_eq!(cluster.starts(), 2);
+    cluster.advance(2_600);
+    cluster.run(3, &kit::queue(1), vec![kit::step(1, 1)]);
+    assert_eq!(cluster.starts(), 2);
 }
--- a/crates/figscale-core/tests/fleet/waits.rs
+++ b/crates/figscale-core/tests/fleet/waits.rs
@@ -5,11 +5,11 @@
 use figscale_types::fleet::End;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 /// A step that waits, without how long, as it was told.
 #[derive(Debug, PartialEq, Eq)]
-struct Told {
+struct StepReport {
     task: fleet::TaskId,
     tasks: usize,
     suspect: usize,
@@ -20,8 +20,8 @@
 }
 
 /// Steps told of since the last call, with milliseconds since submission.
-fn told(cell: &mut Cell) -> Vec<(u64, Told)> {
-    let notes = std::mem::take(&mut cell.notes);
+fn reports(cluster: &mut TestCluster) -> Vec<(u64, StepReport)> {
+    let notes = std::mem::take(&mut cluster.notes);
     let waits = notes.into_iter().filter_map(|note| match note {
         Note::StepWaits {
             task,
@@ -33,7 +33,7 @@
             free_slots,
             asking,
         } => {
-            let step = Told {
+            let step = StepReport {
                 task,
                 tasks,
                 suspect,
@@ -49,27 +49,27 @@
     waits.collect()
 }
 
-fn jobs_told(cell: &mut Cell) -> Vec<u64> {
-    let told = told(cell).into_iter();
-    told.map(|(_, step)| step.task.job.0).collect()
+fn reported_jobs(cluster: &mut TestCluster) -> Vec<u64> {
+    let reports = reports(cluster).into_iter();
+    reports.map(|(_, step)| step.task.job.0).collect()
 }
 
-fn waiting_steps(cell: &Cell) -> usize {
-    cell.scheduler.counts(cell.now).waiting_steps
+fn waiting_steps(cluster: &TestCluster) -> usize {
+    cluster.scheduler.counts(cluster.now).waiting_steps
 }
 
 #[test]
-fn a_step_that_waits_for_advice_is_told_after_five_seconds() {
-    let mut cell = Cell::with_cores(4, 10);
-    cell.run(1, &kit::advised(1), vec![kit::gang(3, 4)]);
-    cell.pass(5_000);
-    assert_eq!(told(&mut cell), []);
-    assert_eq!(waiting_steps(&cell), 0);
-    cell.pass(2_000);
-    let told = told(&mut cell);
-    assert_eq!(told.len(), 1);
-    assert!((5_001..=7_000).contains(&told[0].0), "{told:?}");
-    let expected = Told {
+fn a_step_waiting_for_advice_is_reported_after_five_seconds() {
+    let mut cluster = TestCluster::with_cores(4, 10);
+    cluster.run(1, &kit::advised_queue(1), vec![kit::gang(3, 4)]);
+    cluster.advance(5_000);
+    assert_eq!(reports(&mut cluster), []);
+    assert_eq!(waiting_steps(&cluster), 0);
+    cluster.advance(2_000);
+    let reports = reports(&mut cluster);
+    assert_eq!(reports.len(), 1);
+    assert!((5_001..=7_000).contains(&reports[0].0), "{reports:?}");
+    let expected = StepReport {
         task: kit::task(1, 0, 0),
         tasks: 3,
         suspect: 0,
@@ -78,101 +78,104 @@
         free_slots: 8,
         asking: true,
     };
-    assert_eq!(told[0].1, expected);
-    assert_eq!(waiting_steps(&cell), 1);
+    assert_eq!(reports[0].1, expected);
+    assert_eq!(waiting_steps(&cluster), 1);
 }
 
 #[test]
-fn a_step_is_not_told_again_within_two_seconds() {
-    let mut cell = Cell::new(1);
-    cell.run(1, &kit::advised(1), vec![kit::step(1, 1)]);
-    cell.pass(20_000);
-    let times: Vec<u64> = told(&mut cell).iter().map(|(at_ms, _)| *at_ms).collect();
+fn a_step_is_not_reported_again_within_two_seconds() {
+    let mut cluster = TestCluster::new(1);
+    cluster.run(1, &kit::advised_queue(1), vec![kit::step(1, 1)]);
+    cluster.advance(20_000);
+    let times: Vec<u64> = reports(&mut cluster)
+        .iter()
+        .map(|(at_ms, _)| *at_ms)
+        .collect();
     assert_eq!(times.len(), 7, "{times:?}");
     let apart = times.windows(2).map(|pair| pair[1] - pair[0]);
     assert_eq!(apart.min(), Some(2_000), "{times:?}");
 }
 
 #[test]
-fn a_step_with_something_running_is_not_told() {
-    let mut cell = Cell::with_cores(1, 10);
-    cell.run(1, &kit::queue(1), vec![kit::step(2, 8)]);
-    assert_eq!(cell.starts(), 1);
-    cell.pass(20_000);
-    assert_eq!(told(&mut cell), []);
-    assert_eq!(waiting_steps(&cell), 0);
+fn a_step_with_a_running_task_is_not_reported() {
+    let mut cluster = TestCluster::with_cores(1, 10);
+    cluster.run(1, &kit::queue(1), vec![kit::step(2, 8)]);
+    assert_eq!(cluster.starts(), 1);
+    cluster.advance(20_000);
+    assert_eq!(reports(&mut cluster), []);
+    assert_eq!(waiting_steps(&cluster), 0);
 }
 
 /// The oldest by submission, whatever their ids.
 #[test]
-fn at_most_three_steps_are_told_the_oldest_first() {
-    let mut cell = Cell::new(1);
+fn at_most_the_three_oldest_steps_are_reported() {
+    let mut cluster = TestCluster::new(1);
     for number in [5, 4, 3, 2, 1] {
-        cell.run(number, &kit::advised(1), vec![kit::step(1, 1)]);
-        cell.pass(200);
+        cluster.run(number, &kit::advised_queue(1), vec![kit::step(1, 1)]);
+        cluster.advance(200);
     }
-    cell.pass(6_000);
-    told(&mut cell);
+    cluster.advance(6_000);
+    reports(&mut cluster);
     for _ in 0..4 {
-        cell.pass(2_000);
-        assert_eq!(jobs_told(&mut cell), [5, 4, 3]);
-        assert_eq!(waiting_steps(&cell), 5);
+        cluster.advance(2_000);
+        assert_eq!(reported_jobs(&mut cluster), [5, 4, 3]);
+        assert_eq!(waiting_steps(&cluster), 5);
     }
 }
 
 #[test]
-fn a_step_that_begins_to_run_is_not_told_again() {
-    let mut cell = Cell::new(1);
-    cell.run(1, &kit::advised(1), vec![kit::step(1, 1)]);
-    cell.pass(8_000);
-    assert_eq!(waiting_steps(&cell), 1);
-    told(&mut cell);
-    cell.advise(|_| true);
-    cell.pass(4_000);
-    assert_eq!(told(&mut cell), []);
-    assert_eq!(waiting_steps(&cell), 0);
+fn a_step_that_starts_to_run_is_not_reported_again() {
+    let mut cluster = TestCluster::new(1);
+    cluster.run(1, &kit::advised_queue(1), vec![kit::step(1, 1)]);
+    cluster.advance(8_000);
+    assert_eq!(waiting_steps(&cluster), 1);
+    reports(&mut cluster);
+    cluster.respond(|_| true);
+    cluster.advance(4_000);
+    assert_eq!(reports(&mut cluster), []);
+    assert_eq!(waiting_steps(&cluster), 0);
 }
 
 /// The second step of an old job becomes ready at the moment of a look.
 #[test]
-fn a_step_that_has_just_become_ready_is_not_told() {
-    let mut cell = Cell::new(1);
+fn a_step_that_has_just_become_ready_is_not_reported() {
+    let mut cluster = TestCluster::new(1);
     let second = fleet::StepDescription {
         after: vec![0],
         ..kit::step(1, 1)
     };
-    cell.run(1, &kit::advised(1), vec![kit::step(1, 1), second]);
-    cell.advise(|_| true);
-    cell.pass(8_100);
-    assert_eq!(told(&mut cell), []);
-    cell.end(kit::task(1, 0, 0), End::Done);
-    cell.pass(2_000);
-    assert_eq!(told(&mut cell), []);
-    cell.pass(2_000);
-    assert_eq!(jobs_told(&mut cell), [1]);
+    cluster.run(1, &kit::advised_queue(1), vec![kit::step(1, 1), second]);
+    cluster.respond(|_| true);
+    cluster.advance(8_100);
+    assert_eq!(reports(&mut cluster), []);
+    cluster.end(kit::task(1, 0, 0), End::Done);
+    cluster.advance(2_000);
+    assert_eq!(reports(&mut cluster), []);
+    cluster.advance(2_000);
+    assert_eq!(reported_jobs(&mut cluster), [1]);
 }
 
 /// Of four workers with two slots each two are good, and one of these holds
 /// other work.
-fn cell_with_half_of_the_room_good() -> Cell {
-    let mut cell = Cell::with_cores(4, 10);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
-    let (held, _) = cell.placed(kit::task(1, 0, 0))[0].clone();
+fn cluster_with_half_of_the_capacity_good() -> TestCluster {
+    let mut cluster = TestCluster::with_cores(4, 10);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
+    let (held, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
     let good = [held, kit::worker_id(3)];
     assert_ne!(good[0], good[1]);
-    cell.run(2, &kit::advised(1), vec![kit::gang(4, 4)]);
-    cell.pass(5_900);
-    let asked = cell.advise(|id| good.contains(id));
+    cluster.run(2, &kit::advised_queue(1), vec![kit::gang(4, 4)]);
+    cluster.advance(5_900);
+    let asked = cluster.respond(|id| good.contains(id));
     assert_eq!(asked.workers.len(), 4);
-    cell
+    cluster
 }
 
 #[test]
-fn room_good_workers_and_tickets_are_told() {
-    let mut cell = cell_with_half_of_the_room_good();
-    cell.pass(300);
-    let told = told(&mut cell);
-    let expected = Told {
+fn free_slots_good_workers_and_tickets_are_reported() {
+    let mut cluster = cluster_with_half_of_the_capacity_good();
+    cluster.advance(300);
+    let reports = reports(&mut cluster);
+    let expected = StepReport {
         task: kit::task(2, 0, 0),
         tasks: 4,
         suspect: 0,
@@ -181,28 +184,28 @@
         free_slots: 6,
         asking: false,
     };
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert_eq!(told[0].1, expected);
+    assert_eq!(reports.len(), 1, "{reports:?}");
+    assert_eq!(reports[0].1, expected);
 }
 
 /// The other work outlasts the tickets.
 #[test]
-fn tickets_that_have_ended_are_not_told_as_held() {
-    let mut cell = cell_with_half_of_the_room_good();
-    cell.pass(4_500);
-    let told = told(&mut cell);
-    let (_, step) = &told.last().unwrap();
-    assert_eq!((step.good_slots, step.ticket_slots), (4, 0), "{told:?}");
+fn expired_tickets_are_not_reported_as_held() {
+    let mut cluster = cluster_with_half_of_the_capacity_good();
+    cluster.advance(4_500);
+    let reports = reports(&mut cluster);
+    let (_, step) = &reports.last().unwrap();
+    assert_eq!((step.good_slots, step.ticket_slots), (4, 0), "{reports:?}");
     assert_eq!(step.free_slots, 6);
 }
 
 /// Without advice nothing is asked, so each worker that suits is good.
 #[test]
-fn without_advice_the_room_decides() {
-    let mut cell = Cell::with_cores(3, 10);
-    cell.run(1, &kit::queue(1), vec![kit::gang(4, 8)]);
-    cell.pass(7_000);
-    let expected = Told {
+fn without_advice_every_suitable_worker_is_good() {
+    let mut cluster = TestCluster::with_cores(3, 10);
+    cluster.run(1, &kit::queue(1), vec![kit::gang(4, 8)]);
+    cluster.advance(7_000);
+    let expected = StepReport {
         task: kit::task(1, 0, 0),
         tasks: 4,
         suspect: 0,
@@ -211,22 +214,25 @@
         free_slots: 3,
         asking: false,
     };
-    let told: Vec<Told> = told(&mut cell).into_iter().map(|(_, step)| step).collect();
-    assert_eq!(told, [expected]);
+    let reports: Vec<StepReport> = reports(&mut cluster)
+        .into_iter()
+        .map(|(_, step)| step)
+        .collect();
+    assert_eq!(reports, [expected]);
 }
 
 /// A new leader has not heard of the worker on which the task may run.
 #[test]
-fn tasks_that_may_still_run_somewhere_are_told() {
-    let mut cell = Cell::new(2);
-    cell.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let (home, _) = cell.placed(kit::task(1, 0, 0))[0].clone();
-    cell.workers.get_mut(&home).unwrap().reachable = false;
-    cell.pass(1_000);
-    cell.take_over(2);
-    cell.pass(5_200);
-    let told = told(&mut cell);
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert_eq!((told[0].1.tasks, told[0].1.suspect), (1, 1));
-    assert_eq!(told[0].1.free_slots, 1);
+fn suspect_tasks_are_reported() {
+    let mut cluster = TestCluster::new(2);
+    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    let (host_worker, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    cluster.workers.get_mut(&host_worker).unwrap().reachable = false;
+    cluster.advance(1_000);
+    cluster.take_over(2);
+    cluster.advance(5_200);
+    let reports = reports(&mut cluster);
+    assert_eq!(reports.len(), 1, "{reports:?}");
+    assert_eq!((reports[0].1.tasks, reports[0].1.suspect), (1, 1));
+    assert_eq!(reports[0].1.free_slots, 1);
 }
