--- a/crates/figscale-core/examples/fleet_cost.rs
+++ b/crates/figscale-core/examples/fleet_cost.rs
@@ -1,14 +1,18 @@
-//! What the scheduler of a fleet costs its leader, by the number of workers.
+//! Measures what the fleet scheduler costs its leader, by the number of
+//! workers.
 //!
-//! Quick jobs of two steps of ten tasks come under advice. Printed are
-//! microseconds for one look at what is to be written, which the leader takes
-//! after each batch of messages, for one pass of placement over 40 waiting jobs
-//! for which no worker has room, and for one tick over these jobs: an ordinary
-//! one, and one 2 s after the last, which looks for steps that wait long.
+//! The load consists of quick jobs of two steps of ten tasks, on a queue with
+//! advice.
+//! The first table gives microseconds for: one check for records to write,
+//! which the leader does after each batch of messages; one placement pass over
+//! 40 waiting jobs for which no worker has free capacity; and one tick over
+//! these jobs, an ordinary one and one 2 s after the last, which also scans for
+//! steps that wait long.
 //!
-//! Then, for one pass over a backlog of 1,200 of these jobs, microseconds and
-//! looks at workers: with and without advice, where no worker has processor left,
-//! and where workers have processor but no memory.
+//! The second table gives, for one pass over a backlog of 1,200 of these jobs,
+//! microseconds and the number of workers scanned: with and without advice,
+//! where no worker has processor left, and where workers have processor but no
+//! memory.
 //!
 //! Run with `cargo run --release -p figscale-core --example fleet_cost`.
 
@@ -33,45 +37,51 @@
 fn main() -> Result<()> {
     println!("workers  look_us  pass_without_room_us  tick_us  tick_after_2_s_us");
     for workers in [50, 350, 1_000] {
-        let look = micros(
-            &mut cell(&fleet_of(workers, 16_000))?,
+        let record_check = micros(
+            &mut bench(&setup_of(workers, 16_000))?,
             |_| (),
-            |cell| {
-                hint::black_box(cell.0.has_urgent_records());
-                hint::black_box(cell.0.has_records());
+            |bench| {
+                hint::black_box(bench.0.has_urgent_records());
+                hint::black_box(bench.0.has_records());
             },
         );
-        let pass = micros(&mut cell(&fleet_of(workers, 0))?, |_| (), plan);
-        let tick = |cell: &mut Cell| cell.0.tick(cell.1, 0);
-        let ticks = micros(&mut cell(&fleet_of(workers, 0))?, |_| (), tick);
-        let later = micros(&mut cell(&fleet_of(workers, 0))?, two_seconds_later, tick);
-        println!("{workers:7}  {look:7.1}  {pass:20.1}  {ticks:7.1}  {later:17.1}");
+        let pass = micros(&mut bench(&setup_of(workers, 0))?, |_| (), plan);
+        let tick = |bench: &mut Bench| bench.0.tick(bench.1, 0);
+        let ticks = micros(&mut bench(&setup_of(workers, 0))?, |_| (), tick);
+        let tick_after_2_s = micros(
+            &mut bench(&setup_of(workers, 0))?,
+            advance_two_seconds,
+            tick,
+        );
+        println!(
+            "{workers:7}  {record_check:7.1}  {pass:20.1}  {ticks:7.1}  {tick_after_2_s:17.1}"
+        );
     }
     println!("\nworkers  advice  free_cores  pass_over_backlog_us  looks");
     for workers in [50, 350, 1_000] {
         for (advised, cpu_millis) in [(true, 0), (true, 16_000), (false, 0), (false, 16_000)] {
-            let played = Fleet {
+            let setup = BenchSetup {
                 memory_mb: 0,
                 jobs: BACKLOG_JOBS,
                 advised,
-                ..fleet_of(workers, cpu_millis)
+                ..setup_of(workers, cpu_millis)
             };
-            let mut cell = cell(&played)?;
-            let pass = micros(&mut cell, |_| (), plan);
-            let looks = cell.0.counts(cell.1).pass_looks;
+            let mut bench = bench(&setup)?;
+            let pass = micros(&mut bench, |_| (), plan);
+            let scanned = bench.0.counts(bench.1).pass_looks;
             let cores = cpu_millis / 1_000;
-            println!("{workers:7}  {advised:6}  {cores:10}  {pass:20.1}  {looks:5}");
+            println!("{workers:7}  {advised:6}  {cores:10}  {pass:20.1}  {scanned:5}");
         }
     }
     Ok(())
 }
 
-fn plan(cell: &mut Cell) {
-    cell.0.plan(cell.1);
+fn plan(bench: &mut Bench) {
+    bench.0.plan(bench.1);
 }
 
-/// Workers, and the jobs that wait.
-struct Fleet {
+/// Workers of a measured fleet and its waiting jobs.
+struct BenchSetup {
     workers: usize,
     cpu_millis: u64,
     memory_mb: u64,
@@ -79,8 +89,8 @@
     advised: bool,
 }
 
-fn fleet_of(workers: usize, cpu_millis: u64) -> Fleet {
-    Fleet {
+fn setup_of(workers: usize, cpu_millis: u64) -> BenchSetup {
+    BenchSetup {
         workers,
         cpu_millis,
         memory_mb: MEMORY_MB,
@@ -89,27 +99,28 @@
     }
 }
 
-type Cell = (Scheduler, time::Instant);
+type Bench = (Scheduler, time::Instant);
 
-/// Mean time of a call; what comes before each is not counted.
+/// Mean time of `call` in microseconds; the time of `before` is not counted.
 fn micros(
-    cell: &mut Cell,
-    mut before: impl FnMut(&mut Cell),
-    mut call: impl FnMut(&mut Cell),
+    bench: &mut Bench,
+    mut before: impl FnMut(&mut Bench),
+    mut call: impl FnMut(&mut Bench),
 ) -> f64 {
     let mut spent = time::Duration::ZERO;
     for _ in 0..ROUNDS {
-        before(cell);
+        before(bench);
         let begun = time::Instant::now();
-        call(cell);
+        call(bench);
         spent += begun.elapsed();
     }
     spent.as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
-/// All workers have reported again, and what was told is taken.
-fn two_seconds_later(cell: &mut Cell) {
-    let (scheduler, now) = cell;
+/// Advances the clock by 2 s, delivers a report of each worker and discards the
+/// actions.
+fn advance_two_seconds(bench: &mut Bench) {
+    let (scheduler, now) = bench;
     *now += time::Duration::from_secs(2);
     let workers = scheduler.listed_workers();
     for worker in workers {
@@ -124,18 +135,19 @@
     scheduler.take_actions();
 }
 
-/// A scheduler with workers, and jobs that have tickets where they need any.
-fn cell(played: &Fleet) -> Result<Cell> {
+/// Creates a scheduler with its workers and with waiting jobs, which hold
+/// tickets where they need any.
+fn bench(setup: &BenchSetup) -> Result<Bench> {
     let now = time::Instant::now();
     let mut scheduler = Scheduler::new(Config {
-        // The backlog is taken whole.
+        // Accept the whole backlog.
         max_of_objective_percent: 1_000_000,
         ..Config::default()
     });
     for number in 0..40 {
         scheduler.member_joined(&format!("entry-{number}").parse()?);
     }
-    for number in 0..played.workers {
+    for number in 0..setup.workers {
         let id: fleet::WorkerId = format!("i-{number:010x}").parse()?;
         scheduler.worker_listed(fleet::WorkerEntry {
             id: id.clone(),
@@ -144,8 +156,8 @@
             draining: false,
             leaves_in: None,
             room: fleet::Room {
-                cpu_millis: played.cpu_millis,
-                memory_mb: played.memory_mb,
+                cpu_millis: setup.cpu_millis,
+                memory_mb: setup.memory_mb,
                 accelerators: 0,
             },
             labels: vec!["a".to_owned()],
@@ -159,8 +171,8 @@
         scheduler.entries_read(std::slice::from_ref(&id), now);
         scheduler.worker_reported(&id, &report, now);
     }
-    for job in 0..played.jobs {
-        submit(&mut scheduler, job, played.advised, now);
+    for job in 0..setup.jobs {
+        submit(&mut scheduler, job, setup.advised, now);
     }
     while scheduler.has_records() {
         let records = scheduler.take_records(29);
@@ -168,7 +180,7 @@
     }
     for _ in 0..WAITING_JOBS {
         scheduler.plan(now);
-        answer_questions(&mut scheduler, now);
+        respond_to_queries(&mut scheduler, now);
     }
     Ok((scheduler, now))
 }
@@ -210,19 +222,19 @@
     scheduler.submit(fleet::JobId(job), &queue, description, now, 0);
 }
 
-/// Answers that two workers in three may run a step.
-fn answer_questions(scheduler: &mut Scheduler, now: time::Instant) {
+/// Responds to each query that two workers in three may run the step.
+fn respond_to_queries(scheduler: &mut Scheduler, now: time::Instant) {
     for action in scheduler.take_actions() {
-        let Action::Ask(question) = action else {
+        let Action::Ask(query) = action else {
             continue;
         };
-        let good = question.workers.iter().enumerate();
+        let good = query.workers.iter().enumerate();
         let good = good.filter(|(number, _)| number % 3 != 0);
         let tickets = good.map(|(_, worker)| fleet::Ticket {
             worker: worker.clone(),
             token: "ticket".to_owned(),
         });
         let tickets = tickets.collect();
-        scheduler.advice_answered(&question, Some(tickets), now);
+        scheduler.advice_answered(&query, Some(tickets), now);
     }
 }
--- a/crates/figscale-core/tests/fleet/advice.rs
+++ b/crates/figscale-core/tests/fleet/advice.rs
@@ -1,4 +1,4 @@
-//! Questions to the advisory service, and what tickets allow.
+//! Queries to the advisory service, and where tickets allow tasks to start.
 
 use figscale_types::fleet;
 use figscale_types::fleet::StartOutcome;
@@ -36,7 +36,7 @@
     cluster.run(2, &kit::advised_queue(1), vec![kit::step(1, 1)]);
     assert!(
         cluster.queries.is_empty(),
-        "asked although no worker has room"
+        "queried although no worker has free capacity"
     );
     cluster.end(kit::task(1, 0, 0), fleet::End::Done);
     cluster.respond(|_| true);
@@ -45,7 +45,7 @@
     assert_eq!(
         cluster.placed(kit::task(2, 0, 0)).len(),
         1,
-        "the ticket is still good"
+        "the ticket is still valid"
     );
     cluster.advance(2_600);
     cluster.end(kit::task(2, 0, 0), fleet::End::Stopped);
@@ -57,7 +57,7 @@
 #[test]
 fn a_refused_ticket_is_requested_again() {
     let mut cluster = TestCluster::new(1);
-    cluster.worker(0).answer = Some(StartOutcome::Refused(StartRefusal::Ticket));
+    cluster.worker(0).start_outcome = Some(StartOutcome::Refused(StartRefusal::Ticket));
     cluster.run(1, &kit::advised_queue(1), vec![kit::step(1, 1)]);
     cluster.respond(|_| true);
     assert_eq!(cluster.queries.len(), 1);
@@ -76,8 +76,8 @@
     assert_eq!(cluster.queries.len(), 2);
 }
 
-/// Long questions would hold every lane for half a second, longer than a quick
-/// job may take.
+/// Guards against long queries that occupy every advice channel for half a
+/// second, longer than a quick job may take.
 #[test]
 fn long_queries_do_not_occupy_every_advice_channel() {
     let mut cluster = TestCluster::new(4);
@@ -111,9 +111,11 @@
     assert_ne!(cluster.queries[0].member, query.member);
 }
 
-/// More jobs than fit, and few workers good for each: one question about the
-/// few with room finds none that is good, so the next is asked, and so on. Most
-/// of a question's time is its base, so one should cover many workers.
+/// Guards against repeated queries about a full fleet. With more jobs than fit
+/// and few good workers for each, a query about the few workers with free
+/// capacity finds none that is good, so the next query follows, and so on. Most
+/// of the time of a query is its base time, so one query should cover many
+/// workers.
 #[test]
 fn queries_about_a_full_fleet_are_bounded() {
     let mut cluster = TestCluster::with_cores(24, 4);
@@ -140,5 +142,5 @@
         "{} starts",
         cluster.starts()
     );
-    assert!(queries <= 44, "{queries} questions for 40 jobs");
+    assert!(queries <= 44, "{queries} queries for 40 jobs");
 }
--- a/crates/figscale-core/tests/fleet/backlog.rs
+++ b/crates/figscale-core/tests/fleet/backlog.rs
@@ -1,16 +1,18 @@
-//! A backlog of gangs, and whether it is worked off while there is room.
+//! A backlog of gangs must be worked off while there is free capacity.
 //!
-//! Seen: some time after the end of traffic, accepted jobs of one gang each
-//! could run and did not, with most of the workers' room free. Their logs had a
-//! question to the advisory service every 0.7 s, about 4, 3, 4, 2 and 7 workers
-//! that were known to be good, and no start; other late gangs had no question
-//! at all for 36 s.
+//! Guards against a fault in which, some time after the end of traffic,
+//! accepted jobs of one gang each did not start although most of the workers'
+//! capacity was free. For some of these gangs the log showed a query to the
+//! advisory service every 0.7 s, about 4, 3, 4, 2 and 7 workers that were known
+//! to be good, and no start; for other late gangs there was no query at all for
+//! 36 s.
 //!
-//! How it came about: a peak of wide gangs, then a new leader, which knows no
-//! advice. What caused it: tickets were asked for workers that nobody kept for
-//! the gang, and others had taken them when the answer came; and late work was
-//! ranked longest first, so a short gang had no turn behind longer ones. What
-//! proved it: these plays, without workers that fail and without a store.
+//! The fault followed a peak of wide gangs and a change to a new leader, which has
+//! no advice yet. There were two causes. Tickets were requested for workers
+//! that were not reserved for the gang, so that other work had taken them when
+//! the response came. And late work was ranked longest first, so that a short
+//! gang was never served behind longer ones. These simulations showed both,
+//! without worker failures and without a store.
 
 use std::thread;
 
@@ -24,22 +26,23 @@
 use crate::kit;
 use crate::kit::TestCluster;
 
-/// Half of the site on which it was seen, and of its rates.
+/// Half of the workers and of the rates of the site on which the fault was
+/// seen.
 const WORKERS: usize = 175;
 const CORES: u64 = 64;
 const MEMBERS: usize = 18;
-/// A larger site has more entry instances for its workers.
+/// A larger site has more entry instances per worker.
 const MANY_MEMBERS: usize = 32;
 const SEEDS: [u64; 6] = [1, 2, 3, 5, 12, 13];
 const STEP_MS: u64 = 50;
 const TRAFFIC_MS: u64 = 60_000;
-/// The gangs come more often from then to then.
+/// Gangs arrive more often in this interval.
 const PEAK_MS: std::ops::Range<u64> = 10_000..14_000;
 const PEAK_FACTOR: f64 = 1.9;
-/// What is open at the end of traffic should be under way by then.
+/// Time after the end of traffic within which open jobs should have started.
 const CATCH_UP_MS: u64 = 14_000;
 const OBSERVED_MS: u64 = 20_000;
-/// How long a step may wait beside free room.
+/// How long a step may wait beside free capacity.
 const MAX_IDLE_MS: u64 = 3_000;
 
 /// One kind of job.
@@ -47,7 +50,7 @@
     per_s: f64,
     queue: fleet::Queue,
     step: fleet::StepDescription,
-    /// Part of the workers that may run a step.
+    /// Fraction of the workers that may run a step.
     allowed_part: f64,
 }
 
@@ -78,11 +81,11 @@
     ]
 }
 
-/// A job that was taken.
+/// An accepted job.
 struct AcceptedJob {
     kind: usize,
     step: fleet::StepDescription,
-    /// For how long it has had nothing running beside free room.
+    /// Time for which it has had nothing running beside free capacity.
     idle_ms: u64,
 }
 
@@ -90,21 +93,21 @@
     cluster: TestCluster,
     kinds: Vec<Kind>,
     accepted: IndexMap<u64, AcceptedJob>,
-    /// Gangs that were taken.
+    /// Accepted gangs.
     gangs: Vec<u64>,
-    /// Questions on their way, with the time of the answer.
-    asked: Vec<(u64, Question)>,
+    /// Queries in flight, with the times of their responses.
+    pending_queries: Vec<(u64, Question)>,
     ends: IndexMap<(fleet::TaskId, u32), u64>,
-    /// How much later than expected answers are.
+    /// How much later than expected responses arrive.
     response_delay_ms: u64,
     at_ms: u64,
     submitted: u64,
     random: kit::Random,
-    /// By what part lengths differ from estimates at most.
+    /// Greatest difference of durations from estimates, as a fraction.
     estimate_error: f64,
-    /// Room counts also on workers where the policy forbids the job.
+    /// Counts free capacity also on workers where the policy forbids the job.
     count_forbidden_workers: bool,
-    /// Entry instances that can ask the advisory service.
+    /// Number of entry instances that can query the advisory service.
     members: usize,
 }
 
@@ -115,7 +118,7 @@
             kinds: kinds(),
             accepted: IndexMap::new(),
             gangs: Vec::new(),
-            asked: Vec::new(),
+            pending_queries: Vec::new(),
             ends: IndexMap::new(),
             response_delay_ms,
             at_ms: 0,
@@ -133,30 +136,30 @@
         self.cluster.join_entries(1..=self.members);
     }
 
-    /// Plays the traffic, a change of leaders and the time after it; the jobs
-    /// that waited beside free room for too long.
+    /// Simulates the traffic, a change of leaders and the time after it;
+    /// returns the jobs that waited beside free capacity for too long.
     fn simulate(mut self) -> Vec<u64> {
         while self.at_ms < TRAFFIC_MS {
             self.arrive();
             self.step();
         }
-        self.asked.clear();
+        self.pending_queries.clear();
         self.cluster.queries.clear();
         self.cluster.take_over(2);
         self.join_entries();
         while self.at_ms < TRAFFIC_MS + CATCH_UP_MS {
             self.step();
         }
-        let mut lost = Vec::new();
+        let mut starved = Vec::new();
         while self.at_ms < TRAFFIC_MS + CATCH_UP_MS + OBSERVED_MS {
             self.step();
-            self.collect_starved(&mut lost);
+            self.collect_starved(&mut starved);
         }
-        lost
+        starved
     }
 
-    /// Plays the traffic and what is left of it under one leader; the part of the
-    /// gangs that ended in time.
+    /// Simulates the traffic and the rest of its jobs under one leader; returns
+    /// the fraction of the gangs that ended in time.
     fn part_in_time(mut self) -> f64 {
         while self.at_ms < TRAFFIC_MS {
             self.arrive();
@@ -192,7 +195,8 @@
         }
     }
 
-    /// Submits a job of a kind; lengths, widths and sizes vary about the mean.
+    /// Submits a job of a kind; durations, widths and sizes vary about the
+    /// mean.
     fn submit(&mut self, kind: usize) {
         let mean = self.kinds[kind].step.clone();
         let queue = self.kinds[kind].queue.clone();
@@ -240,8 +244,8 @@
         self.cluster.execute_actions();
         for query in std::mem::take(&mut self.cluster.queries) {
             let expected_ms = query.expected.as_millis() as u64;
-            let answered_ms = self.at_ms + expected_ms + self.response_delay_ms;
-            self.asked.push((answered_ms, query));
+            let response_ms = self.at_ms + expected_ms + self.response_delay_ms;
+            self.pending_queries.push((response_ms, query));
         }
         self.accepted.retain(|number, _| {
             let state = self.cluster.scheduler.state(kit::job_id(*number));
@@ -268,7 +272,7 @@
         }
     }
 
-    /// What the tasks of a job take by their estimate, the same in each run.
+    /// Ratio of a job's task duration to its estimate, the same in each run.
     fn duration_factor(&self, job: fleet::JobId) -> f64 {
         let mixed = (job.0 + 7).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let part = (mixed >> 40) as f64 / f64::from(1_u32 << 24);
@@ -277,7 +281,9 @@
 
     fn deliver_due_responses(&mut self) {
         let at_ms = self.at_ms;
-        let due = self.asked.extract_if(.., |(due_ms, _)| *due_ms <= at_ms);
+        let due = self
+            .pending_queries
+            .extract_if(.., |(due_ms, _)| *due_ms <= at_ms);
         for (_, query) in due.collect::<Vec<_>>() {
             let job = query.task.job.0;
             let kind = self.accepted.get(&job).map_or(0, |job| job.kind);
@@ -289,9 +295,10 @@
         }
     }
 
-    /// Notes jobs that have nothing running while under half of the processors
-    /// are in use and there is room for them twice over, where they may run.
-    fn collect_starved(&mut self, lost: &mut Vec<u64>) {
+    /// Adds to `starved` the jobs that have had nothing running for too long.
+    /// Time counts while less than half of the processors are in use and the
+    /// workers that may run the job have twice the capacity it needs.
+    fn collect_starved(&mut self, starved: &mut Vec<u64>) {
         let mut running = IndexMap::<u64, u32>::new();
         for worker in self.cluster.workers.values() {
             for (task, _) in worker.running.keys() {
@@ -312,8 +319,8 @@
             let twice = slots.sum::<u64>() >= 2 * count;
             let idle = half_free && twice && !running.contains_key(number);
             job.idle_ms = if idle { job.idle_ms + STEP_MS } else { 0 };
-            if job.idle_ms > MAX_IDLE_MS && !lost.contains(number) {
-                lost.push(*number);
+            if job.idle_ms > MAX_IDLE_MS && !starved.contains(number) {
+                starved.push(*number);
             }
         }
     }
@@ -327,23 +334,26 @@
     }
 }
 
-/// Whether a worker may run a job's step, which never changes.
+/// Whether a worker may run a job's step; the same at any time.
 fn is_allowed(job: u64, worker: usize, part: f64) -> bool {
     let mixed = (job * 1_000 + worker as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     ((mixed >> 40) as f64 / f64::from(1_u32 << 24)) < part
 }
 
-/// What was accepted runs as soon as there is room for it, also where answers
-/// take longer than the service thinks.
+/// Accepted jobs start as soon as there is free capacity for them, also where
+/// responses take longer than the service expects.
 #[rstest]
 fn no_job_starves_beside_free_capacity(#[values(0, 100)] response_delay_ms: u64) {
     let simulate = move |seed| Backlog::new(seed, response_delay_ms).simulate();
     let simulations = SEEDS.map(|seed| thread::spawn(move || simulate(seed)));
-    let lost = simulations.map(|simulation| simulation.join().unwrap());
-    assert!(lost.iter().all(Vec::is_empty), "waiting, by seed: {lost:?}");
+    let starved = simulations.map(|simulation| simulation.join().unwrap());
+    assert!(
+        starved.iter().all(Vec::is_empty),
+        "starved jobs by seed: {starved:?}"
+    );
 }
 
-/// The same with as many instances for the workers as a larger site has.
+/// The same with as many entry instances per worker as a larger site has.
 #[test]
 fn no_job_starves_beside_free_capacity_with_many_instances() {
     let simulate = |seed| {
@@ -353,12 +363,15 @@
         backlog.simulate()
     };
     let simulations = SEEDS.map(|seed| thread::spawn(move || simulate(seed)));
-    let lost = simulations.map(|simulation| simulation.join().unwrap());
-    assert!(lost.iter().all(Vec::is_empty), "waiting, by seed: {lost:?}");
+    let starved = simulations.map(|simulation| simulation.join().unwrap());
+    assert!(
+        starved.iter().all(Vec::is_empty),
+        "starved jobs by seed: {starved:?}"
+    );
 }
 
-/// The strictest reading, on the seeds that showed the fault first: also room on
-/// workers where a job may not run counts.
+/// The strictest form, on the seeds that showed the fault first: free capacity
+/// counts also on workers where a job may not run.
 #[test]
 fn no_job_starves_beside_free_capacity_on_any_worker() {
     let simulate = |seed| {
@@ -367,11 +380,15 @@
         backlog.simulate()
     };
     let simulations = [1, 2, 3].map(|seed| thread::spawn(move || simulate(seed)));
-    let lost = simulations.map(|simulation| simulation.join().unwrap());
-    assert!(lost.iter().all(Vec::is_empty), "waiting, by seed: {lost:?}");
+    let starved = simulations.map(|simulation| simulation.join().unwrap());
+    assert!(
+        starved.iter().all(Vec::is_empty),
+        "starved jobs by seed: {starved:?}"
+    );
 }
 
-/// Room where the policy allows it, with estimates off by up to nine tenths.
+/// Durations differ from estimates by up to nine tenths; only capacity that the
+/// policy allows counts.
 #[test]
 fn no_job_starves_beside_free_capacity_with_inaccurate_estimates() {
     let simulate = |seed| {
@@ -380,11 +397,15 @@
         backlog.simulate()
     };
     let simulations = [4, 12, 14].map(|seed| thread::spawn(move || simulate(seed)));
-    let lost = simulations.map(|simulation| simulation.join().unwrap());
-    assert!(lost.iter().all(Vec::is_empty), "waiting, by seed: {lost:?}");
+    let starved = simulations.map(|simulation| simulation.join().unwrap());
+    assert!(
+        starved.iter().all(Vec::is_empty),
+        "starved jobs by seed: {starved:?}"
+    );
 }
 
-/// Many gangs wait at once on a large fleet, and all but few are in time.
+/// Many gangs wait at once on a large fleet, and over nine in ten of them must
+/// end in time.
 #[test]
 fn gangs_that_wait_together_end_in_time() {
     let simulate = |seed| {
@@ -396,11 +417,11 @@
     let simulations = SEEDS.map(|seed| thread::spawn(move || simulate(seed)));
     let in_time = simulations.map(|simulation| simulation.join().unwrap());
     let mean = in_time.iter().sum::<f64>() / in_time.len() as f64;
-    assert!(mean > 0.9, "in time, by seed: {in_time:?}");
+    assert!(mean > 0.9, "fraction in time by seed: {in_time:?}");
 }
 
-/// Of gangs that are late the one that has waited longest goes first, however
-/// short it is.
+/// Guards against late gangs that are ranked by length: the one that has waited
+/// longest goes first, however short it is.
 #[test]
 fn a_late_gang_is_not_overtaken_by_a_later_longer_one() {
     let mut cluster = TestCluster::with_cores(2, 10);
--- a/crates/figscale-core/tests/fleet/callers.rs
+++ b/crates/figscale-core/tests/fleet/callers.rs
@@ -1,4 +1,4 @@
-//! What callers are told.
+//! Responses to callers: admission, job states, refusals.
 
 use figscale_core::fleet::Admission;
 use figscale_core::fleet::fault_of;
@@ -77,13 +77,13 @@
     for number in 0..20 {
         let admission = cluster.submit(number, &kit::queue(1), kit::job(vec![kit::step(8, 8)]));
         if let Admission::Refused { retry_after, .. } = admission {
-            assert!(number > 0, "an empty cell refused");
+            assert!(number > 0, "refused by an empty cluster");
             assert!(retry_after >= kit::ms(1_000));
             assert_eq!(cluster.state(number), None);
             return;
         }
     }
-    panic!("twenty times what fits was taken");
+    panic!("twenty times the capacity of the cluster was accepted");
 }
 
 #[test]
--- a/crates/figscale-core/tests/fleet/carriers.rs
+++ b/crates/figscale-core/tests/fleet/carriers.rs
@@ -1,4 +1,5 @@
-//! Relays that seem slow while the leader itself is late.
+//! Choice of a worker's relay while relays seem slow because the leader itself
+//! is late.
 
 use figscale_core::fleet::Carrier;
 use figscale_core::fleet::choose_carrier;
@@ -9,9 +10,10 @@
     hash: 7,
 };
 
-/// Guards against a leader that is late, takes its relays for slow and calls all
-/// workers itself, by which it is later still: 300 instances and 3,000 workers were
-/// never well again after the store had been away for 3 s.
+/// Guards against a late leader that takes its relays for slow and calls all
+/// workers directly, which makes it later still. A fleet of 300 instances and
+/// 3,000 workers never recovered from this after the store had been unavailable
+/// for 3 s.
 #[test]
 fn workers_of_a_slow_relay_use_the_next_relay() {
     let slow = Carrier {
@@ -30,7 +32,8 @@
     assert_eq!(choose_carrier([]), None);
 }
 
-/// Guards against workers that all move when one relay comes or goes.
+/// Guards against workers that all change their relay when one relay joins or
+/// leaves.
 #[test]
 fn a_worker_keeps_its_relay_while_others_come_and_go() {
     let with = |hash| Carrier { hash, ..NEAR };
--- a/crates/figscale-core/tests/fleet/crashes.rs
+++ b/crates/figscale-core/tests/fleet/crashes.rs
@@ -1,4 +1,5 @@
-//! Tasks that crash each worker that starts them, and tasks that run beside them.
+//! Tasks that crash each worker that starts them, and tasks that run on the
+//! same workers.
 
 use figscale_types::fleet;
 
@@ -6,11 +7,11 @@
 use crate::kit::TestCluster;
 
 const CORES: u64 = 64;
-/// Starts after which three workers have crashed and three more starts followed.
+/// Limit of starts: three crashed workers and three more starts.
 const TOO_MANY_STARTS: usize = 6;
 
-/// Lets a task crash its workers, each some time after its start, until its job
-/// has ended; how many crashed.
+/// Crashes each worker of a task, `after_ms` after the start, until the job has
+/// failed; returns the number of crashes.
 fn crash_until_ended(cluster: &mut TestCluster, task: fleet::TaskId, after_ms: u64) -> usize {
     let mut crashes = 0;
     for _ in 0..200 {
@@ -25,24 +26,27 @@
         if cluster.state(task.job.0) == Some(fleet::JobState::Failed) {
             return crashes;
         }
-        assert!(crashes < TOO_MANY_STARTS, "started again and again");
+        assert!(
+            crashes < TOO_MANY_STARTS,
+            "the task is restarted without end"
+        );
         cluster.advance(100);
     }
     panic!("{:?} after {crashes} crashes", cluster.state(task.job.0));
 }
 
-/// Guards against a task that is started on one worker after the other, each of
-/// which crashes under it.
+/// Guards against a task that is started on one worker after the other and
+/// crashes each of them.
 #[test]
 fn a_task_that_crashes_its_workers_fails_permanently() {
     let mut cluster = TestCluster::new(6);
     cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
     let crashes = crash_until_ended(&mut cluster, kit::task(1, 0, 0), 0);
-    assert!(crashes >= 2, "given up after {crashes} crashes");
+    assert!(crashes >= 2, "failed permanently after {crashes} crashes");
 }
 
-/// Guards against a crash that comes some time after the start, when the run has
-/// been seen at work.
+/// Guards against a crash some time after the start, when the run has already
+/// been reported.
 #[test]
 fn a_task_that_crashes_its_workers_late_fails_permanently() {
     for after_ms in [300, 800, 2_000] {
@@ -53,8 +57,8 @@
     }
 }
 
-/// Guards against a gang of which one member crashes its worker, and which begins
-/// again for good.
+/// Guards against a gang that restarts without end while one member crashes its
+/// worker.
 #[test]
 fn a_gang_that_crashes_workers_fails_permanently() {
     let mut cluster = TestCluster::new(8);
@@ -62,8 +66,8 @@
     crash_until_ended(&mut cluster, kit::task(1, 0, 0), 0);
 }
 
-/// Guards against losses that are forgotten with the leader that saw them: each
-/// leader is replaced as soon as it has written what it saw.
+/// Guards against lost runs that are forgotten at a change of leaders: each
+/// leader is replaced as soon as it has written what it observed.
 #[test]
 fn a_task_that_crashes_its_workers_fails_permanently_across_takeovers() {
     let mut cluster = TestCluster::new(6);
@@ -80,7 +84,10 @@
         let host_worker = cluster.host_worker(crashing).unwrap();
         cluster.crash(&host_worker);
         crashes += 1;
-        assert!(crashes < TOO_MANY_STARTS, "started again and again");
+        assert!(
+            crashes < TOO_MANY_STARTS,
+            "the task is restarted without end"
+        );
         cluster.take_over(epoch);
         cluster.settle();
         cluster.replace(&host_worker, CORES);
@@ -88,7 +95,8 @@
     panic!("{:?} after {crashes} crashes", cluster.state(1));
 }
 
-/// Guards against starts whose losses would be forgotten with the leader.
+/// Guards against a start after a lost run that is not yet recorded: the next
+/// leader would not know of the loss.
 #[test]
 fn a_task_with_a_lost_run_waits_for_the_store() {
     let mut cluster = TestCluster::new(6);
@@ -106,8 +114,8 @@
     assert!(cluster.host_worker(crashing).is_some());
 }
 
-/// Guards against giving up a task that was lost beside several others which
-/// crash their workers.
+/// Guards against the permanent failure of a task that was lost several times
+/// because other tasks crashed its workers.
 #[test]
 fn a_task_beside_crashing_ones_does_not_fail_permanently() {
     let mut cluster = TestCluster::new(3);
@@ -116,8 +124,8 @@
     let beside = kit::task(1, 0, 0);
     for number in 2..14 {
         cluster.advance(700);
-        // Each worker gets a run that crashes it, some of them at once with the
-        // task that is watched.
+        // Each new run crashes its worker; some of these workers also run the
+        // task that is checked.
         cluster.run(number, &kit::queue(1), vec![step.clone()]);
         let host_worker = cluster.host_worker(kit::task(number, 0, 0)).unwrap();
         cluster.crash(&host_worker);
@@ -148,11 +156,12 @@
     cluster.advance(1_000);
     assert!(
         cluster.workers[&host_worker].running.len() > 1,
-        "kept apart for good"
+        "the worker stays isolated after the quarantine"
     );
 }
 
-/// Guards against holding a silence against the tasks of a worker that lives.
+/// Guards against lost runs that are counted while a worker only failed to
+/// respond for a time.
 #[test]
 fn a_worker_that_reports_again_has_not_crashed() {
     let mut cluster = TestCluster::new(2);
--- a/crates/figscale-core/tests/fleet/customers.rs
+++ b/crates/figscale-core/tests/fleet/customers.rs
@@ -1,5 +1,5 @@
-//! Customers at their limits: what counts against a limit, who is held back and
-//! who is not, changes of limits, changes of leaders.
+//! Limits of customers: what counts against a limit, which jobs are held back,
+//! changes of limits, changes of leaders.
 
 use figscale_core::fleet::Admission;
 use figscale_types::fleet;
@@ -14,7 +14,7 @@
     text.parse().unwrap()
 }
 
-/// Customers with limits in cores; 0 for none.
+/// Customers with limits in cores; 0 stands for no limit.
 fn customers(limits: &[(&str, u64)]) -> fleet::Customers {
     let mut customers = fleet::Customers::default();
     for (customer, cores) in limits {
@@ -32,7 +32,7 @@
     customers
 }
 
-/// A cell in which customers have these limits.
+/// A test cluster with these limits of customers.
 fn cluster(workers: usize, limits: &[(&str, u64)]) -> TestCluster {
     let mut cluster = TestCluster::new(workers);
     cluster.scheduler.set_customers(Some(&customers(limits)));
@@ -81,11 +81,12 @@
     assert_eq!(
         running(&cluster, 3),
         8,
-        "one that is not named has no limit"
+        "a customer without an entry has no limit"
     );
 }
 
-/// Guards against room that is given again while what is stopped there still runs.
+/// Guards against capacity that is used again while a run being stopped there
+/// still runs.
 #[test]
 fn runs_being_stopped_count_against_the_limit_until_they_end() {
     let mut cluster = cluster(2, &[("a", 4)]);
@@ -102,14 +103,14 @@
     assert_eq!(running(&cluster, 2), 4);
 }
 
-/// Guards against orders without an answer that are carried out late, beside what
-/// was started in their place.
+/// Guards against unanswered orders that are executed late, beside what was
+/// started in their place.
 #[test]
 fn an_unanswered_order_counts_against_the_limit() {
     let mut cluster = cluster(1, &[("a", 4)]);
-    cluster.worker(0).answer = Some(StartOutcome::Unknown);
+    cluster.worker(0).start_outcome = Some(StartOutcome::Unknown);
     run(&mut cluster, "a", 1, kit::step(4, 1));
-    cluster.worker(0).answer = None;
+    cluster.worker(0).start_outcome = None;
     run(&mut cluster, "a", 2, kit::step(4, 1));
     assert_eq!(cluster.starts(), 4);
     cluster.advance(2_000);
@@ -134,8 +135,8 @@
     assert_eq!(running(&cluster, 1), 3);
 }
 
-/// Guards against a gang that waits for its customer's limit and keeps workers, or
-/// lanes to the advisory service, from others all the while.
+/// Guards against a gang that waits for its customer's limit and meanwhile
+/// keeps workers reserved, or occupies advice channels.
 #[test]
 fn a_gang_held_by_a_limit_does_not_block_others() {
     let mut cluster = cluster(2, &[("a", 64), ("b", 0)]);
@@ -145,14 +146,17 @@
         1,
         kit::with_estimate(kit::step(40, 1), 20_000),
     );
-    let patient = fleet::Queue {
+    let lenient_queue = fleet::Queue {
         target_latency_ms: 60_000,
         ..kit::advised_queue(1)
     };
-    let taken = submit(&mut cluster, "a", 2, &patient, kit::gang(40, 1));
+    let taken = submit(&mut cluster, "a", 2, &lenient_queue, kit::gang(40, 1));
     assert_eq!(taken, Admission::Accepted);
     cluster.settle();
-    assert!(cluster.queries.is_empty(), "asked for what may not start");
+    assert!(
+        cluster.queries.is_empty(),
+        "queried for a gang that may not start"
+    );
     run(
         &mut cluster,
         "b",
@@ -162,7 +166,7 @@
     assert_eq!(
         running(&cluster, 3),
         88,
-        "workers are kept for what may not start"
+        "workers are reserved for a gang that may not start"
     );
 }
 
@@ -175,7 +179,7 @@
     assert_eq!(answer, Admission::Accepted);
 }
 
-/// Guards against a task that waits for good since it alone is over the limit.
+/// Guards against a task that never starts because it alone exceeds the limit.
 #[test]
 fn a_task_over_the_limit_runs_alone() {
     let mut cluster = cluster(2, &[("a", 2)]);
@@ -185,8 +189,8 @@
     assert_eq!(running(&cluster, 1), 1);
 }
 
-/// Guards against a leader that has read no configuration, or none that is proven
-/// to be in force, and starts without limits.
+/// Guards against a leader that starts tasks without limits because it has read
+/// no configuration, or none that is proven to be in force.
 #[test]
 fn nothing_starts_for_customers_with_unknown_limits() {
     let mut cluster = TestCluster::new(1);
@@ -203,8 +207,8 @@
     assert_eq!(running(&cluster, 3), 0);
 }
 
-/// Guards against a new leader that starts as much again as runs on a worker that
-/// it does not reach.
+/// Guards against a new leader that starts the full limit again while a worker
+/// that it cannot reach still runs tasks of the customer.
 #[test]
 fn a_new_leader_counts_runs_on_unresponsive_workers() {
     let limits = [("a", 6), ("b", 100)];
@@ -216,24 +220,32 @@
         kit::with_estimate(kit::step(6, 1), 20_000),
     );
     let host_worker = cluster.placed(kit::task(1, 0, 0))[0].0.clone();
-    let silent = cluster.workers[&host_worker].running.len();
+    let unreachable_runs = cluster.workers[&host_worker].running.len();
     cluster.workers[&host_worker].reachable = false;
     cluster.take_over(2);
     cluster.scheduler.set_customers(Some(&customers(&limits)));
     cluster.settle();
     run(&mut cluster, "a", 2, kit::step(6, 1));
-    assert_eq!(running(&cluster, 2), 0, "{silent} of 6 run unheard");
+    assert_eq!(
+        running(&cluster, 2),
+        0,
+        "{unreachable_runs} of 6 run on the unreachable worker"
+    );
     run(&mut cluster, "b", 3, kit::step(40, 1));
-    assert_eq!(running(&cluster, 3), 40, "little of b can run unheard");
-    // Its lease ends by itself, and with it what ran there.
+    assert_eq!(
+        running(&cluster, 3),
+        40,
+        "little of b can run on the unreachable worker"
+    );
+    // The worker's lease expires, and what ran there ends with it.
     cluster.advance(4_600);
     cluster.workers[&host_worker].running.clear();
     cluster.advance(2_000);
     assert_eq!(running(&cluster, 1) + running(&cluster, 2), 6);
 }
 
-/// Guards against a job that was cancelled under the last leader, whose tasks run
-/// on where the next leader does not reach them.
+/// Guards against tasks of a cancelled job that go on running where the next
+/// leader cannot reach them, and are not counted.
 #[test]
 fn a_new_leader_counts_what_a_cancelled_job_left_running() {
     let limits = [("a", 4)];
@@ -247,7 +259,11 @@
     cluster.worker(0).reachable = false;
     cluster.scheduler.cancel(kit::job_id(1), cluster.now);
     cluster.settle();
-    assert_eq!(running(&cluster, 1), 4, "the stop does not reach it");
+    assert_eq!(
+        running(&cluster, 1),
+        4,
+        "the stop order does not reach the worker"
+    );
     cluster.add_worker(1, 64);
     cluster.take_over(2);
     cluster.scheduler.set_customers(Some(&customers(&limits)));
@@ -256,8 +272,8 @@
     assert_eq!(running(&cluster, 2), 0);
 }
 
-/// Guards against a job that is shown, cancelled or taken over by another
-/// customer's key.
+/// Guards against a job that another customer's key can read, cancel or submit
+/// again.
 #[test]
 fn a_job_is_not_accessible_to_other_customers() {
     let mut cluster = cluster(1, &[("a", 4), ("b", 4)]);
@@ -280,8 +296,8 @@
     }
 }
 
-/// Guards against a customer that sends many times its usual and makes the others
-/// late: its work came first, and more of it is as urgent as theirs.
+/// Guards against a customer that sends many times its usual load and makes the
+/// others late: its jobs came first, and are as urgent as theirs.
 #[test]
 fn a_customer_over_its_share_does_not_delay_the_others() {
     let mut cluster = cluster(2, &[("hot", 0), ("quiet", 0)]);
--- a/crates/figscale-core/tests/fleet/ends.rs
+++ b/crates/figscale-core/tests/fleet/ends.rs
@@ -1,4 +1,4 @@
-//! How runs end, and what follows.
+//! Ends of runs and their effect on tasks and jobs.
 
 use figscale_types::fleet;
 use figscale_types::fleet::End;
@@ -67,7 +67,7 @@
     assert_eq!(cluster.worker(0).orders.last().unwrap().checkpoint, "half");
 }
 
-/// A worker tells an end to each leader until it is acknowledged.
+/// A worker reports an end to each leader until it is acknowledged.
 #[test]
 fn a_failure_reported_to_two_leaders_counts_once() {
     let mut cluster = TestCluster::new(1);
@@ -83,15 +83,15 @@
     assert_eq!(cluster.state(1), Some(JobState::Completed));
 }
 
-/// The failure of an earlier run may be told after that of a later one.
+/// The failure of an earlier run may be reported after that of a later one.
 #[test]
 fn failures_reported_out_of_order_all_count() {
     let mut cluster = TestCluster::new(2);
     cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
     let (first, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
-    let silent = cluster.workers.get_mut(&first).unwrap();
-    silent.reachable = false;
-    silent.end(kit::task(1, 0, 0), 1, End::Failed);
+    let unreachable = cluster.workers.get_mut(&first).unwrap();
+    unreachable.reachable = false;
+    unreachable.end(kit::task(1, 0, 0), 1, End::Failed);
     cluster.advance(6_000);
     cluster.end(kit::task(1, 0, 0), End::Failed);
     cluster.workers.get_mut(&first).unwrap().reachable = true;
@@ -102,11 +102,11 @@
 #[test]
 fn a_long_running_task_starts_again_however_it_ended() {
     let mut cluster = TestCluster::new(2);
-    let lasting = fleet::StepDescription {
+    let step = fleet::StepDescription {
         long_running: true,
         ..kit::step(1, 1)
     };
-    cluster.run(1, &kit::queue(1), vec![lasting]);
+    cluster.run(1, &kit::queue(1), vec![step]);
     for end in [
         End::Done,
         End::Failed,
--- a/crates/figscale-core/tests/fleet/gang_limits.rs
+++ b/crates/figscale-core/tests/fleet/gang_limits.rs
@@ -1,5 +1,5 @@
-//! Gangs and other work beside runs that outlast their estimates, long
-//! questions, busy ways to the advisory service and old submissions.
+//! Gangs and other work that start although runs exceed their estimates,
+//! queries take long, advice channels are busy or submissions are old.
 
 use std::time;
 
@@ -12,10 +12,10 @@
 
 const STEP_MS: u64 = 50;
 
-/// A cell whose advisory service takes the time that it says.
+/// A test cluster whose advisory service takes the expected time of each query.
 struct SlowAdvisory<'a> {
     cluster: TestCluster,
-    asked: Vec<(time::Instant, Question)>,
+    pending_queries: Vec<(time::Instant, Question)>,
     good: &'a dyn Fn(usize) -> bool,
     queries: usize,
     since: IndexMap<fleet::TaskId, time::Instant>,
@@ -25,7 +25,7 @@
     fn new(cluster: TestCluster, good: &'a dyn Fn(usize) -> bool) -> Self {
         Self {
             cluster,
-            asked: Vec::new(),
+            pending_queries: Vec::new(),
             good,
             queries: 0,
             since: IndexMap::new(),
@@ -43,7 +43,7 @@
         self.cluster.wall_ms += STEP_MS;
         let (now, wall_ms) = (self.cluster.now, self.cluster.wall_ms);
         self.cluster.scheduler.tick(now, wall_ms);
-        let due = self.asked.extract_if(.., |(at, _)| *at <= now);
+        let due = self.pending_queries.extract_if(.., |(at, _)| *at <= now);
         for (_, query) in due.collect::<Vec<_>>() {
             let tickets = kit::tickets(&query, self.good);
             self.cluster
@@ -53,11 +53,11 @@
         self.cluster.settle();
         for query in std::mem::take(&mut self.cluster.queries) {
             self.queries += 1;
-            self.asked.push((now + query.expected, query));
+            self.pending_queries.push((now + query.expected, query));
         }
     }
 
-    /// Ends tasks of jobs 2 to 999 that have run for so long.
+    /// Ends tasks of jobs 2 to 999 that have run for `after_ms`.
     fn end_small(&mut self, after_ms: u64) {
         let now = self.cluster.now;
         for worker in self.cluster.workers.values_mut() {
@@ -89,7 +89,7 @@
     }
 }
 
-/// One run on each worker, which goes on long after its estimate.
+/// Starts one run on each of `count` workers, and lets it exceed its estimate.
 fn start_overrunning(cluster: &mut TestCluster, count: u32, cores: u64) {
     let step = fleet::StepDescription {
         max_per_worker: Some(1),
@@ -99,8 +99,8 @@
     cluster.advance(2_000);
 }
 
-/// The good workers known run something past its estimate, those not yet asked
-/// about are idle.
+/// Guards against a gang that waits for the good workers it knows, which run
+/// something past its estimate, while the workers it has not queried are idle.
 #[test]
 fn a_gang_queries_more_workers_while_known_ones_stay_busy() {
     let mut cluster = TestCluster::with_cores(40, 10);
@@ -122,10 +122,11 @@
         }
     }
     sim.simulate(10_000);
-    assert_eq!(sim.runs(1), 2, "after {} questions", sim.queries);
+    assert_eq!(sim.runs(1), 2, "after {} queries", sim.queries);
 }
 
-/// More workers than three questions name, on an idle fleet.
+/// Guards against a gang on an idle fleet that never starts because it needs
+/// more workers than three queries name.
 #[test]
 fn a_gang_wider_than_three_queries_starts() {
     let mut never = Vec::new();
@@ -141,11 +142,16 @@
             never.push((count, sim.queries));
         }
     }
-    assert_eq!(never, [], "gangs never started, and questions about each");
+    assert_eq!(
+        never,
+        [],
+        "gangs that never started, with the queries about each"
+    );
 }
 
-/// Under half of the processors are in use; gangs that find no room until runs
-/// end that are past their estimates keep all the rest.
+/// Guards against gangs that reserve all the rest of a fleet of which less than
+/// half is in use, although they have no capacity until runs end that are past
+/// their estimates.
 #[test]
 fn gangs_that_cannot_start_do_not_reserve_the_whole_fleet() {
     let mut cluster = TestCluster::with_cores(16, 10);
@@ -160,17 +166,18 @@
     }
     sim.simulate(2_000);
     let small = kit::with_estimate(kit::step(1, 2), 3_000);
-    let patient = fleet::Queue {
+    let lenient_queue = fleet::Queue {
         target_latency_ms: 10_000,
         ..kit::queue(2)
     };
-    sim.cluster.run(9, &patient, vec![small]);
+    sim.cluster.run(9, &lenient_queue, vec![small]);
     sim.simulate(5_000);
     assert_eq!(sim.runs(9), 1);
 }
 
-/// Whether job 500 begins within 40 s beside jobs 1 and 2, of one step each that
-/// end in turn, with always one more of them that can still be in time.
+/// Whether job 500 starts within 40 s beside jobs 1 and 2, of one step each,
+/// which end in turn while there is always one more such job that can still be
+/// in time.
 fn starts_beside_a_stream(cluster: &mut TestCluster, single: &fleet::StepDescription) -> bool {
     let mut running = [(1, 20_u32), (2, 10)];
     let mut next = 3;
@@ -198,7 +205,7 @@
     false
 }
 
-/// Two workers are held by tasks that last, two have work that ends.
+/// Two workers are occupied by long-running tasks, two by work that ends.
 #[test]
 fn a_gang_does_not_wait_for_long_running_tasks() {
     let mut cluster = TestCluster::with_cores(4, 10);
@@ -215,7 +222,8 @@
     assert!(starts_beside_a_stream(&mut cluster, &single));
 }
 
-/// A gang that no fleet of this size holds was there first.
+/// Guards against a gang that is too large for the fleet, was submitted first,
+/// and keeps a smaller gang from its reservation.
 #[test]
 fn an_infeasible_gang_does_not_block_another_gang() {
     let mut cluster = TestCluster::with_cores(2, 10);
@@ -228,7 +236,7 @@
     assert!(starts_beside_a_stream(&mut cluster, &single));
 }
 
-/// Less urgent small work keeps the only way to the service busy.
+/// Less urgent small work keeps the only advice channel busy.
 #[test]
 fn a_gang_is_queried_before_less_urgent_work() {
     let mut cluster = TestCluster::with_cores(3, 10);
@@ -252,13 +260,19 @@
     for at in 0..100 {
         sim.simulate(STEP_MS);
         sim.end_small(4 * STEP_MS);
-        let asked = sim.asked.iter().any(|(_, q)| q.task.job == kit::job_id(1));
+        let asked = sim
+            .pending_queries
+            .iter()
+            .any(|(_, q)| q.task.job == kit::job_id(1));
         asked_at = asked_at.or(asked.then_some(at * STEP_MS));
     }
-    assert!(asked_at.is_some_and(|at| at <= 1_000), "asked {asked_at:?}");
+    assert!(
+        asked_at.is_some_and(|at| at <= 1_000),
+        "first queried at {asked_at:?}"
+    );
 }
 
-/// The answer to a question of an instance that has left comes late.
+/// The response to a query of an instance that has left arrives late.
 #[test]
 fn a_late_response_does_not_end_the_next_query() {
     let mut cluster = TestCluster::new(4);
@@ -272,10 +286,15 @@
     assert_eq!(cluster.queries.len(), 1);
     cluster.scheduler.advice_answered(&first, None, cluster.now);
     cluster.advance(300);
-    assert_eq!(cluster.queries.len(), 1, "asked twice at the same time");
+    assert_eq!(
+        cluster.queries.len(),
+        1,
+        "two queries for a step at the same time"
+    );
 }
 
-/// A task that lasts was submitted long ago, and has ended just now.
+/// Guards against a long-running task that is ranked by its submission: it was
+/// submitted long ago, but has ended just now.
 #[test]
 fn a_long_running_task_restarts_before_late_work_of_lower_priority() {
     let mut cluster = TestCluster::with_cores(1, 10);
@@ -291,7 +310,8 @@
     assert_eq!(cluster.placed(kit::task(1, 0, 0)).len(), 1);
 }
 
-/// An occurrence counts from when it is due, not from the submission.
+/// The lateness of an occurrence counts from its due time, not from the
+/// submission.
 #[test]
 fn a_due_occurrence_starts_before_late_work_of_lower_priority() {
     let mut cluster = TestCluster::with_cores(1, 10);
--- a/crates/figscale-core/tests/fleet/gangs.rs
+++ b/crates/figscale-core/tests/fleet/gangs.rs
@@ -1,4 +1,4 @@
-//! Tasks that work only together.
+//! Gangs: tasks that run only together.
 
 use figscale_types::fleet;
 use figscale_types::fleet::End;
@@ -60,10 +60,10 @@
 #[test]
 fn a_refused_member_stops_the_others() {
     let mut cluster = TestCluster::with_cores(2, 10);
-    cluster.worker(1).answer = Some(StartOutcome::Refused(StartRefusal::NoRoom));
+    cluster.worker(1).start_outcome = Some(StartOutcome::Refused(StartRefusal::NoRoom));
     cluster.run(1, &kit::queue(1), vec![kit::gang(2, 8)]);
     assert!(!cluster.stops.is_empty());
-    cluster.worker(1).answer = None;
+    cluster.worker(1).start_outcome = None;
     cluster.advance(600);
     let attempts: Vec<u32> = (0..2)
         .map(|index| cluster.placed(kit::task(1, 0, index))[0].1)
@@ -88,8 +88,9 @@
     assert!(racks.iter().all(|rack| *rack == racks[0]), "{racks:?}");
 }
 
-/// Small lasting work keeps coming; without room kept free a wide gang would
-/// never find four cores on three workers at once.
+/// Guards against a wide gang that never finds four free cores on three workers
+/// at once, since small work of some length keeps arriving and takes what
+/// becomes free.
 #[test]
 fn a_wide_gang_is_not_starved_by_small_work() {
     let mut cluster = TestCluster::with_cores(3, 4);
@@ -112,7 +113,8 @@
     panic!("the gang never started");
 }
 
-/// Members that have done their part wait for the slowest without working.
+/// Members that have done their part use no processor while they wait for the
+/// slowest. The gang counts as stalled only once no member works.
 #[test]
 fn members_waiting_for_others_are_not_taken_for_stalled() {
     let mut cluster = TestCluster::new(2);
@@ -130,6 +132,6 @@
     cluster.advance(2_500);
     assert!(
         !cluster.stops.is_empty(),
-        "a gang of which nobody works is left alone"
+        "a gang without a working member was not stopped"
     );
 }
--- a/crates/figscale-core/tests/fleet/hopeless.rs
+++ b/crates/figscale-core/tests/fleet/hopeless.rs
@@ -1,8 +1,8 @@
-//! Steps that no worker has room for: they cost a pass nothing but their
-//! ranking, and leaving them out changes no decision.
+//! Steps that no worker has capacity for: a pass only ranks them, and skipping
+//! them changes no decision.
 //!
-//! Seen: beside a slow leader 1,200 quick jobs that were late waited at once,
-//! and each pass tried every one of them.
+//! Guards against passes that try each of these steps: with a slow leader 1,200
+//! late quick jobs waited at once, and each pass tried every one of them.
 
 use std::mem;
 
@@ -17,7 +17,7 @@
 const WORKERS: usize = 100;
 const BACKLOG: u64 = 1_200;
 
-/// Tasks of one core and so much memory.
+/// A step of tasks of one core and `memory_mb` each.
 fn step(count: u32, memory_mb: u64) -> fleet::StepDescription {
     let step = kit::step(count, 1);
     let room = fleet::Room {
@@ -27,7 +27,7 @@
     fleet::StepDescription { room, ..step }
 }
 
-/// A fleet with processor but no memory left, and quick jobs that wait.
+/// A fleet with free processor but no free memory, and quick jobs that wait.
 fn fleet_without_memory(queue: &fleet::Queue) -> TestCluster {
     let config = Config {
         max_of_objective_percent: 1_000_000,
@@ -59,12 +59,12 @@
     assert_eq!(cluster.scheduler.take_actions(), reference.take_actions());
     let scanned = cluster.scheduler.counts(cluster.now).pass_looks;
     let scanned_trying_all = reference.counts(cluster.now).pass_looks;
-    println!("{scanned} looks, {scanned_trying_all} when all are tried");
+    println!("{scanned} workers scanned, {scanned_trying_all} when all steps are tried");
     assert!(scanned <= 2 * WORKERS, "{scanned}");
     assert!(scanned_trying_all > 500 * WORKERS, "{scanned_trying_all}");
 }
 
-/// Numbers that look drawn by chance.
+/// Generator of pseudo-random numbers, the same sequence for a seed.
 struct RandomSource(u64);
 
 impl RandomSource {
@@ -79,7 +79,8 @@
     }
 }
 
-/// Two services, of which one has accelerators, with workers of several sizes.
+/// Adds workers of several sizes in two services, one of which has
+/// accelerators.
 fn add_workers(cluster: &mut TestCluster, random: &mut RandomSource) {
     for number in 0..30 {
         cluster.add_worker(number, 8 + 8 * random.below(8));
@@ -126,8 +127,8 @@
     }
 }
 
-/// Plans on a copy that tries everything, and compares; true if anything was
-/// decided.
+/// Plans, and compares with a copy that tries every step; returns whether
+/// anything was decided.
 fn plan_and_compare(cluster: &mut TestCluster) -> bool {
     let mut reference = cluster.scheduler.clone();
     reference.plan_trying_all(cluster.now);
@@ -139,7 +140,7 @@
     !decided.is_empty()
 }
 
-/// Passes that decided something.
+/// Simulates random jobs; returns the number of passes that decided something.
 fn simulate(seed: u64) -> usize {
     let mut random = RandomSource(seed);
     let config = Config {
--- a/crates/figscale-core/tests/fleet/kit.rs
+++ b/crates/figscale-core/tests/fleet/kit.rs
@@ -1,4 +1,5 @@
-//! A scheduler between workers, a store and an advisory service in memory.
+//! Test helpers: a scheduler with workers, a store and an advisory service
+//! simulated in memory.
 
 use std::ops;
 use std::time;
@@ -105,7 +106,8 @@
     }
 }
 
-/// Tickets for those workers of a question that may run its step, by number.
+/// Tickets for those workers of a query that may run its step. `good` takes the
+/// number of a worker.
 pub(crate) fn tickets(query: &Question, good: impl Fn(usize) -> bool) -> Vec<fleet::Ticket> {
     tickets_of(query, |id| good(id.as_str()[2..].parse().unwrap()))
 }
@@ -119,7 +121,7 @@
     tickets.collect()
 }
 
-/// Numbers from 0 to 1, the same ones in each run.
+/// Generator of numbers from 0 to 1, the same sequence in each run.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
@@ -130,21 +132,23 @@
     }
 }
 
-/// A worker that starts what it is told to and ends it when the test says so.
+/// Simulated worker. It starts what it is ordered to, and its runs end when the
+/// test ends them.
 pub(crate) struct FakeWorker {
     pub(crate) entry: fleet::WorkerEntry,
     pub(crate) running: IndexMap<(fleet::TaskId, u32), fleet::RunningTask>,
     pub(crate) finished: Vec<fleet::FinishedRun>,
     pub(crate) orders: Vec<fleet::StartOrder>,
     pub(crate) reachable: bool,
-    /// What a start is answered with, in place of success.
-    pub(crate) answer: Option<StartOutcome>,
-    /// Whether a stop ends a run at once; else the test ends it.
+    /// Outcome returned for a start order in place of success.
+    pub(crate) start_outcome: Option<StartOutcome>,
+    /// Whether a stop order ends its run at once; otherwise the test ends the
+    /// run.
     pub(crate) stops_at_once: bool,
     ended: u64,
 }
 
-/// Everything around one scheduler.
+/// One scheduler with its simulated workers, store and pending queries.
 pub(crate) struct TestCluster {
     pub(crate) scheduler: Scheduler,
     pub(crate) now: time::Instant,
@@ -155,15 +159,15 @@
     pub(crate) notes: Vec<Note>,
     pub(crate) stops: Vec<(fleet::WorkerId, fleet::TaskId, u32)>,
     pub(crate) stepped_down: bool,
-    /// Whether records are written and entries read.
+    /// Whether the store takes records and returns worker entries.
     pub(crate) store_available: bool,
-    /// Workers that there have been.
+    /// Number of workers ever added; the next one gets this number.
     pub(crate) added: usize,
     begun: time::Instant,
 }
 
 impl TestCluster {
-    /// So many workers of 64 cores, in racks of four.
+    /// Creates `workers` workers of 64 cores, in racks of four.
     pub(crate) fn new(workers: usize) -> Self {
         Self::with_cores(workers, 64)
     }
@@ -221,14 +225,15 @@
             finished: Vec::new(),
             orders: Vec::new(),
             reachable: true,
-            answer: None,
+            start_outcome: None,
             stops_at_once: true,
             ended: 0,
         };
         self.workers.insert(worker_id(number), worker);
     }
 
-    /// Entry instances with these numbers can ask the advisory service.
+    /// Adds the entry instances with these numbers; each can query the advisory
+    /// service.
     pub(crate) fn join_entries(&mut self, numbers: ops::RangeInclusive<usize>) {
         for number in numbers {
             let member = format!("entry-{number}").parse().unwrap();
@@ -255,7 +260,8 @@
             .submit(job_id(number), queue, description, self.now, self.wall_ms)
     }
 
-    /// Submits, writes and places.
+    /// Submits a job, which must be accepted, writes its record and places its
+    /// tasks.
     pub(crate) fn run(
         &mut self,
         number: u64,
@@ -290,7 +296,8 @@
         }
     }
 
-    /// Reports, writes, plans and carries out until nothing changes.
+    /// Delivers reports, writes records, plans and executes actions until no
+    /// action is left, for eight rounds at most.
     pub(crate) fn settle(&mut self) {
         for _ in 0..8 {
             self.report_all();
@@ -304,7 +311,8 @@
         }
     }
 
-    /// Lets time pass in small parts, with reports as they come.
+    /// Advances time in steps of 100 ms, with a tick and all reports at each
+    /// step.
     pub(crate) fn advance(&mut self, time_ms: u64) {
         for _ in 0..time_ms.div_ceil(100) {
             self.now += ms(100);
@@ -314,7 +322,8 @@
         }
     }
 
-    /// Entries are read, and workers report.
+    /// Reads the worker entries, unless the store is unavailable, and delivers
+    /// a report of each worker.
     pub(crate) fn report_all(&mut self) {
         let ids: Vec<fleet::WorkerId> = self.workers.keys().cloned().collect();
         if self.store_available {
@@ -343,7 +352,7 @@
         self.scheduler.worker_reported(id, &report, self.now);
     }
 
-    /// Carries out actions; true if there were any.
+    /// Executes pending actions; returns whether there were any.
     pub(crate) fn execute_actions(&mut self) -> bool {
         let actions = self.scheduler.take_actions();
         let any = !actions.is_empty();
@@ -367,9 +376,9 @@
         let clock_ms = self.clock_ms();
         let worker = self.workers.get_mut(id).unwrap();
         worker.orders.push(order.clone());
-        let outcome = match (worker.reachable, worker.answer) {
+        let outcome = match (worker.reachable, worker.start_outcome) {
             (false, _) => StartOutcome::Unknown,
-            (true, Some(answer)) => answer,
+            (true, Some(outcome)) => outcome,
             (true, None) => StartOutcome::Started { clock_ms },
         };
         if matches!(outcome, StartOutcome::Started { .. }) {
@@ -387,14 +396,15 @@
         }
     }
 
-    /// Where a task runs once; `None` if it runs nowhere.
+    /// The worker on which a task runs; `None` if it runs nowhere. Panics if it
+    /// runs more than once.
     pub(crate) fn host_worker(&self, task: fleet::TaskId) -> Option<fleet::WorkerId> {
         let placed = self.placed(task);
         assert!(placed.len() <= 1, "{task} runs at {placed:?}");
         placed.into_iter().next().map(|(worker, _)| worker)
     }
 
-    /// A worker crashes: its calls fail, nothing runs there any more.
+    /// Crashes a worker: calls to it fail, and nothing runs there any more.
     pub(crate) fn crash(&mut self, id: &fleet::WorkerId) {
         let worker = self.workers.get_mut(id).unwrap();
         worker.reachable = false;
@@ -404,7 +414,7 @@
         self.settle();
     }
 
-    /// Another worker comes in the place of one that has crashed.
+    /// Replaces a crashed worker by a new one.
     pub(crate) fn replace(&mut self, id: &fleet::WorkerId, cores: u64) {
         self.workers.swap_remove(id);
         self.scheduler.worker_replaced(id, self.now);
@@ -414,7 +424,7 @@
         self.settle();
     }
 
-    /// Where a task runs, with the attempt.
+    /// All runs of a task: worker and attempt.
     pub(crate) fn placed(&self, task: fleet::TaskId) -> Vec<(fleet::WorkerId, u32)> {
         let mut found = Vec::new();
         for (id, worker) in &self.workers {
@@ -427,7 +437,7 @@
         found
     }
 
-    /// Ends a task wherever it runs.
+    /// Ends the only run of a task, on whichever worker it is.
     pub(crate) fn end(&mut self, task: fleet::TaskId, end: fleet::End) {
         let placed = self.placed(task);
         assert_eq!(placed.len(), 1, "{task} runs at {placed:?}");
@@ -439,7 +449,7 @@
         self.settle();
     }
 
-    /// Attempts under which a task was ordered to a worker.
+    /// Attempts of the start orders that a worker has received.
     pub(crate) fn attempts_at(&mut self, number: usize) -> Vec<u32> {
         let orders = self.worker(number).orders.iter();
         orders.map(|order| order.attempt).collect()
@@ -452,7 +462,8 @@
             .sum()
     }
 
-    /// Answers the oldest question; `good` says who may run the step.
+    /// Responds to the oldest query; `good` decides which workers may run the
+    /// step.
     pub(crate) fn respond(&mut self, good: impl Fn(&fleet::WorkerId) -> bool) -> Question {
         let query = self.queries.remove(0);
         let tickets = tickets_of(&query, good);
@@ -462,7 +473,8 @@
         query
     }
 
-    /// A new leader over the same store and workers.
+    /// Replaces the scheduler by that of a new leader, with the same store and
+    /// workers.
     pub(crate) fn take_over(&mut self, epoch: u64) {
         let config = Config {
             epoch: fleet::Epoch(epoch),
--- a/crates/figscale-core/tests/fleet/leaving.rs
+++ b/crates/figscale-core/tests/fleet/leaving.rs
@@ -1,8 +1,9 @@
-//! Workers that are emptied and taken away while long tasks run on them.
+//! Workers that are drained and removed while long tasks run on them.
 //!
-//! The pattern: some workers say that they leave within 2 to 9 s; most tasks on
-//! them last 6 s, and many save their progress every 2 s. What still runs when
-//! such a worker goes is otherwise lost with it and waits for its lease.
+//! Some workers announce that they leave within 2 to 9 s; most tasks on them
+//! last 6 s, and many save their progress every 2 s. A run that is still there
+//! when its worker goes is lost, and its task waits for the end of the worker's
+//! lease.
 
 use figscale_types::fleet;
 use figscale_types::fleet::End;
@@ -11,7 +12,7 @@
 use crate::kit;
 use crate::kit::TestCluster;
 
-/// Has a worker say that it leaves.
+/// Has a worker announce that it leaves.
 fn drain(cluster: &mut TestCluster, number: usize, leaves_in_ms: u64) {
     let entry = fleet::WorkerEntry {
         draining: true,
@@ -24,7 +25,8 @@
     cluster.scheduler.worker_leaves(&kit::worker_id(number), at);
 }
 
-/// A cell of two workers with one task on one of them; the number of that one.
+/// A test cluster of two workers with a task on one of them, and the number of
+/// that worker.
 fn cluster_with_task() -> (TestCluster, usize) {
     let mut cluster = TestCluster::new(2);
     cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
@@ -71,8 +73,8 @@
     assert_eq!(placed, [(kit::worker_id(1 - host_worker), 2)]);
 }
 
-/// Otherwise whatever the next leader does not find waits for the lease of a
-/// worker that has gone.
+/// Guards against a task that the next leader does not find, and that waits for
+/// the lease of a worker that has gone with nothing running.
 #[test]
 fn the_next_leader_does_not_wait_for_an_emptied_worker() {
     let (mut cluster, host_worker) = cluster_with_task();
@@ -89,14 +91,14 @@
     );
 }
 
-/// An order that was not answered may still arrive.
+/// An unanswered order may still arrive.
 #[test]
 fn the_next_leader_waits_for_a_worker_with_an_unanswered_order() {
     let mut cluster = TestCluster::new(1);
-    cluster.worker(0).answer = Some(fleet::StartOutcome::Unknown);
+    cluster.worker(0).start_outcome = Some(fleet::StartOutcome::Unknown);
     cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
     drain(&mut cluster, 0, 5_000);
-    cluster.worker(0).answer = None;
+    cluster.worker(0).start_outcome = None;
     cluster.advance(200);
     cluster.worker(0).reachable = false;
     cluster.add_worker(1, 64);
--- a/crates/figscale-core/tests/fleet/load.rs
+++ b/crates/figscale-core/tests/fleet/load.rs
@@ -1,11 +1,11 @@
-//! Two peaks over a fleet that is busy already, and who gets what.
+//! Two peaks of load on a fleet that is already busy, and what its jobs earn.
 //!
-//! The pattern is the users' heaviest: three kinds of jobs ask for 0.8 of all
-//! processors on average, as their sheets say, and come more than twice as
+//! The load follows the users' heaviest pattern: three kinds of jobs need 0.8
+//! of all processors on average, by their sheets, and arrive more than twice as
 //! often for four seconds, first the quick ones and later the gangs. Shapes,
 //! rates, estimates and worths are those of the sheet of Fraser Reach, for a
 //! twelfth of its workers (4 of 64 cores). Durations differ from estimates by
-//! up to a fifth. Callers wait 3 s in all and come back when they are told to.
+//! up to a fifth. Callers wait 3 s in all, and retry when they are told to.
 
 use std::time;
 
@@ -19,14 +19,15 @@
 
 const WORKERS: usize = 4;
 const CORES: u64 = 64;
-/// Part of the fleet of the sheet that is played.
+/// Fraction of the fleet of the sheet that is simulated.
 const FLEET_PART: f64 = 1.0 / 12.0;
 const SEEDS: u64 = 6;
 const STEP_MS: u64 = 100;
 const TRAFFIC_MS: u64 = 30_000;
 const AFTER_MS: u64 = 30_000;
 const CALLER_TIMEOUT: time::Duration = time::Duration::from_secs(3);
-/// What is paid for a job that ends within three objectives, but not one.
+/// Fraction of its worth that is paid for a job that ends within three times
+/// its objective, but not within it.
 const LATE_PAYMENT_PART: f64 = 0.2;
 
 /// One kind of job.
@@ -35,7 +36,7 @@
     worth: f64,
     queue: fleet::Queue,
     step: fleet::StepDescription,
-    /// When it comes more often, in milliseconds, and how much.
+    /// Start of its peak in milliseconds, and the factor of its rate there.
     peak: (u64, f64),
 }
 
@@ -82,9 +83,9 @@
 
 #[derive(Debug)]
 struct Outcome {
-    /// Paid of what was asked for.
+    /// Fraction of the worth of all submitted jobs that was earned.
     earned: f64,
-    /// Of 1,000 jobs.
+    /// Refused jobs of 1,000.
     refused: usize,
 }
 
@@ -92,7 +93,7 @@
     cluster: TestCluster,
     kinds: Vec<Kind>,
     callers: Vec<Caller>,
-    /// When what runs will end.
+    /// When each run will end.
     ends: IndexMap<(fleet::TaskId, u32), time::Instant>,
     random: kit::Random,
 }
@@ -147,7 +148,7 @@
         }
     }
 
-    /// A step of a kind; lengths and widths are from half to twice the mean.
+    /// A step of a kind; durations and widths are from half to twice the mean.
     fn vary_step(&mut self, kind: usize) -> fleet::StepDescription {
         let longer = 0.5 + 1.5 * self.random.next().powi(2);
         let wider = 0.5 + 1.5 * self.random.next().powi(2);
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Ends what has run for its time, and notes what has started.
+    /// Schedules the ends of new runs, and ends the runs that are due.
     fn end_due(&mut self) {
         let now = self.cluster.now;
         let workers = self.cluster.workers.values();
@@ -242,13 +243,13 @@
     }
 }
 
-/// What a task takes by its estimate, the same in each run.
+/// Ratio of a task's duration to its estimate, the same in each run.
 fn duration_factor(task: &fleet::TaskId) -> f64 {
     let mixed = (task.job.0 + u64::from(task.index) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     0.8 + 0.4 * (mixed >> 40) as f64 / f64::from(1_u32 << 24)
 }
 
-/// Means over some seeds.
+/// Means over all seeds: the fraction earned, and the jobs refused of 1,000.
 fn simulate(max_of_objective_percent: u32) -> (f64, usize) {
     let outcomes: Vec<Outcome> = (1..=SEEDS)
         .map(|seed| Load::new(max_of_objective_percent, seed).simulate())
@@ -259,8 +260,8 @@
     (earned / SEEDS as f64, refused / SEEDS as usize)
 }
 
-/// Jobs that would be late are worth taking: what is late makes way for what
-/// is not, so most of them are in time after all.
+/// It pays to accept jobs that would be late: late work makes way for work that
+/// is not, so most of these jobs are in time after all.
 #[test]
 fn accepting_possibly_late_jobs_earns_more_over_two_peaks() {
     let strict = simulate(100);
--- a/crates/figscale-core/tests/fleet/losses.rs
+++ b/crates/figscale-core/tests/fleet/losses.rs
@@ -1,12 +1,12 @@
-//! Calls of workers that get lost, and workers that fall silent.
+//! Lost calls to workers, and workers that become unresponsive.
 //!
-//! The pattern: for some seconds one order in thirty gets no answer, the calls
-//! that wait for ends among them. Packing has put the tasks of many quick jobs
-//! on one worker, so one lost call hides the ends of many jobs. Measured on whole
-//! days with such spells, five seeds, shorter waits and no new work for
-//! workers whose calls are overdue took the worth of the day from 0.892 to 0.911
-//! where the spell met a peak of quick jobs, and from 0.766 to 0.772 where an
-//! outage weighs more.
+//! For some seconds one order in thirty gets no response, among them the calls
+//! that wait for ends. Packing has put the tasks of many quick jobs on one
+//! worker, so one lost call hides the ends of many jobs. Over whole simulated
+//! days with such intervals, five seeds, shorter waits and no new work for
+//! workers with overdue calls raised the worth of the day from 0.892 to 0.911
+//! where the interval coincided with a peak of quick jobs, and from 0.766 to
+//! 0.772 where an outage weighs more.
 
 use std::time;
 
--- a/crates/figscale-core/tests/fleet/main.rs
+++ b/crates/figscale-core/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! The scheduler of a fleet, with workers and a store that are plain memory.
+//! Tests of the fleet scheduler with workers, store and advisory service
+//! simulated in memory.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
--- a/crates/figscale-core/tests/fleet/passes.rs
+++ b/crates/figscale-core/tests/fleet/passes.rs
@@ -1,18 +1,19 @@
-//! What a pass costs beside a backlog of gangs, and who pays for it.
+//! Cost of a placement pass beside a backlog of gangs.
 //!
-//! Seen: quick jobs, which had room and lanes of their own, earned less than
-//! their floor on a day with a long backlog of gangs. Beside 10 to 20 waiting
-//! gangs the leader planned 300 times a second and took a new job in 20 ms;
-//! beside 75 to 90 it planned 50 times and took 150 ms, and what had ended was
-//! seen 0.2 s later. A quick job has 0.6 s to spare.
+//! Guards against passes that become slow with the number of waiting gangs. On
+//! a day with a long backlog of gangs, quick jobs earned less than their floor
+//! although they had capacity and advice channels of their own. Beside 10 to 20
+//! waiting gangs the leader planned 300 times a second and accepted a new job
+//! in 20 ms; beside 75 to 90 it planned 50 times a second and took 150 ms, and
+//! ends were seen 0.2 s later. A quick job has 0.6 s to spare.
 //!
-//! How it came about: a peak of gangs, after which all lanes for long questions
-//! are busy. What caused it: each pass reckons a reservation and a question
-//! for every gang that waits, over all workers, though three gangs may keep
-//! workers and no lane can take a question. What proved it: the time of a pass
-//! by the number of gangs, with nothing else that waits. The time followed the
-//! looks at workers, and these are counted here: of two clocked passes one may
-//! have more of a busy machine than the other.
+//! It came about after a peak of gangs, when all advice channels for long
+//! queries are busy. Each pass computed a reservation and a query for every
+//! waiting gang, over all workers, although only three gangs may reserve
+//! workers and no channel can take a query. The time of a pass followed the
+//! number of gangs, with nothing else waiting, and the number of workers
+//! scanned. The test counts the scanned workers, since of two timed passes one
+//! may run while the machine is busier.
 
 use std::mem;
 
@@ -28,11 +29,11 @@
 const MEMBERS: usize = 35;
 const FEW_GANGS: u64 = 30;
 const MANY_GANGS: u64 = 150;
-/// Rounds of answers before the service falls silent: some gangs then know
-/// enough good workers, others wait for their first question.
+/// Rounds of responses before the service stops responding: some gangs then
+/// know enough good workers, others wait for their first query.
 const ANSWERED_ROUNDS: usize = 3;
-/// A pass beside five times the gangs may look at workers at most so many times
-/// as often.
+/// Beside five times the gangs, a pass may scan at most this many times as many
+/// workers.
 const MAX_GROWTH: f64 = 2.0;
 
 fn gangs() -> fleet::Queue {
@@ -48,8 +49,8 @@
     }
 }
 
-/// A full fleet, with so many gangs that wait and all lanes for long questions
-/// busy.
+/// A full fleet with `gangs_waiting` gangs that wait and all channels for long
+/// queries busy.
 fn full_fleet(gangs_waiting: u64) -> TestCluster {
     let mut cluster = TestCluster::with_cores(WORKERS, CORES);
     cluster.join_entries(1..=MEMBERS);
@@ -70,15 +71,15 @@
     for _ in 0..ANSWERED_ROUNDS {
         cluster.settle();
         for query in mem::take(&mut cluster.queries) {
-            answer(&mut cluster, &query);
+            respond_to(&mut cluster, &query);
         }
     }
     cluster.settle();
     cluster
 }
 
-/// One worker in three may run a gang.
-fn answer(cluster: &mut TestCluster, query: &Question) {
+/// Responds that one worker in three may run a gang.
+fn respond_to(cluster: &mut TestCluster, query: &Question) {
     let job = query.task.job.0;
     let tickets = kit::tickets(query, |worker| (worker as u64 + job).is_multiple_of(3));
     cluster
@@ -86,19 +87,25 @@
         .advice_answered(query, Some(tickets), cluster.now);
 }
 
-/// Looks at workers of a pass that finds nothing to do.
+/// Number of workers scanned by a pass that finds nothing to do.
 fn workers_scanned_by_a_pass(cluster: &mut TestCluster) -> usize {
     cluster.scheduler.plan(cluster.now);
     assert!(cluster.scheduler.take_actions().is_empty());
     cluster.scheduler.counts(cluster.now).pass_looks
 }
 
-/// A pass that can start and ask nothing costs little, however many gangs wait.
+/// A pass that can start and query nothing costs little, however many gangs
+/// wait.
 #[test]
 fn a_backlog_of_gangs_does_not_slow_placement_passes() {
     let few = workers_scanned_by_a_pass(&mut full_fleet(FEW_GANGS));
     let many = workers_scanned_by_a_pass(&mut full_fleet(MANY_GANGS));
     let growth = many as f64 / few as f64;
-    println!("a pass beside {FEW_GANGS} gangs looks {few} times, beside {MANY_GANGS} {many} times");
-    assert!(growth < MAX_GROWTH, "{growth:.1} times as many looks");
+    println!(
+        "a pass beside {FEW_GANGS} gangs scans {few} workers, beside {MANY_GANGS} gangs {many}"
+    );
+    assert!(
+        growth < MAX_GROWTH,
+        "{growth:.1} times as many workers scanned"
+    );
 }
--- a/crates/figscale-core/tests/fleet/placing.rs
+++ b/crates/figscale-core/tests/fleet/placing.rs
@@ -1,4 +1,4 @@
-//! Where tasks go, and which go first.
+//! Placement: which workers run tasks, and which tasks start first.
 
 use figscale_types::fleet;
 use figscale_types::fleet::End;
@@ -32,7 +32,8 @@
     assert_eq!(cluster.starts(), 2);
 }
 
-/// A new leader finds a run of a job that has ended, still being stopped.
+/// A new leader finds a run of a job that has ended, and which is still being
+/// stopped.
 #[test]
 fn an_orphan_run_occupies_its_worker() {
     let mut cluster = TestCluster::with_cores(1, 10);
@@ -48,7 +49,7 @@
     let free = 10 - 8;
     assert!(
         free < 8 && cluster.starts() == 1,
-        "started beside a run that takes the room"
+        "started beside a run that occupies the worker"
     );
 }
 
@@ -146,7 +147,7 @@
     assert!(cluster.placed(kit::task(2, 0, 0)).is_empty());
 }
 
-/// What is late earns less than what can still be in time.
+/// A late job earns less than one that can still be in time.
 #[test]
 fn a_late_job_does_not_delay_one_that_can_be_in_time() {
     let mut cluster = TestCluster::with_cores(1, 1);
--- a/crates/figscale-core/tests/fleet/proof.rs
+++ b/crates/figscale-core/tests/fleet/proof.rs
@@ -1,5 +1,5 @@
-//! Proofs that a configuration is still in force: keys taken away while an
-//! instance cannot hear of it.
+//! Proofs that a configuration is still in force, for keys that are revoked
+//! while an instance cannot learn of it.
 
 use std::time;
 
@@ -11,7 +11,8 @@
 
 const BOUND: Option<time::Duration> = Some(time::Duration::from_millis(5_000));
 
-/// Guards against an instance cut from the store that serves a revoked key.
+/// Guards against an instance without access to the store that accepts a
+/// revoked key.
 #[test]
 fn a_proof_expires_while_the_store_is_unavailable() {
     let mut proof = ConfigProof::default();
@@ -20,13 +21,13 @@
     assert!(proof.holds(BOUND, ms(5_600)));
     assert!(
         !proof.holds(BOUND, ms(6_000)),
-        "the bound itself is too late"
+        "the proof is over at the bound itself"
     );
     assert!(proof.holds(None, ms(600_000)), "no bound is set");
 }
 
-/// Guards against a silent watch, or one that brings old news, that is taken for a
-/// proof: the store may have moved on unheard.
+/// Guards against a watch without events, or with outdated ones, that is taken
+/// for a proof: the store may hold a newer revision.
 #[test]
 fn a_watch_event_does_not_extend_a_proof() {
     let mut proof = ConfigProof::default();
@@ -36,7 +37,8 @@
     assert!(!proof.holds(BOUND, ms(6_000)));
 }
 
-/// Guards against an answer that was long on its way: it counts from its question.
+/// Guards against a delayed response that is taken for fresh: its age counts
+/// from the request.
 #[test]
 fn a_late_response_is_dated_by_its_request() {
     let mut proof = ConfigProof::default();
@@ -45,11 +47,12 @@
     assert_eq!(
         proof.age(ms(1_500)),
         Some(ms(500)),
-        "an older one adds nothing"
+        "an older read does not extend the proof"
     );
 }
 
-/// Guards against a leader cut off that goes on confirming what it knows.
+/// Guards against a leader without access to the store that goes on confirming
+/// its configuration.
 #[test]
 fn a_forwarded_proof_keeps_its_age() {
     let mut leader = ConfigProof::default();
@@ -58,12 +61,13 @@
     let mut entry = ConfigProof::default();
     entry.read(7, ms(10_000));
     assert_eq!(entry.told(stamp, ms(20_000)), Told::Confirmed);
-    assert!(entry.holds(BOUND, ms(21_600)), "3 s old when it was told");
+    assert!(entry.holds(BOUND, ms(21_600)), "the stamp was 3 s old");
     assert!(!entry.holds(BOUND, ms(22_000)));
 }
 
-/// Guards against a revoked key at an instance whose leader knows of the change
-/// already: a stamp of a newer revision confirms nothing here.
+/// Guards against a revoked key that is accepted by an instance whose leader
+/// already knows of the change: a stamp of a newer revision confirms nothing at
+/// the instance.
 #[test]
 fn a_stamp_of_a_newer_revision_requires_a_read() {
     let mut entry = ConfigProof::default();
@@ -79,5 +83,8 @@
         age_ms: 0,
     };
     assert_eq!(entry.told(older, ms(16_000)), Told::Confirmed);
-    assert!(entry.holds(BOUND, ms(16_000)), "what is known includes it");
+    assert!(
+        entry.holds(BOUND, ms(16_000)),
+        "the known revision includes it"
+    );
 }
--- a/crates/figscale-core/tests/fleet/records.rs
+++ b/crates/figscale-core/tests/fleet/records.rs
@@ -1,4 +1,4 @@
-//! What is written, and what hangs on it.
+//! Records in the store, and what must wait for their writes.
 
 use figscale_core::fleet::RecordKey;
 use figscale_types::fleet;
@@ -21,13 +21,13 @@
         written > 0 && written < 20,
         "{written} of 20 in a transaction of 12 records"
     );
-    let kept = |number: &u64| {
+    let in_store = |number: &u64| {
         cluster
             .store
             .contains_key(&RecordKey::Job(kit::job_id(*number)))
     };
     for number in 1..=20 {
-        assert_eq!(stored(&number), kept(&number), "job {number}");
+        assert_eq!(stored(&number), in_store(&number), "job {number}");
         assert!(cluster.scheduler.state(kit::job_id(number)).is_some());
     }
 }
@@ -65,8 +65,8 @@
     assert_eq!(acknowledged(&mut cluster), 1);
 }
 
-/// Several writes are on their way at once and end out of order: an end is
-/// acknowledged when the records of all jobs before it are in the store.
+/// Several writes are in flight at once and complete out of order. An end is
+/// acknowledged once the records of all jobs before it are in the store.
 #[test]
 fn ends_are_acknowledged_after_every_earlier_write() {
     let mut cluster = TestCluster::new(1);
@@ -146,9 +146,9 @@
     assert!(cluster.store.contains_key(&RecordKey::Workers));
 }
 
-/// A burst brings more new jobs than the store takes. An end that stays out of
-/// the store is lost with its worker, and its task runs again under the next
-/// leader.
+/// A burst of more new jobs than one write takes must not delay the records of
+/// ends. An end that is not in the store is lost with its worker, and its task
+/// runs again under the next leader.
 #[test]
 fn ends_are_written_during_a_burst_of_new_jobs() {
     let mut cluster = TestCluster::new(1);
@@ -173,12 +173,13 @@
         cluster
             .store
             .contains_key(&RecordKey::Progress(kit::job_id(1))),
-        "the end waits for new jobs"
+        "the end is written after the new jobs"
     );
     assert_eq!(cluster.scheduler.report_due(&id).unwrap().acknowledged, 1);
 }
 
-/// Nothing of a new job can have run, so no end's effect is in its record.
+/// Nothing of a new job can have run, so its record contains no effect of an
+/// end.
 #[test]
 fn ends_do_not_wait_for_the_records_of_new_jobs() {
     let mut cluster = TestCluster::new(1);
@@ -194,7 +195,7 @@
     assert_eq!(cluster.scheduler.report_due(&id).unwrap().acknowledged, 1);
 }
 
-/// What a worker told can be told again, but not once it has left.
+/// A worker can repeat its report, but not once it has left.
 #[test]
 fn ends_of_workers_that_leave_are_written_first() {
     let mut cluster = TestCluster::new(2);
--- a/crates/figscale-core/tests/fleet/recovery.rs
+++ b/crates/figscale-core/tests/fleet/recovery.rs
@@ -1,4 +1,4 @@
-//! A new leader over what the last one left.
+//! Recovery of a new leader from the records and workers of the last one.
 
 use figscale_core::fleet::RecordKey;
 use figscale_core::fleet::Scheduler;
@@ -35,18 +35,23 @@
     assert_eq!(cluster.state(1), Some(JobState::Completed));
 }
 
-/// The worker of a task, started once, does not answer the next leader.
+/// Makes the worker of a task, which was started once, unresponsive to the next
+/// leader; the task must wait until its lease is over.
 fn assert_waits_for_every_lease(cluster: &mut TestCluster, task: fleet::TaskId) {
     let (host_worker, _) = cluster.placed(task)[0].clone();
     cluster.workers.get_mut(&host_worker).unwrap().reachable = false;
     cluster.take_over(2);
     cluster.advance(4_000);
-    assert_eq!(cluster.starts(), 1, "started while its first run may go on");
+    assert_eq!(
+        cluster.starts(),
+        1,
+        "started while its first run may still be running"
+    );
     cluster.advance(1_500);
     assert_eq!(cluster.starts(), 2);
 }
 
-/// The worker that runs the task does not answer the new leader.
+/// The worker that runs the task does not respond to the new leader.
 #[test]
 fn a_task_that_is_not_found_waits_for_every_lease() {
     let mut cluster = TestCluster::new(3);
@@ -89,8 +94,8 @@
     assert_eq!(attempts, [1_001, 1_001]);
 }
 
-/// What ran for a job that nobody knows is stopped, and takes all room until
-/// it has ended.
+/// Runs of an unknown job are stopped, and occupy the whole worker until they
+/// have ended.
 #[test]
 fn runs_of_unknown_jobs_are_stopped() {
     let mut cluster = TestCluster::new(1);
@@ -107,7 +112,7 @@
     assert!(cluster.placed(kit::task(1, 0, 0)).is_empty());
 }
 
-/// A worker that left under the last leader would never answer the next.
+/// A worker that left under the last leader would never respond to the next.
 #[test]
 fn a_worker_that_left_is_not_waited_for() {
     let mut cluster = TestCluster::new(3);
@@ -129,13 +134,13 @@
     assert_eq!(
         cluster.placed(kit::task(1, 0, 0)).len(),
         1,
-        "waits for a lease that is long over"
+        "waits for the lease of a worker that has left"
     );
 }
 
-/// Its entry is off the list for a while, and the record of its last end is
-/// still to be written. The next leader would take it for gone, start the task
-/// again, and hear of the end afterwards.
+/// The worker is unlisted for a while, and the record of its last end is still
+/// to be written. The next leader would take it for gone, start the task again,
+/// and receive the end afterwards.
 #[test]
 fn a_worker_stays_recorded_until_its_ends_are_written() {
     let mut cluster = TestCluster::new(2);
@@ -166,7 +171,7 @@
     }
 }
 
-/// A cell whose leader has started an occurrence that no record tells of.
+/// A test cluster whose leader has started an occurrence that is in no record.
 fn cluster_with_an_unrecorded_occurrence() -> TestCluster {
     let mut cluster = TestCluster::new(3);
     let repeated = fleet::JobDescription {
@@ -197,7 +202,7 @@
     assert_waits_for_every_lease(&mut cluster, occurrence(0));
 }
 
-/// By the next leader's time of day the occurrence is not due yet.
+/// By the next leader's wall clock the occurrence is not due yet.
 #[test]
 fn an_occurrence_started_early_is_not_started_again() {
     let mut cluster = cluster_with_an_unrecorded_occurrence();
@@ -206,5 +211,9 @@
     cluster.take_over(2);
     cluster.wall_ms -= 2_000;
     cluster.advance(6_000);
-    assert_eq!(cluster.starts(), 1, "a done occurrence is started again");
+    assert_eq!(
+        cluster.starts(),
+        1,
+        "a completed occurrence is started again"
+    );
 }
--- a/crates/figscale-core/tests/fleet/shrinking.rs
+++ b/crates/figscale-core/tests/fleet/shrinking.rs
@@ -1,11 +1,11 @@
-//! Workers whose room shrinks and grows again while they run.
+//! Workers whose capacity shrinks and grows again while they run tasks.
 
 use figscale_types::fleet;
 
 use crate::kit;
 use crate::kit::TestCluster;
 
-/// Gives a worker so many cores; its entry says so.
+/// Sets the cores of a worker in its entry.
 fn resize(cluster: &mut TestCluster, number: usize, cores: u64) {
     let worker = cluster.worker(number);
     worker.entry.room.cpu_millis = cores * 1_000;
@@ -13,7 +13,8 @@
     cluster.scheduler.worker_listed(entry);
 }
 
-/// Guards against starts on a worker that holds less than it runs.
+/// Guards against starts on a worker whose capacity is less than what its runs
+/// use.
 #[test]
 fn nothing_is_started_on_an_overcommitted_worker() {
     let mut cluster = TestCluster::with_cores(1, 16);
@@ -35,7 +36,7 @@
     assert_eq!(cluster.starts(), 3);
 }
 
-/// Guards against a gang for which room is reckoned that a worker has no more.
+/// Guards against a gang that waits for capacity which a worker no longer has.
 #[test]
 fn a_gang_does_not_wait_for_removed_capacity() {
     let mut cluster = TestCluster::with_cores(3, 16);
@@ -48,8 +49,8 @@
     assert_eq!(cluster.starts(), 3);
 }
 
-/// Guards against starts in room that may have shrunk since the store was last
-/// heard.
+/// Guards against starts on capacity that may have shrunk since the last
+/// response of the store.
 #[test]
 fn nothing_is_started_while_entries_are_too_old() {
     let mut cluster = TestCluster::new(2);
@@ -66,7 +67,7 @@
     cluster.advance(2_000);
     cluster.end(kit::task(1, 0, 0), fleet::End::Failed);
     cluster.advance(100);
-    assert_eq!(cluster.starts(), 3, "entries are still good");
+    assert_eq!(cluster.starts(), 3, "entries are still recent enough");
     cluster.advance(2_000);
     cluster.end(kit::task(1, 1, 0), fleet::End::Failed);
     cluster.advance(1_000);
--- a/crates/figscale-core/tests/fleet/silence.rs
+++ b/crates/figscale-core/tests/fleet/silence.rs
@@ -1,4 +1,4 @@
-//! When peers hold a leader for lost.
+//! When peers take a leader for lost, and how often they send heartbeats.
 
 use std::time;
 
@@ -22,8 +22,8 @@
 
 #[rstest]
 #[case::all_miss_it(&[MISSED, MISSED, MISSED], true)]
-#[case::most_miss_it_and_nobody_hears_it(&[MISSED, MISSED, UNREACHABLE], true)]
-#[case::one_still_hears_it(&[MISSED, MISSED, HEARD], false)]
+#[case::most_miss_it_and_none_had_a_response(&[MISSED, MISSED, UNREACHABLE], true)]
+#[case::one_still_gets_responses(&[MISSED, MISSED, HEARD], false)]
 #[case::this_instance_is_cut_off(&[UNREACHABLE, UNREACHABLE, UNREACHABLE], false)]
 #[case::half_of_the_instances_are_cut_off(&[MISSED, UNREACHABLE, UNREACHABLE], false)]
 #[case::the_others_have_just_started(&[UNKNOWN, UNKNOWN, MISSED], false)]
@@ -39,12 +39,13 @@
     assert!(!is_lost(heard, &[MISSED, MISSED, MISSED], SILENCE));
 }
 
-/// Seen: after all instances had lost power 542 terms followed each other, one
-/// each 0.1 s, until the end of the day. How it came about: the first winner was
-/// weak and took 1.1 s to read the store. What caused it: the time for which it
-/// had said that it did not lead counted on for all winners after it. What
-/// speaks for it: LEADER_ENDED within 0.2 s of each election, with no line of a
-/// leader that fell silent, and this test, which fails without the epoch.
+/// Guards against time that counts for the wrong election winner. After all
+/// instances had lost power, 542 terms followed each other, one each 0.1 s,
+/// until the end of the day. The first winner was weak and took 1.1 s to read
+/// the store, and the time for which it had said that it did not lead went on
+/// counting for all winners after it: each logged LEADER_ENDED within 0.2 s of
+/// its election, with no line of an unresponsive leader. Without the epoch this
+/// test fails.
 #[test]
 fn each_election_winner_has_its_own_time_to_begin() {
     let begun = time::Instant::now();
@@ -59,21 +60,26 @@
     assert!(!not_leading.is_over(Epoch(3), at(6_000)));
 }
 
-/// A leader loses its power as it answers a greeting. The next one is sent a
-/// pause later and waits in vain, and its peers are asked at last.
+/// A leader loses its power just after it has responded to a heartbeat. The
+/// next heartbeat is sent a pause later and times out, and the peers are asked
+/// after that.
 #[test]
 fn an_unresponsive_leader_is_detected_before_its_lease_ends() {
     let shortest_lease = time::Duration::from_millis(1_100);
     let missed = HELLO_PAUSE + HELLO_TIMEOUT;
-    assert!(missed >= SILENCE, "a peer would say that it still hears it");
+    assert!(
+        missed >= SILENCE,
+        "a peer would still report a recent response"
+    );
     assert!(missed + SIGHTING_TIMEOUT < time::Duration::from_millis(1_000));
     assert!(missed + SIGHTING_TIMEOUT < shortest_lease);
     let quick = AnswerTimes::default().allowed_silence();
     assert!(is_lost(missed, &[PeerView::Heard(missed); 2], quick));
 }
 
-/// Guards against a leader that has the more greetings to answer the more instances
-/// there are: 300 of them sent 1,200 a second to a quarter of a core.
+/// Guards against heartbeats to the leader that grow with the number of
+/// instances: 300 of them sent 1,200 a second to a leader of a quarter of a
+/// core.
 #[test]
 fn heartbeats_of_many_instances_are_bounded() {
     let per_second = |instances: usize| instances as f64 / hello_pause(instances).as_secs_f64();
@@ -85,32 +91,36 @@
     }
 }
 
-/// Seen: a leader of 90 workers behind a link of 2 Mbit/s, and one of 540 workers
-/// with an eighth of a core, were each given up some 9 s after traffic began, and
-/// so was every leader after them: 11 to 14 terms, with nothing served between. How
-/// it came about: more traffic than the leader bore, so that its answers came
-/// later with each greeting. What caused it: 0.4 s without an answer counted as
-/// silence for a leader that had just needed 0.3 s. What speaks for it: LEADER_SILENT
-/// from all peers within 0.1 s of each other, and TERM_ENDED by Deposed and never
-/// by a process that had ended.
+/// Guards against the replacement of leaders that are only slow. A leader of 90
+/// workers behind a link of 2 Mbit/s, and one of 540 workers with an eighth of
+/// a core, were each taken for lost some 9 s after traffic began, and so was
+/// every leader after them: 11 to 14 terms, with nothing served between. There
+/// was more traffic than the leader could carry, so its responses to heartbeats
+/// came later and later, and 0.4 s without a response counted as lost for a
+/// leader that had just needed 0.3 s. The logs showed LEADER_SILENT from all
+/// peers within 0.1 s of each other, and TERM_ENDED by Deposed and never by a
+/// process that had ended.
 #[test]
 fn a_leader_that_becomes_slow_is_not_lost() {
     let mut times = AnswerTimes::default();
     for took in [50, 150, 300, 500, 700].map(time::Duration::from_millis) {
         let allowed = times.allowed_silence();
-        let silent = HELLO_PAUSE + took;
-        let peers = [PeerView::Heard(silent); 20];
-        assert!(!is_lost(silent, &peers, allowed), "{took:?} {allowed:?}");
+        let unanswered_for = HELLO_PAUSE + took;
+        let peers = [PeerView::Heard(unanswered_for); 20];
+        assert!(
+            !is_lost(unanswered_for, &peers, allowed),
+            "{took:?} {allowed:?}"
+        );
         times.note(took);
     }
 }
 
-/// Once it does not answer at all, also a slow leader is replaced.
+/// A slow leader is also replaced once it does not respond at all.
 #[test]
 fn a_slow_leader_without_power_is_replaced() {
     let mut times = AnswerTimes::default();
     times.note(time::Duration::from_secs(10));
-    let silent = time::Duration::from_secs(3);
-    let peers = [PeerView::Heard(silent); 20];
-    assert!(is_lost(silent, &peers, times.allowed_silence()));
+    let unanswered_for = time::Duration::from_secs(3);
+    let peers = [PeerView::Heard(unanswered_for); 20];
+    assert!(is_lost(unanswered_for, &peers, times.allowed_silence()));
 }
--- a/crates/figscale-core/tests/fleet/standing.rs
+++ b/crates/figscale-core/tests/fleet/standing.rs
@@ -1,4 +1,5 @@
-//! Unequal instances: a few with half a core, many with an eighth.
+//! Candidacy and handover among unequal instances: a few with half a core, many
+//! with an eighth.
 
 use std::time;
 
@@ -39,10 +40,12 @@
     assert_eq!(is_clearly_stronger(other, own), hands_over);
 }
 
-/// Seen: 8 % of a day's requests failed. How it came about: a leader was killed,
-/// and one of an eighth of a core led next, for three seconds, beside two of half
-/// a core. What caused it: each finds out by its own next greeting, the strong
-/// ones 0.18 s and 0.24 s after the weak one, which stood 0.15 s late.
+/// Guards against a weak instance that wins because it detects the loss of the
+/// leader first. A leader was killed, and an instance of an eighth of a core
+/// led for the next three seconds beside two of half a core; 8 % of a day's
+/// requests failed. Each instance detects the loss by its own next heartbeat:
+/// the strong ones did 0.18 s and 0.24 s after the weak one, whose candidacy
+/// delay was only 0.15 s.
 #[test]
 fn a_strong_instance_that_detects_the_loss_last_still_runs_first() {
     let detection = HELLO_PAUSE;
@@ -51,7 +54,7 @@
     assert!(standing_delay(SMALL, LARGE) >= detection + spread + election);
 }
 
-/// The pattern: the store is away for 4 s and leases run out meanwhile, while
+/// The store is unavailable for 4 s and leases expire meanwhile, while
 /// instances are restarted in turn.
 #[rstest]
 #[case::the_leader_responds(Some(100), true, true, true)]
@@ -65,10 +68,10 @@
     #[case] store_was_away: bool,
     #[case] expected: bool,
 ) {
-    let sight = Sight {
+    let observation = Sight {
         answered_ago: answered_ms_ago.map(time::Duration::from_millis),
         knows_leader,
         store_was_away,
     };
-    assert_eq!(may_be_led(sight), expected);
+    assert_eq!(may_be_led(observation), expected);
 }
--- a/crates/figscale-core/tests/fleet/starving.rs
+++ b/crates/figscale-core/tests/fleet/starving.rs
@@ -1,4 +1,4 @@
-//! Work that could run beside a stream of other work that never ends.
+//! Work that must start beside an endless stream of other work.
 
 use std::time;
 
@@ -11,18 +11,18 @@
 use crate::kit::TestCluster;
 
 const STEP_MS: u64 = 50;
-/// More than three objectives of each job that is waited for here.
+/// More than three objectives of each job that these tests wait for.
 const MAX_WAIT_MS: u64 = 40_000;
-/// First number of the jobs of a stream.
+/// Number of the first job of a stream.
 const FIRST_STREAM_JOB: u64 = 10_000;
 
-/// A fleet whose runs take what they were estimated at.
+/// A fleet whose runs take as long as they were estimated to.
 struct SimulatedFleet {
     cluster: TestCluster,
-    /// Questions on their way, with the time of the answer.
-    asked: Vec<(time::Instant, Question)>,
+    /// Queries in flight, with the times of their responses.
+    pending_queries: Vec<(time::Instant, Question)>,
     good: fn(usize) -> bool,
-    answers: bool,
+    advisory_responds: bool,
     lengths_ms: IndexMap<u64, u64>,
     since: IndexMap<(fleet::TaskId, u32), time::Instant>,
     next: u64,
@@ -32,9 +32,9 @@
     fn new(cluster: TestCluster) -> Self {
         Self {
             cluster,
-            asked: Vec::new(),
+            pending_queries: Vec::new(),
             good: |_| true,
-            answers: true,
+            advisory_responds: true,
             lengths_ms: IndexMap::new(),
             since: IndexMap::new(),
             next: FIRST_STREAM_JOB,
@@ -46,7 +46,7 @@
         self.cluster.run(number, queue, vec![step]);
     }
 
-    /// One more job of a stream; whether it was taken.
+    /// Submits one more job of a stream; returns whether it was accepted.
     fn submit_stream_job(&mut self, queue: &fleet::Queue, step: &fleet::StepDescription) -> bool {
         let number = self.next;
         self.next += 1;
@@ -61,15 +61,15 @@
         let (now, wall_ms) = (self.cluster.now, self.cluster.wall_ms);
         self.cluster.scheduler.tick(now, wall_ms);
         self.end_due();
-        let due = self.asked.extract_if(.., |(at, _)| *at <= now);
+        let due = self.pending_queries.extract_if(.., |(at, _)| *at <= now);
         for (_, query) in due.collect::<Vec<_>>() {
             let tickets = kit::tickets(&query, self.good);
-            let tickets = self.answers.then_some(tickets);
+            let tickets = self.advisory_responds.then_some(tickets);
             self.cluster.scheduler.advice_answered(&query, tickets, now);
         }
         self.cluster.settle();
         for query in std::mem::take(&mut self.cluster.queries) {
-            self.asked.push((now + query.expected, query));
+            self.pending_queries.push((now + query.expected, query));
         }
     }
 
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Steps, with what `each` adds, until a job has begun; how long it took.
+    /// Runs steps, with a call of `each` before each, until a job has started;
+    /// returns the time it took.
     fn ms_until_started(
         &mut self,
         number: u64,
@@ -104,7 +105,8 @@
     }
 }
 
-/// More workers than one question for tickets names; tickets outlast two of them.
+/// A gang on more workers than one query for tickets names; tickets are valid
+/// for longer than two such queries take.
 #[test]
 fn a_gang_wider_than_one_query_starts() {
     let mut never = Vec::new();
@@ -124,10 +126,11 @@
             never.push(count);
         }
     }
-    assert!(never.is_empty(), "never: {never:?}");
+    assert!(never.is_empty(), "never started: {never:?}");
 }
 
-/// One to a worker, and all in one rack if that can be.
+/// Gangs with one task to a worker, with all tasks in one rack if possible, or
+/// with a required label.
 #[test]
 fn gangs_with_constraints_start_beside_a_stream_of_small_work() {
     let small = kit::with_estimate(kit::step(1, 6), 2_000);
@@ -163,7 +166,7 @@
     }
 }
 
-/// The instance that asks leaves each time.
+/// The instance that sends the query leaves each time.
 #[test]
 fn a_gang_whose_queries_are_lost_starts() {
     let mut fleet = SimulatedFleet::new(TestCluster::with_cores(4, 10));
@@ -171,7 +174,7 @@
     fleet.run(1, &kit::advised_queue(1), kit::gang(3, 8));
     let begun = fleet.ms_until_started(1, |fleet, at_ms| {
         if at_ms < 5_000 {
-            for (_, query) in std::mem::take(&mut fleet.asked) {
+            for (_, query) in std::mem::take(&mut fleet.pending_queries) {
                 fleet.cluster.scheduler.member_left(&query.member);
                 fleet.cluster.scheduler.member_joined(&query.member);
             }
@@ -180,7 +183,7 @@
     assert!(begun.is_some_and(|at_ms| at_ms < 6_000), "{begun:?}");
 }
 
-/// All workers known to be good leave, and others come.
+/// All workers known to be good leave, and others join.
 #[test]
 fn a_gang_queries_workers_that_joined_later() {
     let mut fleet = SimulatedFleet::new(TestCluster::with_cores(8, 10));
@@ -204,8 +207,8 @@
     assert!(begun.is_some_and(|at_ms| at_ms < 3_000), "{begun:?}");
 }
 
-/// Gangs that no fleet of this size holds were there first, more of them than
-/// may keep workers.
+/// Gangs that are too large for the fleet were submitted first, more of them
+/// than may reserve workers.
 #[test]
 fn infeasible_gangs_do_not_block_another_gang() {
     for advice in [false, true] {
@@ -231,11 +234,11 @@
                 fleet.submit_stream_job(&kit::queue(1), &single);
             }
         });
-        assert!(begun.is_some(), "never, advice {advice}");
+        assert!(begun.is_some(), "never started, advice {advice}");
     }
 }
 
-/// Quick work, one task of three cores at a time on two workers of ten.
+/// The quick work is one task of three cores at a time on two workers of ten.
 #[test]
 fn a_gang_is_not_starved_by_a_stream_of_quick_work() {
     let mut fleet = SimulatedFleet::new(TestCluster::with_cores(2, 10));
@@ -248,13 +251,13 @@
             fleet.submit_stream_job(&kit::queue(0), &quick);
         }
     });
-    assert!(begun.is_some(), "never");
+    assert!(begun.is_some(), "never started");
 }
 
-/// The advisory service has said who is good, and then answers no more.
+/// The advisory service has named good workers, and then stops responding.
 #[test]
 fn gangs_without_responses_do_not_reserve_the_whole_fleet() {
-    let patient = |policy: fleet::Queue, target_latency_ms| fleet::Queue {
+    let with_target_latency = |policy: fleet::Queue, target_latency_ms| fleet::Queue {
         target_latency_ms,
         ..policy
     };
@@ -267,19 +270,23 @@
     fleet.run(1, &kit::queue(1), filling);
     for number in 2..10 {
         let gang = kit::with_estimate(kit::gang(2, 8), 5_000);
-        fleet.run(number, &patient(kit::advised_queue(1), 60_000), gang);
+        fleet.run(
+            number,
+            &with_target_latency(kit::advised_queue(1), 60_000),
+            gang,
+        );
     }
     for at_ms in (0..8_000).step_by(STEP_MS as usize) {
-        fleet.answers = at_ms < 3_000;
+        fleet.advisory_responds = at_ms < 3_000;
         fleet.step();
     }
     let small = kit::with_estimate(kit::step(1, 4), 3_000);
-    fleet.run(20, &patient(kit::queue(2), 90_000), small);
+    fleet.run(20, &with_target_latency(kit::queue(2), 90_000), small);
     let begun = fleet.ms_until_started(20, |_, _| ());
     assert!(begun.is_some_and(|at_ms| at_ms < 3_000), "{begun:?}");
 }
 
-/// One of three workers refuses whatever it gets, and to stop a run takes time.
+/// One of three workers refuses every start, and stopping a run takes time.
 #[test]
 fn a_gang_completes_beside_a_worker_that_refuses() {
     use fleet::StartRefusal;
@@ -292,7 +299,7 @@
         for worker in fleet.cluster.workers.values_mut() {
             worker.stops_at_once = false;
         }
-        fleet.cluster.worker(0).answer = Some(fleet::StartOutcome::Refused(refusal));
+        fleet.cluster.worker(0).start_outcome = Some(fleet::StartOutcome::Refused(refusal));
         fleet.run(1, &kit::queue(1), kit::gang(2, 8));
         let mut stops = Vec::new();
         for _ in 0..400 {
@@ -314,8 +321,8 @@
     }
 }
 
-/// Guards against an overdue gang that is never asked about: few ways to the service,
-/// and always more urgent small work that needs them.
+/// Guards against an overdue gang that is never queried, because there are few
+/// advice channels and always more urgent small work that needs them.
 #[test]
 fn a_late_gang_is_queried_beside_a_stream_of_small_work() {
     for members in [1, 2, 3] {
@@ -344,11 +351,12 @@
                 fleet.submit_stream_job(&queue, &small);
             }
         });
-        assert!(begun.is_some(), "{members} members");
+        assert!(begun.is_some(), "never started with {members} members");
     }
 }
 
-/// A task as wide as a worker, beside small work on a part of each.
+/// A task as wide as a worker must start beside small work that uses a part of
+/// each worker.
 #[test]
 fn a_wide_task_is_not_starved_by_a_stream_of_small_work() {
     let mut fleet = SimulatedFleet::new(TestCluster::with_cores(2, 10));
@@ -363,5 +371,5 @@
             fleet.submit_stream_job(&kit::queue(1), &small);
         }
     });
-    assert!(begun.is_some(), "never");
+    assert!(begun.is_some(), "never started");
 }
--- a/crates/figscale-core/tests/fleet/terms/customers.rs
+++ b/crates/figscale-core/tests/fleet/terms/customers.rs
@@ -1,24 +1,24 @@
-//! Customers of the play, their limits, and what the judge sees of them.
+//! Simulated customers, their limits, and the check that the limits hold.
 
 use figscale_types::fleet;
 
 use super::Simulation;
 
-/// What each customer may have running at first.
+/// First limit of each customer.
 pub(super) const FIRST_LIMIT_CORES: u64 = 14;
-/// Limits that come into force; tasks need one core each.
+/// Limits that are set during the simulation; tasks need one core each.
 const LIMITS_CORES: [u64; 4] = [14, 10, 7, 20];
-/// A leader has heard of a change by then.
+/// A leader has received a change within this time.
 const APPLY_MS: u64 = 3_000;
 const CUSTOMERS: u64 = 2;
 
-/// Whose a job is.
+/// The customer that a job belongs to.
 pub(super) fn customer_of(job: fleet::JobId) -> fleet::CustomerName {
     format!("customer-{}", job.0 % CUSTOMERS).parse().unwrap()
 }
 
 impl Simulation {
-    /// Operators change limits, and leaders hear of it some time later.
+    /// Changes limits at random times; leaders receive them some time later.
     pub(super) fn change_limits(&mut self) {
         if !self.faults.customers {
             return;
@@ -36,7 +36,8 @@
                     .set_customers(Some(&customers));
                 self.leaders[leader].limits_known_ms = Some(self.now_ms);
             }
-            // What was heard long ago proves nothing.
+            // A configuration received long ago is no proof that it is still in
+            // force.
             let known_ms = self.leaders[leader].limits_known_ms;
             if known_ms.is_some_and(|known| self.now_ms >= known + APPLY_MS) {
                 self.leaders[leader].scheduler.forget_customers();
@@ -44,7 +45,8 @@
         }
     }
 
-    /// A task of a job was started.
+    /// Checks the limit of a job's customer after a task of the job was
+    /// started.
     pub(super) fn check_limit(&mut self, job: fleet::JobId) {
         if !self.faults.customers {
             return;
@@ -61,7 +63,8 @@
         let in_force = in_force.filter(|(_, end)| now_ms <= end.saturating_add(APPLY_MS));
         let limit = in_force.map(|((_, cores), _)| *cores).max().unwrap();
         if running * 10 > limit * 11 + 10 {
-            let violation = format!("{now_ms}: {customer} has {running} running, may have {limit}");
+            let violation =
+                format!("{now_ms}: {customer} has {running} tasks running, limit is {limit}");
             self.violations.push(violation);
         }
     }
--- a/crates/figscale-core/tests/fleet/terms/leaders.rs
+++ b/crates/figscale-core/tests/fleet/terms/leaders.rs
@@ -1,4 +1,4 @@
-//! Leaders of the play: elections, calls, writes, and what comes back.
+//! Simulated leaders: elections, calls to workers, writes and their responses.
 
 use figscale_core::fleet::Action;
 use figscale_core::fleet::Config;
@@ -139,7 +139,7 @@
         job
     }
 
-    /// What a leader does in one step of its loop.
+    /// One iteration of a leader's loop.
     pub(super) fn run_leader(&mut self, number: usize) {
         let (now, wall_ms) = (self.now(), self.wall_ms(number));
         let leader = &mut self.leaders[number];
@@ -216,7 +216,7 @@
             let event = Event::ReportArrives(number, id.clone(), report);
             self.send(delay, event);
             if self.one_in(20) {
-                // A second call beside one that seems to be lost.
+                // A second call beside one that seems lost.
                 let delay = self.delay();
                 self.send(150 + delay, Event::ReportArrives(number, id, report));
             }
--- a/crates/figscale-core/tests/fleet/terms/mod.rs
+++ b/crates/figscale-core/tests/fleet/terms/mod.rs
@@ -1,20 +1,22 @@
-//! Many terms of leadership over workers and a store that lose, delay and
-//! reorder what is sent to them.
+//! Simulates many terms of leadership over workers and a store, with messages
+//! that are lost, delayed and reordered.
 //!
-//! Several leaders may run at once: an old one goes on until a worker's fence or
-//! a refused write tells it that its term is over. A judge beside the workers
-//! sees what really starts and ends there, and holds it against two rules: a
-//! task never runs twice at a time, and never starts again once a run of it
-//! ended well and that end was acknowledged, be it later. An end whose worker's
-//! lease ran out before it was acknowledged does not count.
+//! Several leaders may run at once: an old one goes on until it learns from a
+//! worker's fence or a refused write that its term is over. The simulation sees
+//! what really starts and ends on the workers, and checks two rules. A task
+//! never runs twice at a time. A task never starts again once a run of it ended
+//! well and that end was acknowledged, even if the acknowledgement comes later.
+//! An end does not count if the worker's lease ran out before the end was
+//! acknowledged.
 //!
-//! Where jobs are customers', a third: no start brings what a customer has running
-//! over its limit by more than a tenth and one task. Limits change at times; of
-//! those in force within the last seconds the highest counts.
+//! Where jobs belong to customers, a third rule holds: no start brings what a
+//! customer has running above its limit by more than a tenth and one task.
+//! Limits change at times; of the limits in force within the last seconds the
+//! highest counts.
 //!
-//! Where tasks crash their workers, two more: such a task is not started three
-//! times more after its third crash, and no job is given up for a task under which
-//! fewer than two workers crashed.
+//! Where tasks crash their workers, two more rules hold: such a task is not
+//! started three times more after its third crash, and no job fails permanently
+//! for a task under which fewer than two workers crashed.
 
 use std::collections::BTreeMap;
 use std::thread;
@@ -45,21 +47,22 @@
 const CALL_TIMEOUT_MS: u64 = 950;
 const NO_RESPONSE_PAUSE_MS: u64 = 200;
 const UNACKNOWLEDGED_PAUSE_MS: u64 = 600;
-/// How long after its start a task crashes its worker.
+/// Time from the start of a crashing task to the crash of its worker.
 const CRASH_DELAY_MS: u64 = 20;
-/// Starts of a task each of which crashed its worker: three more after the third.
+/// Starts of a crashing task that break the rule: three more after its third
+/// crash.
 const TOO_MANY_STARTS: usize = 6;
 
-/// What a play has beside the usual troubles.
+/// Faults and features of a simulated run beside the usual ones.
 #[derive(Clone, Copy)]
 struct Faults {
     /// Jobs with several occurrences.
     occurrences: bool,
-    /// By how much the leaders' times of day differ at most.
+    /// Greatest difference between the wall clocks of leaders.
     max_clock_lag_ms: u64,
     /// Tasks that crash each worker that starts them.
     crashing: bool,
-    /// Customers with limits, which change.
+    /// Customers with limits that change.
     customers: bool,
 }
 
@@ -70,11 +73,11 @@
     run: fleet::RunningTask,
     ends_ms: u64,
     ends_as: fleet::End,
-    /// Its worker crashes in place of its end.
+    /// The worker crashes instead of ending the run.
     crashes: bool,
 }
 
-/// An end that was not acknowledged, with when it came.
+/// An end that is not yet acknowledged, with its time.
 #[derive(Clone)]
 struct Finished {
     run: fleet::FinishedRun,
@@ -85,9 +88,9 @@
     entry: fleet::WorkerEntry,
     listed: bool,
     up: bool,
-    /// Another life answers at its address.
+    /// Another incarnation responds at its address.
     replaced: bool,
-    /// When it goes, by its notice.
+    /// When it leaves, once it has given notice.
     leaves_ms: Option<u64>,
     unlisted_until_ms: u64,
     clock_offset_ms: u64,
@@ -98,7 +101,7 @@
     running: IndexMap<RunKey, Running>,
     finished: Vec<Finished>,
     ended: u64,
-    /// Highest attempt that ended or was stopped here.
+    /// Highest attempt of each task that ended or was stopped here.
     ended_attempts: IndexMap<fleet::TaskId, u32>,
 }
 
@@ -106,7 +109,7 @@
 struct Link {
     calling: bool,
     at_ms: u64,
-    /// Waits until ends are acknowledged, or for `at_ms`.
+    /// The next call is due once all ends are acknowledged, or at `at_ms`.
     unacknowledged: bool,
 }
 
@@ -115,18 +118,18 @@
     epoch: fleet::Epoch,
     alive: bool,
     begins_ms: u64,
-    /// Workers of the last term, until this one begins.
+    /// Workers recorded in the last term, until this term begins.
     recorded: Option<Vec<WorkerId>>,
     links: IndexMap<WorkerId, Link>,
     writes: IndexMap<u64, Records>,
     wrote_ms: u64,
     listed_ms: u64,
-    /// Everything reaches it so much later at most.
+    /// Messages to this leader take up to this much longer.
     max_delay_ms: u64,
     wall_lag_ms: u64,
-    /// When it last heard of customers' limits.
+    /// When it last received the limits of customers.
     limits_known_ms: Option<u64>,
-    /// Workers that it does not reach, until when.
+    /// Workers that it cannot reach, with the end of the interruption.
     cut_off: IndexMap<WorkerId, u64>,
 }
 
@@ -156,11 +159,11 @@
     Deposed,
 }
 
-/// Starts and good ends of one task as they really were.
+/// Starts and successful ends of one task as they happened on the workers.
 #[derive(Clone, Default)]
 struct TaskHistory {
     starts_ms: Vec<u64>,
-    /// Ends that were acknowledged.
+    /// Times of successful ends that were acknowledged.
     acknowledged_ms: Vec<u64>,
 }
 
@@ -177,13 +180,14 @@
     events: BTreeMap<(u64, u64), Event>,
     sent: u64,
     jobs: Vec<(u64, fleet::JobDescription)>,
-    seen: IndexMap<fleet::TaskId, TaskHistory>,
+    histories: IndexMap<fleet::TaskId, TaskHistory>,
     next_election_ms: u64,
-    /// Limits of each customer in cores, with when they came into force.
+    /// Limit of each customer in cores, with the time from which it is in
+    /// force.
     limits: Vec<(u64, u64)>,
-    /// Until when the store is slow.
+    /// Time until which the store is slow.
     slow_store_ms: u64,
-    /// Workers that crashed under a task.
+    /// Number of workers that crashed under each task.
     crashes: IndexMap<fleet::TaskId, usize>,
     violations: Vec<String>,
     starts: usize,
@@ -204,7 +208,7 @@
             events: BTreeMap::new(),
             sent: 0,
             jobs: Vec::new(),
-            seen: IndexMap::new(),
+            histories: IndexMap::new(),
             next_election_ms: 0,
             limits: vec![(0, customers::FIRST_LIMIT_CORES)],
             slow_store_ms: 0,
@@ -218,7 +222,7 @@
         simulation
     }
 
-    /// A number below `below`, the same ones in each run.
+    /// A number below `below`; the sequence is the same in each run.
     fn random(&mut self, below: u64) -> u64 {
         self.seed = self.seed.wrapping_mul(6_364_136_223_846_793_005);
         self.seed = self.seed.wrapping_add(1_442_695_040_888_963_407);
@@ -242,7 +246,7 @@
         self.events.insert((self.now_ms + in_ms, self.sent), event);
     }
 
-    /// Way of a message: mostly quick, at times seconds late.
+    /// Delay of a message: a few milliseconds mostly, seconds at times.
     fn delay(&mut self) -> u64 {
         match self.random(30) {
             0 => self.random(2_500),
@@ -251,7 +255,7 @@
         }
     }
 
-    /// Way of an answer to a leader, with the time until it gets to it.
+    /// Delay of a message to a leader, with the delay of a slow leader added.
     fn delay_to(&mut self, leader: usize) -> u64 {
         let max_delay_ms = self.leaders[leader].max_delay_ms;
         self.delay() + self.random(max_delay_ms + 1)
@@ -282,11 +286,12 @@
     }
 }
 
-/// Plays seeds; what was broken, by seed.
+/// Simulates the seeds in four threads; returns the violations of each seed
+/// that has any.
 fn simulate(faults: Faults, seeds: &[u64]) -> Vec<(u64, Vec<String>)> {
     const THREADS: usize = 4;
-    // Beside workers out of reach a leader of a few seconds hardly bounds what a
-    // customer uses.
+    // A leader of a few seconds can hardly bound what a customer uses while
+    // workers are unreachable, so it starts little.
     let min_starts = if faults.customers { 10 } else { 100 };
     let part = move |seeds: Vec<u64>| {
         let simulations = seeds.into_iter().map(|seed| {
@@ -311,15 +316,16 @@
         .collect()
 }
 
-/// Seeds to play: those given, or the first so many by the environment.
+/// Seeds to simulate: the given ones, or as many as `FIGSCALE_SEEDS` says,
+/// counted from 0.
 fn seeds(standard: &[u64]) -> Vec<u64> {
     let most = std::env::var("FIGSCALE_SEEDS").ok();
     let most: Option<u64> = most.map(|text| text.parse().unwrap());
     most.map_or(standard.to_vec(), |most| (0..most).collect())
 }
 
-/// The last two showed a worker that was forgotten while it was off the list,
-/// though what had ended there was not in the store.
+/// Seeds 66 and 385 showed a worker that was forgotten while it was unlisted,
+/// although ends on it were not yet in the store.
 #[test]
 fn no_task_runs_twice_over_many_terms() {
     let faults = Faults {
@@ -331,13 +337,13 @@
     let violations = simulate(faults, &seeds(&[0, 1, 2, 3, 4, 5, 66, 385]));
     assert!(
         violations.is_empty(),
-        "{} broken: {violations:#?}",
+        "{} seeds with violations: {violations:#?}",
         violations.len()
     );
 }
 
-/// A leader begins an occurrence by its own time of day, and the next one may
-/// not find it in any record.
+/// A leader starts an occurrence by its own wall clock, and the next leader may
+/// find no record of it.
 #[test]
 fn no_occurrence_runs_twice_over_many_terms() {
     for max_clock_lag_ms in [0, 2_000] {
@@ -350,7 +356,7 @@
         let violations = simulate(faults, &seeds(&[0, 1, 2, 3]));
         assert!(
             violations.is_empty(),
-            "times {max_clock_lag_ms} ms apart, {} broken: {violations:#?}",
+            "clocks {max_clock_lag_ms} ms apart, {} seeds with violations: {violations:#?}",
             violations.len()
         );
     }
@@ -363,8 +369,8 @@
     customers: false,
 };
 
-/// Guards against a new leader that does not count what runs on workers that it has
-/// not heard, and against leaders that start by limits of long ago.
+/// Guards against a new leader that does not count what runs on workers without
+/// a report yet, and against leaders that start tasks by outdated limits.
 #[test]
 fn limits_hold_over_many_terms() {
     let faults = Faults {
@@ -376,32 +382,33 @@
     let violations = simulate(faults, &seeds(&[0, 1, 2, 3, 4, 5, 6, 7]));
     assert!(
         violations.is_empty(),
-        "{} broken: {violations:#?}",
+        "{} seeds with violations: {violations:#?}",
         violations.len()
     );
 }
 
-/// Guards against losses of workers that a leader forgets, or holds against tasks
-/// that only ran there.
+/// Guards against lost runs that a leader forgets, or that it counts against
+/// tasks which only ran on the same worker.
 #[test]
 fn crashing_tasks_are_given_up_over_many_terms() {
     let violations = simulate(CRASHING, &seeds(&[0, 1, 2, 3, 4, 5, 7, 26, 62, 345, 385]));
     assert!(
         violations.is_empty(),
-        "{} broken: {violations:#?}",
+        "{} seeds with violations: {violations:#?}",
         violations.len()
     );
 }
 
-/// Guards against crashes that nobody remembers, since their leaders are lost
-/// before they have written them, and silences that are taken for crashes since
-/// their leader is lost before it has heard the worker again.
+/// Guards against crashes that are not counted because their leader is lost
+/// before it has written them, and against unresponsive workers that are taken
+/// for crashed because their leader is lost before it receives another report
+/// from them.
 #[test]
 fn crashes_are_counted_beside_leaders_that_are_lost_at_once() {
     let violations = simulate(CRASHING, &[588, 683, 1442, 1999]);
     assert!(
         violations.is_empty(),
-        "{} broken: {violations:#?}",
+        "{} seeds with violations: {violations:#?}",
         violations.len()
     );
 }
--- a/crates/figscale-core/tests/fleet/terms/workers.rs
+++ b/crates/figscale-core/tests/fleet/terms/workers.rs
@@ -1,4 +1,5 @@
-//! Workers of the play: what reaches them, what they do, and what the judge sees.
+//! Simulated workers: how they handle messages and run tasks, and the checks of
+//! what they run.
 
 use figscale_core::fleet::ReportDue;
 use figscale_types::fleet;
@@ -49,7 +50,7 @@
         self.finished.push(Finished { run, at_ms: now_ms });
     }
 
-    /// Goes, with all that runs there.
+    /// Ends the worker with everything that runs there; returns the tasks.
     pub(super) fn shut_down(&mut self) -> Vec<fleet::TaskId> {
         self.up = false;
         let running = std::mem::take(&mut self.running);
@@ -97,7 +98,8 @@
         self.workers.insert(kit::worker_id(number), worker);
     }
 
-    /// Workers leave, crash, and come and go on the list; leaders lose them.
+    /// Injects faults: workers leave, crash, or are unlisted for a time; the
+    /// store becomes slow; leaders cannot reach workers.
     pub(super) fn inject_faults(&mut self) {
         let now_ms = self.now_ms;
         if self.one_in(250) {
@@ -123,7 +125,8 @@
             }
         }
         if self.one_in(500) {
-            // Entries lapse beside a store that is away, and come back.
+            // Entries lapse while the store is unavailable, and are listed
+            // again later.
             self.slow_store_ms = now_ms + 500 + self.random(3_000);
             for number in 0..self.workers.len() {
                 if self.one_in(2) {
@@ -148,7 +151,7 @@
             if worker.leaves_ms.is_some_and(|at| now_ms >= at) && worker.up {
                 worker.shut_down();
             }
-            // A worker that is gone is on the list for some time.
+            // A worker that is gone stays listed for some time.
             if !worker.up && worker.listed && now_ms.is_multiple_of(3_000) {
                 worker.listed = false;
             }
@@ -190,7 +193,8 @@
         }
     }
 
-    /// A leader holds losses of workers against a task, or a gang.
+    /// Checks a leader's decision that a task, or a gang, fails permanently: at
+    /// least two workers must have crashed under it.
     pub(super) fn check_permanent_failure(&mut self, task: fleet::TaskId, losses: usize) {
         let of_step = self
             .crashes
@@ -199,8 +203,9 @@
         let most = of_step.map(|(_, crashes)| *crashes).max().unwrap_or(0);
         if most < 2 {
             let now_ms = self.now_ms;
-            let violation =
-                format!("{now_ms}: {task} given up after {losses} losses, {most} crashes");
+            let violation = format!(
+                "{now_ms}: {task} failed permanently after {losses} lost runs, {most} crashes"
+            );
             self.violations.push(violation);
         }
     }
@@ -210,7 +215,7 @@
         self.faults.crashing && task.job.0 % 6 == 3 && task.step == 0 && task.index == 0
     }
 
-    /// Whether a message gets from a leader to a worker, or back.
+    /// Whether a message between a leader and a worker arrives.
     pub(super) fn reaches(&mut self, leader: usize, id: &WorkerId) -> bool {
         let cut_until_ms = self.leaders[leader].cut_off.get(id).copied().unwrap_or(0);
         !self.one_in(40) && self.now_ms >= cut_until_ms
@@ -268,12 +273,12 @@
         let crashes = self.is_crashing(order.task);
         let worker = &mut self.workers[id];
         let clock_ms = worker.clock_ms(now_ms);
-        let old = worker.ended_attempts.get(&order.task);
-        let old = old.is_some_and(|ended| order.attempt <= *ended);
+        let ended = worker.ended_attempts.get(&order.task);
+        let is_old = ended.is_some_and(|ended| order.attempt <= *ended);
         let mut outcome = match () {
             () if !arrives || !worker.up => StartOutcome::Unknown,
             () if epoch < worker.fence => StartOutcome::Refused(StartRefusal::StaleEpoch),
-            () if old => StartOutcome::Refused(StartRefusal::OldAttempt),
+            () if is_old => StartOutcome::Refused(StartRefusal::OldAttempt),
             () if clock_ms > order.expires_clock_ms => StartOutcome::Refused(StartRefusal::Expired),
             () => StartOutcome::Started { clock_ms },
         };
@@ -331,29 +336,31 @@
         let live = runs.filter(|(other, _)| *other == task).count();
         let now_ms = self.now_ms;
         if live > 1 {
-            let violation = format!("{now_ms}: {task} attempt {attempt} runs beside another");
+            let violation =
+                format!("{now_ms}: {task} attempt {attempt} runs while another attempt does");
             self.violations.push(violation);
         }
         let crashes = self.is_crashing(task);
-        let seen = self.seen.entry(task).or_default();
-        seen.starts_ms.push(now_ms);
-        if crashes && seen.starts_ms.len() >= TOO_MANY_STARTS {
-            let violation = format!("{now_ms}: {task} started at {:?}", seen.starts_ms);
+        let history = self.histories.entry(task).or_default();
+        history.starts_ms.push(now_ms);
+        if crashes && history.starts_ms.len() >= TOO_MANY_STARTS {
+            let violation = format!("{now_ms}: {task} started at {:?}", history.starts_ms);
             self.violations.push(violation);
         }
-        if let Some(ended_ms) = seen.acknowledged_ms.first() {
+        if let Some(ended_ms) = history.acknowledged_ms.first() {
             let violation =
-                format!("{now_ms}: {task} attempt {attempt} after its end at {ended_ms}");
+                format!("{now_ms}: {task} attempt {attempt} started after its end at {ended_ms}");
             self.violations.push(violation);
         }
     }
 
-    /// A good end is acknowledged.
+    /// Records that a successful end was acknowledged, and checks that the task
+    /// was not started after it.
     pub(super) fn record_acknowledged_end(&mut self, task: fleet::TaskId, ended_ms: u64) {
         let now_ms = self.now_ms;
-        let seen = self.seen.entry(task).or_default();
-        seen.acknowledged_ms.push(ended_ms);
-        if let Some(start_ms) = seen.starts_ms.iter().find(|start| **start > ended_ms) {
+        let history = self.histories.entry(task).or_default();
+        history.acknowledged_ms.push(ended_ms);
+        if let Some(start_ms) = history.starts_ms.iter().find(|start| **start > ended_ms) {
             let violation = format!(
                 "{now_ms}: end of {task} at {ended_ms} acknowledged, started again at {start_ms}"
             );
--- a/crates/figscale-core/tests/fleet/trouble.rs
+++ b/crates/figscale-core/tests/fleet/trouble.rs
@@ -1,4 +1,5 @@
-//! Workers that fail, hang, go silent or come back as another life.
+//! Workers that fail tasks, hang, become unresponsive or return as a new
+//! incarnation.
 
 use figscale_core::fleet::Note;
 use figscale_types::fleet;
@@ -12,9 +13,9 @@
 #[test]
 fn an_unanswered_start_reserves_its_capacity_until_it_expires() {
     let mut cluster = TestCluster::with_cores(1, 10);
-    cluster.worker(0).answer = Some(StartOutcome::Unknown);
+    cluster.worker(0).start_outcome = Some(StartOutcome::Unknown);
     cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
-    cluster.worker(0).answer = None;
+    cluster.worker(0).start_outcome = None;
     cluster.advance(1_300);
     assert_eq!(cluster.starts(), 1);
     cluster.advance(500);
@@ -25,7 +26,7 @@
 #[test]
 fn an_unanswered_start_that_ran_is_found() {
     let mut cluster = TestCluster::new(1);
-    cluster.worker(0).answer = Some(StartOutcome::Unknown);
+    cluster.worker(0).start_outcome = Some(StartOutcome::Unknown);
     cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
     let order = cluster.worker(0).orders[0].clone();
     cluster.worker(0).start_run(&order);
@@ -42,7 +43,11 @@
     let (host_worker, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
     cluster.workers.get_mut(&host_worker).unwrap().reachable = false;
     cluster.advance(4_400);
-    assert_eq!(cluster.starts(), 1, "started while its first run may go on");
+    assert_eq!(
+        cluster.starts(),
+        1,
+        "started while its first run may still be running"
+    );
     cluster.advance(1_000);
     assert_eq!(cluster.starts(), 2);
 }
@@ -89,7 +94,7 @@
     assert_eq!(
         cluster.workers[&host_worker].running.len(),
         1,
-        "tried with one task at a time"
+        "tested with one task at a time"
     );
 }
 
@@ -133,7 +138,7 @@
 #[test]
 fn a_leader_steps_down_on_a_later_epoch() {
     let mut cluster = TestCluster::new(1);
-    cluster.worker(0).answer = Some(StartOutcome::Refused(StartRefusal::StaleEpoch));
+    cluster.worker(0).start_outcome = Some(StartOutcome::Refused(StartRefusal::StaleEpoch));
     cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
     assert!(cluster.stepped_down);
 }
--- a/crates/figscale-core/tests/fleet/waits.rs
+++ b/crates/figscale-core/tests/fleet/waits.rs
@@ -1,4 +1,5 @@
-//! What is told of steps that could run and do not.
+//! Starvation reports: what is logged of steps that are ready but have nothing
+//! running.
 
 use figscale_core::fleet::Note;
 use figscale_types::fleet;
@@ -7,7 +8,7 @@
 use crate::kit;
 use crate::kit::TestCluster;
 
-/// A step that waits, without how long, as it was told.
+/// Contents of a starvation report, without the waiting time.
 #[derive(Debug, PartialEq, Eq)]
 struct StepReport {
     task: fleet::TaskId,
@@ -19,7 +20,7 @@
     asking: bool,
 }
 
-/// Steps told of since the last call, with milliseconds since submission.
+/// Steps reported since the last call, with milliseconds since submission.
 fn reports(cluster: &mut TestCluster) -> Vec<(u64, StepReport)> {
     let notes = std::mem::take(&mut cluster.notes);
     let waits = notes.into_iter().filter_map(|note| match note {
@@ -106,7 +107,7 @@
     assert_eq!(waiting_steps(&cluster), 0);
 }
 
-/// The oldest by submission, whatever their ids.
+/// The oldest by submission, whatever their ids are.
 #[test]
 fn at_most_the_three_oldest_steps_are_reported() {
     let mut cluster = TestCluster::new(1);
@@ -136,7 +137,7 @@
     assert_eq!(waiting_steps(&cluster), 0);
 }
 
-/// The second step of an old job becomes ready at the moment of a look.
+/// The second step of an old job becomes ready just when steps are scanned.
 #[test]
 fn a_step_that_has_just_become_ready_is_not_reported() {
     let mut cluster = TestCluster::new(1);
@@ -155,8 +156,8 @@
     assert_eq!(reported_jobs(&mut cluster), [1]);
 }
 
-/// Of four workers with two slots each two are good, and one of these holds
-/// other work.
+/// A test cluster of four workers with two slots each. Two workers are good,
+/// and one of these runs other work.
 fn cluster_with_half_of_the_capacity_good() -> TestCluster {
     let mut cluster = TestCluster::with_cores(4, 10);
     cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
@@ -188,7 +189,7 @@
     assert_eq!(reports[0].1, expected);
 }
 
-/// The other work outlasts the tickets.
+/// The other work lasts longer than the tickets are valid.
 #[test]
 fn expired_tickets_are_not_reported_as_held() {
     let mut cluster = cluster_with_half_of_the_capacity_good();
@@ -199,7 +200,7 @@
     assert_eq!(step.free_slots, 6);
 }
 
-/// Without advice nothing is asked, so each worker that suits is good.
+/// Without advice there are no queries, so each suitable worker counts as good.
 #[test]
 fn without_advice_every_suitable_worker_is_good() {
     let mut cluster = TestCluster::with_cores(3, 10);
@@ -221,7 +222,7 @@
     assert_eq!(reports, [expected]);
 }
 
-/// A new leader has not heard of the worker on which the task may run.
+/// A new leader has no report of the worker on which the task may run.
 #[test]
 fn suspect_tasks_are_reported() {
     let mut cluster = TestCluster::new(2);
