--- a/crates/figscale-core/tests/fleet/advice.rs
+++ b/crates/figscale-core/tests/fleet/advice.rs
@@ -136,9 +136,9 @@
             cluster.respond(|id| id.as_str().ends_with('3'));
         }
     }
-    let good_rooms = 6;
+    let good_slots = 6;
     assert!(
-        cluster.starts() >= good_rooms,
+        cluster.starts() >= good_slots,
         "{} starts",
         cluster.starts()
     );
