--- a/crates/figscale-core/tests/fleet/losses.rs
+++ b/crates/figscale-core/tests/fleet/losses.rs
@@ -1,22 +1,22 @@
-//! Calls of workers that get lost, and workers that fall silent.
+//! Lost calls to workers, and workers that become unresponsive.
 //!
-//! The pattern: for some seconds one order in thirty gets no answer, the calls
-//! that wait for ends among them. Packing has put the tasks of many quick jobs
-//! on one worker, so one lost call hides the ends of many jobs. Measured on whole
-//! days with such spells, five seeds, shorter waits and no new work for
-//! workers whose calls are overdue took the worth of the day from 0.892 to 0.911
-//! where the spell met a peak of quick jobs, and from 0.766 to 0.772 where an
-//! outage weighs more.
+//! For some seconds one order in thirty gets no response, among them the calls
+//! that wait for ends. Packing has put the tasks of many quick jobs on one
+//! worker, so one lost call hides the ends of many jobs. Over whole simulated
+//! days with such intervals, five seeds, shorter waits and no new work for
+//! workers with overdue calls raised the worth of the day from 0.892 to 0.911
+//! where the interval coincided with a peak of quick jobs, and from 0.766 to
+//! 0.772 where an outage weighs more.
 
 use std::time;
 
 use figscale_core::fleet::Losses;
 
 use crate::kit;
-use crate::kit::Cell;
+use crate::kit::TestCluster;
 
 #[test]
-fn waits_are_short_while_answers_get_lost() {
+fn report_waits_are_shorter_while_responses_get_lost() {
     let now = time::Instant::now();
     let mut losses = Losses::default();
     let usual = losses.report_wait(now);
@@ -28,25 +28,29 @@
 }
 
 #[test]
-fn a_worker_with_an_overdue_call_gets_nothing_new_until_it_is_heard() {
-    let mut cell = Cell::new(2);
-    cell.scheduler.worker_doubted(&kit::worker_id(0), cell.now);
+fn a_worker_with_an_overdue_call_gets_no_work_until_it_reports() {
+    let mut cluster = TestCluster::new(2);
+    cluster
+        .scheduler
+        .worker_doubted(&kit::worker_id(0), cluster.now);
     let queue = kit::queue(0);
     assert_eq!(
-        cell.submit(1, &queue, kit::job(vec![kit::step(4, 1)])),
+        cluster.submit(1, &queue, kit::job(vec![kit::step(4, 1)])),
         figscale_core::fleet::Admission::Accepted
     );
-    while cell.scheduler.has_records() {
-        cell.write();
+    while cluster.scheduler.has_records() {
+        cluster.write();
     }
-    cell.scheduler.plan(cell.now);
-    cell.carry_out();
-    assert!(cell.worker(0).running.is_empty());
-    assert_eq!(cell.worker(1).running.len(), 4);
+    cluster.scheduler.plan(cluster.now);
+    cluster.execute_actions();
+    assert!(cluster.worker(0).running.is_empty());
+    assert_eq!(cluster.worker(1).running.len(), 4);
 
-    cell.report_all();
-    cell.worker(1).reachable = false;
-    cell.scheduler.worker_doubted(&kit::worker_id(1), cell.now);
-    cell.run(2, &queue, vec![kit::step(4, 1)]);
-    assert_eq!(cell.worker(0).running.len(), 4);
+    cluster.report_all();
+    cluster.worker(1).reachable = false;
+    cluster
+        .scheduler
+        .worker_doubted(&kit::worker_id(1), cluster.now);
+    cluster.run(2, &queue, vec![kit::step(4, 1)]);
+    assert_eq!(cluster.worker(0).running.len(), 4);
 }
