--- a/crates/figscale/src/fleet/access.rs
+++ b/crates/figscale/src/fleet/access.rs
@@ -1,15 +1,16 @@
-//! The store, directly or through another entry instance.
+//! Access to the store, directly or through another entry instance.
 //!
-//! The store can turn single instances away, or be cut off from them, while it
-//! serves the others. A call that it does not take from here is passed on by a
-//! peer, so that the leader goes on and every instance hears of a new
-//! configuration. While the store does not answer here only peers are asked,
-//! the one that served last before others; a peer that does not reach it
-//! either says so at once.
+//! The store can refuse calls of single instances, or be cut off from them, while
+//! it serves the others. A call that the store does not take from this instance is
+//! forwarded by a peer, so that the leader can continue and every instance gets a
+//! new configuration. While the store does not answer this instance directly, only
+//! peers are called, first the one that forwarded the last call successfully. A
+//! peer that cannot reach the store either reports that at once.
 //!
-//! Nothing is decided or kept on the way: the peer makes the very same call.
-//! A transaction may so be sent twice, which its conditions allow. Only the
-//! configuration is decoded by the peer, since customers' keys must not travel.
+//! A peer makes the same call, without deciding or storing anything. A transaction
+//! may therefore be sent twice, which its conditions allow. Only the configuration
+//! is decoded by the peer, since customers' keys must not be sent between
+//! instances.
 
 use std::net;
 use std::sync;
@@ -30,15 +31,15 @@
 use crate::metrics;
 use crate::peer;
 
-/// Name of the service that passes calls on, among peers.
+/// Name of the service by which peers forward calls to the store.
 const RELAY_SERVICE: &str = "fleet-store";
-/// Time for a peer's answer; its own call of the store has to fit.
+/// Timeout of a peer's answer; the peer's own call of the store has to fit in.
 const RELAY_TIMEOUT: time::Duration = time::Duration::from_millis(650);
-/// Peers asked for one call. The store turns a third of the instances away at
-/// most, so three of them fail together about one time in thirty.
+/// Most peers tried for one call. The store refuses at most a third of the
+/// instances, so all three fail about one time in thirty.
 const MAX_RELAYS: usize = 3;
 
-/// A call of the store.
+/// A call to the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Call {
     Get(String),
@@ -47,26 +48,26 @@
     Grant(time::Duration),
     Renew(store::LeaseId),
     Revoke(store::LeaseId),
-    /// The configuration, unless it has this revision.
+    /// Reads the configuration, unless it has this revision.
     Configuration(u64),
 }
 
-/// The operators' configuration, compared with the revision known.
+/// The operators' configuration, compared with a known revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Configuration {
-    /// It has the revision that was known.
+    /// It has the known revision.
     Same,
-    /// It has another one.
+    /// It has another revision.
     Other(Box<Version>),
-    /// There is none.
+    /// There is no configuration.
     Gone,
 }
 
-/// A version of the configuration, as it was read.
+/// A version of the configuration, as read from the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Version {
     pub(super) revision: u64,
-    /// What it says, or why it cannot be read.
+    /// The decoded configuration, or why it cannot be decoded.
     pub(super) table: Result<fleet::QueueTable, String>,
 }
 
@@ -79,7 +80,7 @@
     }
 }
 
-/// Its answer.
+/// The answer to a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Answer {
     Item(Option<store::Item>),
@@ -91,14 +92,15 @@
     Configuration(Configuration),
 }
 
-/// Ways to the store.
+/// The store, reached directly or through peers.
 pub(crate) struct Access {
     direct: sync::Arc<direct::Direct>,
     peers: sync::Arc<peer::Peers>,
     own_address: net::SocketAddr,
+    /// All entry instances known.
     roster: sync::Mutex<Vec<net::SocketAddr>>,
-    /// The peer that passed the last call on.
-    helper: sync::Mutex<Option<net::SocketAddr>>,
+    /// The peer that last forwarded a call successfully.
+    last_relay: sync::Mutex<Option<net::SocketAddr>>,
 }
 
 impl Access {
@@ -113,35 +115,35 @@
             peers,
             own_address,
             roster: sync::Mutex::default(),
-            helper: sync::Mutex::default(),
+            last_relay: sync::Mutex::default(),
         }
     }
 
-    /// Passes calls of peers on to the store.
+    /// Forwards calls of peers to the store.
     pub(super) fn serve(&self, handlers: &mut peer::Handlers) {
         let direct = self.direct.clone();
         handlers.on_call(RELAY_SERVICE, move |_from, call: Call| {
             let direct = direct.clone();
-            async move { Ok(pass_on(&direct, &call).await) }
+            async move { Ok(forward(&direct, &call).await) }
         });
     }
 
-    /// The other entry instances, as far as known.
+    /// Sets the known entry instances.
     pub(super) fn set_roster(&self, addresses: Vec<net::SocketAddr>) {
         *mutex::lock(&self.roster) = addresses;
     }
 
-    /// Number of instances known, this one among them.
+    /// Number of known instances, this one included.
     pub(super) fn instances(&self) -> usize {
         mutex::lock(&self.roster).len()
     }
 
-    /// Fingerprint of the instances known.
+    /// Hash of the known instances, independent of their order.
     pub(super) fn roster_hash(&self) -> calls::RosterHash {
         calls::RosterHash::of(&mutex::lock(&self.roster))
     }
 
-    /// The other entry instances, in no particular order.
+    /// The other known entry instances, in random order.
     pub(super) fn roster(&self) -> Vec<net::SocketAddr> {
         let mut others = mutex::lock(&self.roster).clone();
         others.retain(|address| *address != self.own_address);
@@ -149,12 +151,12 @@
         others
     }
 
-    /// Whether the store answers calls from here, as far as known.
+    /// Whether the store answered this instance's last direct call.
     pub(super) fn answers_directly(&self) -> bool {
         self.direct.answers()
     }
 
-    /// Whether the store answers a read from here.
+    /// Sends the store a read directly; returns whether it answered.
     pub(super) async fn probe(&self) -> bool {
         self.direct.probe().await
     }
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Executes a transaction, which must bear being sent twice.
+    /// Executes a transaction, which must be safe to send twice.
     pub(super) async fn commit(
         &self,
         transaction: &store::Transaction,
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Takes a lease.
+    /// Requests a lease.
     pub(super) async fn grant(&self, ttl: time::Duration) -> Result<store::LeaseId, CallError> {
         match self.call(Call::Grant(ttl)).await? {
             Answer::Lease(lease) => Ok(lease),
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Renews a lease; false when it has ended.
+    /// Renews a lease; false if it has ended.
     pub(super) async fn renew(&self, lease: store::LeaseId) -> Result<bool, CallError> {
         match self.call(Call::Renew(lease)).await? {
             Answer::Renewed(renewed) => Ok(renewed),
@@ -207,7 +209,7 @@
         self.call(Call::Revoke(lease)).await.map(|_| ())
     }
 
-    /// The configuration, unless it has the revision known.
+    /// Reads the configuration, unless it has the known revision.
     pub(super) async fn configuration(&self, known: u64) -> Result<Configuration, CallError> {
         match self.call(Call::Configuration(known)).await? {
             Answer::Configuration(configuration) => Ok(configuration),
@@ -215,20 +217,21 @@
         }
     }
 
-    /// Follows a key: `see` gets the item as it is and after each change, or
-    /// `None` where there is none. Ends with an error, or without when the
-    /// history is gone; then it is to be called again.
+    /// Follows a key: `on_change` gets the current item and the item after each
+    /// change, or `None` if the key does not exist. Returns an error if a call
+    /// fails, and `Ok` if the store no longer has the history of changes; in both
+    /// cases it is to be called again.
     ///
-    /// The first reading may go through a peer, so calling it again and again
-    /// stands for the watch while the store does not answer here.
+    /// The first read may go through a peer, so repeated calls replace the watch
+    /// while the store does not answer this instance directly.
     pub(super) async fn follow_key(
         &self,
         key: &str,
         wait: time::Duration,
-        mut see: impl FnMut(Option<&store::Item>),
+        mut on_change: impl FnMut(Option<&store::Item>),
     ) -> Result<(), CallError> {
         let listing = self.list(key).await?;
-        see(listing.items.iter().find(|item| item.key == key));
+        on_change(listing.items.iter().find(|item| item.key == key));
         let mut revision = listing.revision;
         loop {
             match self.watch(key, revision, wait).await? {
@@ -239,9 +242,9 @@
                 } => {
                     for event in &events {
                         match event {
-                            store::Event::Written(item) if item.key == key => see(Some(item)),
+                            store::Event::Written(item) if item.key == key => on_change(Some(item)),
                             store::Event::Removed { key: removed, .. } if removed == key => {
-                                see(None);
+                                on_change(None);
                             }
                             _ => (),
                         }
@@ -252,7 +255,7 @@
         }
     }
 
-    /// Watches a prefix; only directly, since a peer has its own watches.
+    /// Watches a prefix; never through a peer, which has watches of its own.
     pub(super) async fn watch(
         &self,
         prefix: &str,
@@ -266,50 +269,54 @@
     }
 
     async fn call(&self, call: Call) -> Result<Answer, CallError> {
-        let mut here = None;
-        let away = self.direct.failure();
-        if away.is_none() {
+        let mut direct_error = None;
+        let failure = self.direct.failure();
+        if failure.is_none() {
             match call_directly(&self.direct, &call).await {
                 Ok(answer) => return Ok(answer),
-                Err(error) => here = Some(error),
+                Err(error) => direct_error = Some(error),
             }
         }
-        let there = match self.relay(&call).await {
+        let relay_error = match self.relay(&call).await {
             Ok(answer) => return Ok(answer),
             Err(error) => error,
         };
-        let Some(mut error) = here else {
-            // What ails the store is the cause; peers may not even be known yet.
-            let failure = away.unwrap_or_default();
-            let cause = format!("{failure}; through a peer: {}", there.cause);
-            return Err(CallError { cause, ..there });
+        let Some(mut error) = direct_error else {
+            // The fault of the store is the cause; peers may not be known yet.
+            let failure = failure.unwrap_or_default();
+            let cause = format!("{failure}; through a peer: {}", relay_error.cause);
+            return Err(CallError {
+                cause,
+                ..relay_error
+            });
         };
-        // One way that may have worked leaves the whole call in doubt.
-        if there.verdict != Verdict::NotRun {
+        // If either path may have executed the call, its outcome is unknown.
+        if relay_error.verdict != Verdict::NotRun {
             error.verdict = Verdict::MayHaveRun;
         }
         Err(error)
     }
 
-    /// Peers to ask: the one that served last, and others.
-    fn helpers(&self) -> Vec<net::SocketAddr> {
-        let last = *mutex::lock(&self.helper);
-        let mut helpers = self.roster();
-        helpers.sort_by_key(|address| Some(*address) != last);
-        helpers.truncate(MAX_RELAYS);
-        helpers
+    /// Peers to forward a call: first the one that last did so, then others.
+    fn relay_candidates(&self) -> Vec<net::SocketAddr> {
+        let last = *mutex::lock(&self.last_relay);
+        let mut candidates = self.roster();
+        candidates.sort_by_key(|address| Some(*address) != last);
+        candidates.truncate(MAX_RELAYS);
+        candidates
     }
 
+    /// Makes a call through a peer.
     async fn relay(&self, call: &Call) -> Result<Answer, CallError> {
         let mut verdict = Verdict::NotRun;
         let mut cause = "no peer is known".to_owned();
-        for address in self.helpers() {
+        for address in self.relay_candidates() {
             let service = RELAY_SERVICE;
             let answer: Result<Result<Answer, CallError>, peer::PeerError> =
                 self.peers.call(address, service, call, RELAY_TIMEOUT).await;
             let (failed, why) = match answer {
                 Ok(Ok(answer)) => {
-                    *mutex::lock(&self.helper) = Some(address);
+                    *mutex::lock(&self.last_relay) = Some(address);
                     return Ok(answer);
                 }
                 Ok(Err(error)) => (error.verdict, error.cause),
@@ -327,8 +334,9 @@
     }
 }
 
-/// Makes a peer's call, unless it would only wait for a timeout here as well.
-async fn pass_on(direct: &sync::Arc<direct::Direct>, call: &Call) -> Result<Answer, CallError> {
+/// Makes a peer's call, unless the store does not answer this instance either:
+/// then the call could only time out.
+async fn forward(direct: &sync::Arc<direct::Direct>, call: &Call) -> Result<Answer, CallError> {
     if let Some(failure) = direct.failure() {
         let cause = format!("the store does not answer the peer either: {failure}");
         return Err(CallError::not_run(cause));
@@ -336,13 +344,13 @@
     call_directly(direct, call).await
 }
 
-/// Makes a call from here, and notes how it went and how long it took.
+/// Makes a call directly, and records its outcome and duration.
 async fn call_directly(
     direct: &sync::Arc<direct::Direct>,
     call: &Call,
 ) -> Result<Answer, CallError> {
     let begun = tokio::time::Instant::now();
-    let answer = make(direct.store(), call).await;
+    let answer = execute(direct.store(), call).await;
     direct.note(&answer);
     if answer.is_ok() {
         direct.answered_after(begun.elapsed());
@@ -350,7 +358,7 @@
     answer
 }
 
-async fn make(store: &store::Store, call: &Call) -> Result<Answer, CallError> {
+async fn execute(store: &store::Store, call: &Call) -> Result<Answer, CallError> {
     match call {
         Call::Get(key) => store.get(key).await.map(Answer::Item),
         Call::List(prefix) => store.list(prefix).await.map(Answer::Listing),
@@ -371,7 +379,7 @@
     }
 }
 
-/// A peer of another build answered something else.
+/// The error for an answer of the wrong kind, as from a peer of another version.
 fn unexpected(answer: &Answer) -> CallError {
     let kind = match answer {
         Answer::Item(_) => "an item",
--- a/crates/figscale/src/fleet/keys.rs
+++ b/crates/figscale/src/fleet/keys.rs
@@ -1,18 +1,18 @@
-//! Keys of the store that this program uses.
+//! Keys under which the scheduler's state is kept in the store.
 
 use figscale_core::fleet::RecordKey;
 use figscale_types::fleet;
 
-/// Names the leader; lives by the leader's lease.
+/// The leader; bound to the leader's lease.
 pub(super) const LEAD: &str = "figscale/lead";
-/// Prefix of the heads: the last change of each chain by any leader. Every
-/// change expects its chain's head as it was.
+/// Prefix of the chain heads: the last transaction of each chain by any leader.
+/// Every transaction is conditional on its chain's head being unchanged.
 pub(super) const HEADS: &str = "figscale/heads/";
-/// Workers that may run something.
+/// The workers that may be running tasks.
 pub(super) const WORKERS: &str = "figscale/workers";
-/// Prefix of the records of jobs.
+/// Prefix of the job records.
 pub(super) const JOBS: &str = "figscale/jobs/";
-/// Prefix of the records of progress.
+/// Prefix of the progress records, one for each job.
 pub(super) const PROGRESS: &str = "figscale/progress/";
 
 /// The key of a chain's head.
--- a/crates/figscale/src/fleet/outcome.rs
+++ b/crates/figscale/src/fleet/outcome.rs
@@ -1,4 +1,4 @@
-//! Log lines and counts for what the scheduler decided.
+//! Logs the scheduler's decisions, and counts them in the metrics.
 
 use figscale_core::fleet::Note;
 use figscale_types::fleet;
@@ -6,7 +6,7 @@
 use crate::events::fleet as events;
 use crate::metrics;
 
-/// Counts what a note of the scheduler tells.
+/// Updates the metrics for a decision of the scheduler.
 pub(super) fn count(metrics: &metrics::Metrics, note: &Note) {
     match note {
         Note::JobEnded {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Logs a note of the scheduler.
+/// Writes a decision of the scheduler to the log.
 pub(super) fn log(note: &Note) {
     match note {
         Note::JobEnded {
--- a/crates/figscale/src/fleet/readiness.rs
+++ b/crates/figscale/src/fleet/readiness.rs
@@ -2,8 +2,8 @@
 
 use super::Context;
 
-/// Ready with a configuration and a leader, and not while leaving; otherwise
-/// the reason.
+/// Returns why this instance is not ready, if so. It is ready once it has a
+/// configuration and knows a leader, until it shuts down.
 pub(super) fn why_not_ready(context: &Context) -> Option<&'static str> {
     if *context.leaving.borrow() {
         return Some("this entry instance is leaving");
--- a/crates/figscale/src/fleet/term/lease.rs
+++ b/crates/figscale/src/fleet/term/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps the leader's lease at the store, and takes another when it has ended.
+//! Renews the leader's lease at the store, and replaces it when it has expired.
 
 use std::time;
 
@@ -8,10 +8,11 @@
 use super::Message;
 use crate::fleet::Context;
 
-/// Renewals of the leader's lease in one life of it.
+/// Number of renewals of the leader's lease within its duration.
 const RENEWALS_PER_LEASE: u32 = 4;
 
-/// Renews until the term is over; tells it of each lease that ended or came.
+/// Renews the lease until the term is over, and sends the term a message for each
+/// lease that has expired or was granted.
 pub(super) async fn renew(
     context: Context,
     first: store::LeaseId,
--- a/crates/figscale/src/fleet/term/load.rs
+++ b/crates/figscale/src/fleet/term/load.rs
@@ -1,4 +1,4 @@
-//! What earlier leaders kept, read at the beginning of a term.
+//! Reads the records of earlier leaders at the beginning of a term.
 
 use std::time;
 
@@ -13,22 +13,23 @@
 use crate::fleet::keys;
 
 /// Pause after a failed read of the records.
-const LOAD_PAUSE: time::Duration = time::Duration::from_millis(100);
-/// A winner that cannot read the records for so long gives up.
-const MAX_LOADING: time::Duration = time::Duration::from_secs(4);
+const RETRY_PAUSE: time::Duration = time::Duration::from_millis(100);
+/// How long the winner of an election tries to read the records before it ends
+/// its term.
+const MAX_LOAD_TIME: time::Duration = time::Duration::from_secs(4);
 
-/// The way of an order to a worker, with a busy moment here.
+/// Time for an order to reach a worker, with a delay while this instance is busy.
 const ORDER_SLACK: time::Duration = time::Duration::from_millis(300);
 
-/// What earlier leaders kept, as of a head.
+/// The records of earlier leaders, consistent with the heads of an election.
 pub(in crate::fleet) struct Loaded {
     scheduler: Scheduler,
-    /// Workers that may run something of theirs.
+    /// Workers that may be running tasks of earlier leaders.
     workers: Vec<fleet::WorkerId>,
 }
 
 impl Loaded {
-    /// The scheduler of a term that begins now.
+    /// Starts the recovery; returns the scheduler of a term that begins now.
     pub(super) fn begin(mut self, context: &Context) -> Scheduler {
         let now = context.clock.now();
         self.scheduler.begin_recovery(self.workers, now);
@@ -37,7 +38,7 @@
     }
 }
 
-/// Reads the records, for a while also over failures of the store.
+/// Reads the records, with retries for a limited time.
 pub(super) async fn load_within_limit(
     context: &Context,
     epoch: fleet::Epoch,
@@ -48,35 +49,35 @@
             Ok(loaded) => return Ok(loaded),
             Err(error) => error,
         };
-        if context.clock.now().saturating_duration_since(started) > MAX_LOADING {
+        if context.clock.now().saturating_duration_since(started) > MAX_LOAD_TIME {
             return Err(error);
         }
-        tokio::time::sleep(LOAD_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Reads what earlier leaders kept, for the term of `epoch`.
+/// Reads the records of earlier leaders, for the term of `epoch`.
 ///
-/// Every change of a record changes the head. So what is read here holds at
-/// the beginning of the term if the head was known before the reading, and the
-/// term was won on the condition that it is still as it was.
+/// Every change of a record changes the head of its chain. So what is read here
+/// is valid at the beginning of the term if the heads were known before the read,
+/// and the term was won on the condition that they are unchanged.
 pub(in crate::fleet) async fn load(
     context: &Context,
     epoch: fleet::Epoch,
 ) -> Result<Loaded, CallError> {
-    let longest = time::Duration::from_millis(context.fleet.max_worker_lease_ms);
+    let max_lease = time::Duration::from_millis(context.fleet.max_worker_lease_ms);
     let entry_age = time::Duration::from_millis(context.fleet.max_entry_age_ms);
     let standard = Config::default();
     let config = Config {
         epoch,
-        lease: standard.lease.min(longest),
+        lease: standard.lease.min(max_lease),
         stop_limit: time::Duration::from_millis(context.fleet.stop_limit_ms),
         max_entry_age: entry_age.saturating_sub(ORDER_SLACK),
         ..standard
     };
     let mut scheduler = Scheduler::new(config);
-    // At once: with a slow store each of these takes several round trips of a
-    // quarter of a second, and nobody leads meanwhile.
+    // Concurrently: with a slow store each of these reads takes several round
+    // trips of a quarter of a second, during which there is no leader.
     let (jobs, progress, recorded) = tokio::try_join!(
         context.store.list(keys::JOBS),
         context.store.list(keys::PROGRESS),
--- a/crates/figscale/src/fleet/term/messages.rs
+++ b/crates/figscale/src/fleet/term/messages.rs
@@ -1,4 +1,4 @@
-//! What comes back to a term from the store, the workers and peers.
+//! Handles the results of the term's calls to the store, the workers and peers.
 
 use std::time;
 
@@ -59,9 +59,9 @@
         }
         let queues = self.context.queues.borrow().clone();
         for entry in entries {
-            // An entry of a pool that no configuration names may be anybody's.
-            // Before the first configuration is read all are asked, since their
-            // leases run.
+            // An entry whose service no queue of the configuration names may belong
+            // to another user of the platform. Before the first configuration is
+            // read all workers are called, since their leases are running.
             let known = self.scheduler.knows_worker(&entry.id);
             if !known && queues.version > 0 && !queues.has_service(&entry.service) {
                 continue;
