--- a/crates/figscale/src/fleet/advice.rs
+++ b/crates/figscale/src/fleet/advice.rs
@@ -1,4 +1,4 @@
-//! Asks the advisory service for the leader.
+//! Queries the advisory service on behalf of the leader.
 
 use std::time;
 
@@ -9,10 +9,11 @@
 use super::calls;
 use crate::peer;
 
-/// Time beyond the expected in which an answer must come.
-const SLACK: time::Duration = time::Duration::from_millis(500);
+/// Added to twice the expected response time to get the timeout of a query.
+const RESPONSE_MARGIN: time::Duration = time::Duration::from_millis(500);
 
-/// Answers the leader's calls.
+/// Registers the handler for queries that the leader sends through this
+/// instance.
 pub(super) fn start(context: &Context, handlers: &mut peer::Handlers) {
     let context = context.clone();
     let answer = move |_from, (question, expected_ms): (advice::Question, u64)| {
@@ -29,15 +30,17 @@
     handlers.on_call(calls::ADVICE_SERVICE, answer);
 }
 
-/// Asks from this instance.
+/// Queries the advisory service from this instance.
 pub(super) async fn ask(
     context: &Context,
     question: &advice::Question,
     expected: time::Duration,
 ) -> eyre::Result<Vec<fleet::Ticket>> {
     let Some(address) = context.fleet.advice_address else {
-        eyre::bail!("no advisory service in the settings");
+        eyre::bail!("no address of an advisory service is configured");
     };
     let service = advice::Advice::new(context.client.clone(), address);
-    Ok(service.ask(question, expected * 2 + SLACK).await?)
+    Ok(service
+        .ask(question, expected * 2 + RESPONSE_MARGIN)
+        .await?)
 }
--- a/crates/figscale/src/fleet/ask.rs
+++ b/crates/figscale/src/fleet/ask.rs
@@ -1,4 +1,4 @@
-//! Asks the leader on a caller's behalf, whoever leads meanwhile.
+//! Calls the leader on behalf of a caller, with retries across changes of leader.
 
 use std::time;
 
@@ -11,16 +11,17 @@
 use super::leadership;
 use super::term;
 
-/// Longest wait for a leader before a job is refused; a takeover takes less.
-const MAX_LEADERLESS: time::Duration = time::Duration::from_millis(1_500);
-/// Longest wait for one answer of the leader.
+/// How long to retry without a leader before a job is refused; a takeover takes
+/// less.
+const MAX_WAIT_FOR_LEADER: time::Duration = time::Duration::from_millis(1_500);
+/// Timeout of one attempt.
 const LEADER_TIMEOUT: time::Duration = time::Duration::from_millis(900);
-/// Pause before a leader is looked for again, if nothing is heard sooner.
+/// Pause before the next attempt, unless the known leadership changes sooner.
 const RETRY_PAUSE: time::Duration = time::Duration::from_millis(60);
 
-/// Asks whoever leads until there is an answer or the caller's time is up; with
-/// whether an unanswered call may have been acted on.
-pub(super) async fn leader(
+/// Calls the current leader until one answers or the deadline is reached. The
+/// verdict says whether an attempt that was not answered may have taken effect.
+pub(super) async fn call_leader(
     context: &Context,
     call: &LeaderCall,
     deadline: time::Instant,
@@ -30,15 +31,15 @@
     let mut changes = context.leadership.subscribe();
     loop {
         let now = context.clock.now();
-        let leaderless = verdict == Verdict::NotRun && now > started + MAX_LEADERLESS;
+        let leaderless = verdict == Verdict::NotRun && now > started + MAX_WAIT_FOR_LEADER;
         if now >= deadline || leaderless {
             return (None, verdict);
         }
         let timeout = LEADER_TIMEOUT.min(deadline - now);
         let _ = changes.borrow_and_update();
-        let asked = ask_once(context, call, timeout);
+        let attempt = ask_once(context, call, timeout);
         let answer = tokio::select! {
-            answer = asked => answer,
+            answer = attempt => answer,
             () = superseded(context) => Err(Verdict::MayHaveRun),
         };
         match answer {
@@ -52,18 +53,19 @@
     }
 }
 
-/// Completes when a later leader is known than now. A leader that lost its
-/// power keeps a request until it times out; the next one answers 0.4 s sooner.
+/// Completes when a leader of a later epoch becomes known. A request to a leader
+/// that lost power would otherwise wait for its timeout; turning to the next
+/// leader at once gives an answer 0.4 s sooner.
 async fn superseded(context: &Context) {
     let mut changes = context.leadership.subscribe();
     let epoch = |known: &leadership::Leadership| known.leader.as_ref().map(|leader| leader.epoch);
-    let asked = epoch(&changes.borrow());
+    let known_epoch = epoch(&changes.borrow());
     if changes
-        .wait_for(|known| epoch(known) > asked)
+        .wait_for(|known| epoch(known) > known_epoch)
         .await
         .is_err()
     {
-        // Nobody will lead any more: the process ends.
+        // The channel is closed because the process is stopping.
         std::future::pending().await
     }
 }
--- a/crates/figscale/src/fleet/calls.rs
+++ b/crates/figscale/src/fleet/calls.rs
@@ -1,4 +1,7 @@
-//! What entry instances say to their leader, and its answers.
+//! Messages of entry instances to their leader, and its answers.
+//!
+//! They are sent as bincode, so the order of variants and fields is part of the
+//! protocol.
 
 use std::net;
 
@@ -9,12 +12,12 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Name of the leader's service among peers.
+/// Name of the peer service that the leader answers.
 pub(super) const LEADER_SERVICE: &str = "fleet-leader";
-/// Name of the service that asks for advice among peers.
+/// Name of the peer service that queries the advisory service for the leader.
 pub(super) const ADVICE_SERVICE: &str = "fleet-advice";
 
-/// Fingerprint of a list of instances, in whatever order.
+/// Fingerprint of a list of instances; the order of the list does not matter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RosterHash(u64);
 
@@ -26,47 +29,48 @@
     }
 }
 
-/// On whose behalf a call is made.
+/// The originator of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Caller {
-    /// An operator, who may see every job.
+    /// An operator, with access to every job.
     Operator,
-    /// A customer by its key, or a call without a key where none is needed.
+    /// A customer identified by its key; `None` where no key is required.
     Customer(Option<fleet::CustomerName>),
 }
 
 /// A call to the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum LeaderCall {
-    /// Take a job.
+    /// Submits a job.
     Submit {
         job: fleet::JobId,
         queue: fleet::Queue,
         customer: Option<fleet::CustomerName>,
         description: fleet::JobDescription,
     },
-    /// How does a job stand?
+    /// Reads the state of a job.
     State { job: fleet::JobId, caller: Caller },
-    /// How does a job stand, with its tasks?
+    /// Reads the state of a job and its tasks.
     Show { job: fleet::JobId },
-    /// Which jobs are in progress?
+    /// Lists the jobs in progress.
     ListOpen,
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel { job: fleet::JobId, caller: Caller },
-    /// How many jobs of a queue wait?
+    /// Counts the waiting jobs of a queue.
     Pending { queue: String },
-    /// An entry instance is there, and can ask for advice.
+    /// Heartbeat of an entry instance, which may then serve the leader as a relay
+    /// to workers and to the advisory service.
     Hello {
-        /// The life that is taken for the leader.
+        /// The incarnation that the sender takes for the leader.
         leader: ids::MemberKey,
         member: ids::MemberId,
         address: net::SocketAddr,
-        /// Where it stands; it carries calls of workers there.
+        /// Failure domain of the sender, which relays calls of workers in it.
         failure_domain: ids::FailureDomain,
-        /// Processor that it could lead with, in thousandths of a core; 0 if
-        /// it cannot lead now.
+        /// CPU capacity available to lead with, in thousandths of a core; 0 if
+        /// the sender cannot lead now.
         cpu_millis: u64,
-        /// Fingerprint of the instances that it knows of.
+        /// Fingerprint of the instances known to the sender.
         roster: RosterHash,
     },
 }
@@ -87,43 +91,46 @@
 /// The leader's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum LeaderAnswer {
-    /// This instance does not lead; nothing was done.
+    /// This instance is not the leader; the call had no effect.
     NotLeader,
-    /// This instance has won a term and reads the records; nothing was done.
+    /// This instance has won an election and is still reading the records; the
+    /// call had no effect.
     Beginning,
-    /// The life that was greeted is over; another has its address.
+    /// The incarnation that the heartbeat was sent to has ended; another one has
+    /// its address.
     OtherLife,
-    /// The term ended meanwhile; the call may have been acted on.
+    /// The term ended during the call, which may have taken effect.
     Unknown,
-    /// So many calls wait that this one was not looked at; an earlier one for
-    /// the same job may have been acted on.
+    /// The call was dropped since too many others are waiting; an earlier one for
+    /// the same job may have taken effect.
     Overloaded,
-    /// The job is taken and kept.
+    /// The job is accepted and stored.
     Accepted,
-    /// The job is not taken and never runs.
+    /// The job is not accepted and never runs.
     Refused { retry_after_ms: u64 },
-    /// Another customer has taken the job's id; nothing was done.
+    /// Another customer already uses the job's id; the call had no effect.
     IdTaken,
-    /// A gang of the job needs more than its customer may ever have running.
+    /// A gang of the job exceeds its customer's limit on running work.
     TooLarge,
-    /// The store could not be asked; nothing was done and nothing will be.
+    /// The store is unavailable; the call had no effect and will have none.
     StoreAway { retry_after_ms: u64 },
-    /// A job's state, if there is such a job.
+    /// A job's state; `None` if there is no such job.
     State(Option<fleet::JobState>),
-    /// A job that there is, with its tasks.
+    /// An existing job with its tasks.
     Shown(fleet::JobView),
     /// Jobs in progress, without tasks.
     Listed(Vec<fleet::JobView>),
     /// Number of waiting jobs.
     Pending(u64),
-    /// The leader leads.
+    /// Answer of a leader to a heartbeat.
     Welcome {
-        /// The other instances that it has heard from, unless they are known.
+        /// The other instances that send heartbeats; `None` if the fingerprint of
+        /// the heartbeat shows that the sender knows them.
         peers: Option<Vec<net::SocketAddr>>,
-        /// Most processor that one of them could lead with, in thousandths of
-        /// a core.
+        /// Largest CPU capacity that any instance could lead with, in thousandths
+        /// of a core.
         strongest_millis: u64,
-        /// Proof of the configuration that the leader knows.
+        /// Proof that the configuration known to the leader is in force.
         config: Option<scheduling::ProofStamp>,
     },
 }
--- a/crates/figscale/src/fleet/direct.rs
+++ b/crates/figscale/src/fleet/direct.rs
@@ -1,12 +1,12 @@
-//! The store as it answers this instance, without a peer in between.
+//! Direct access of this instance to the store, and whether it works.
 //!
-//! A call that fails says that the store may be away, for this instance or for
-//! all. From then on it is probed in the background until it answers, so that
-//! nobody's call pays a timeout to find that out: a leader that was cut off
-//! from a silent store took jobs after 0.5 s at the median, and takes them
-//! after one more hop between peers. A single lost answer is taken back by the
-//! first probe. The price is one read each 0.2 s for each instance while the
-//! store is away from it.
+//! A failed call means that the store may be unavailable, to this instance or to
+//! all. From then on a background task probes it until it answers, so that no
+//! call waits for a timeout to find that out. Without this, a leader that was cut
+//! off from an unresponsive store accepted jobs after 0.5 s at the median; with
+//! it, they cost one more hop between peers. After a single lost answer the first
+//! probe makes the store available again. The cost is one read every 0.2 s per
+//! instance while the store is unavailable to it.
 
 use std::mem;
 use std::sync;
@@ -20,45 +20,46 @@
 use crate::events;
 use crate::metrics;
 
-/// Time between probes; each waits for its own answer.
-const PROBE_PAUSE: time::Duration = time::Duration::from_millis(200);
+/// Time between probes. A probe does not wait for the answer to the one before.
+const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// An answer that takes longer is told of; the platform's take 4 ms, and a
-/// quick job has some 0.4 s to spare, of which its record takes one answer.
+/// Answers that take longer count as slow. The platform's store answers in 4 ms;
+/// a short job has about 0.4 s of slack, and writing its record takes one answer.
 const SLOW_ANSWER: time::Duration = time::Duration::from_millis(80);
-/// Answers of one kind in a row that make it slow, or usual again: one alone
-/// may have met a busy moment of this instance.
+/// Consecutive slow answers after which the store counts as slow, or quick ones
+/// after which it counts as normal: a single one may be due to a moment of load
+/// on this instance.
 const ANSWERS_IN_A_ROW: u32 = 3;
 
-/// The store, and whether it answers.
+/// The store as reached directly, with its availability and latency.
 pub(super) struct Direct {
     store: store::Store,
     metrics: sync::Arc<metrics::Metrics>,
-    /// Why the last call failed; `None` while it answers.
+    /// Error of the last call; `None` if it succeeded.
     failure: sync::Mutex<Option<String>>,
     speed: sync::Mutex<Speed>,
 }
 
-/// How quickly the store answers.
+/// Whether the store counts as slow.
 #[derive(Clone, Copy, Debug, Default)]
 struct Speed {
     slow: bool,
-    /// Answers in a row that say otherwise.
-    otherwise: u32,
+    /// Consecutive answers that contradict `slow`.
+    contrary: u32,
 }
 
 impl Speed {
-    /// Takes in an answer; true if it is slow now and was not, or the reverse.
-    fn turns(&mut self, took: time::Duration) -> bool {
+    /// Records the latency of an answer; true if that changes `slow`.
+    fn record(&mut self, took: time::Duration) -> bool {
         if (took > SLOW_ANSWER) == self.slow {
-            self.otherwise = 0;
+            self.contrary = 0;
             return false;
         }
-        self.otherwise += 1;
-        if self.otherwise < ANSWERS_IN_A_ROW {
+        self.contrary += 1;
+        if self.contrary < ANSWERS_IN_A_ROW {
             return false;
         }
-        self.otherwise = 0;
+        self.contrary = 0;
         self.slow = !self.slow;
         true
     }
@@ -78,17 +79,18 @@
         &self.store
     }
 
-    /// Whether it is worth a call.
+    /// Whether the last call succeeded.
     pub(super) fn answers(&self) -> bool {
         self.failure().is_none()
     }
 
-    /// Why the last call failed; `None` while it answers.
+    /// Error of the last call; `None` if it succeeded.
     pub(super) fn failure(&self) -> Option<String> {
         mutex::lock(&self.failure).clone()
     }
 
-    /// Notes how a call ended; must be called within the runtime.
+    /// Records the result of a call, and starts the probes when the store becomes
+    /// unavailable. Must be called within the runtime.
     pub(super) fn note<T>(self: &sync::Arc<Self>, result: &Result<T, CallError>) {
         let failure = result.as_ref().err().map(CallError::to_string);
         let before = mem::replace(&mut *mutex::lock(&self.failure), failure.clone());
@@ -96,18 +98,19 @@
             (Some(_), None) => crate::event!(events::fleet::STORE_BACK, path = "direct"),
             (None, Some(error)) => {
                 crate::event!(events::fleet::STORE_LOST, path = "direct", error = error);
-                tokio::spawn(probe_until_it_answers(self.clone()));
+                tokio::spawn(probe_until_available(self.clone()));
             }
             _ => (),
         }
     }
 
-    /// Notes how long an answer took.
+    /// Records the latency of an answer in the metrics, and logs when the store
+    /// becomes slow or normal.
     pub(super) fn answered_after(&self, took: time::Duration) {
         self.metrics.fleet_store_answered(took);
         let speed = {
             let mut speed = mutex::lock(&self.speed);
-            if !speed.turns(took) {
+            if !speed.record(took) {
                 return;
             }
             *speed
@@ -118,10 +121,11 @@
         }
     }
 
-    /// Asks the store something small.
+    /// Makes a small read; true if the store answers.
     pub(super) async fn probe(self: &sync::Arc<Self>) -> bool {
         let answer = self.store.get(keys::LEAD).await;
-        // A probe that was sent before the store came back fails late.
+        // A probe that was sent before the store recovered may fail after that, so
+        // failures are not recorded.
         if answer.is_ok() {
             self.note(&answer);
         }
@@ -129,8 +133,8 @@
     }
 }
 
-async fn probe_until_it_answers(direct: sync::Arc<Direct>) {
-    let mut pause = tokio::time::interval(PROBE_PAUSE);
+async fn probe_until_available(direct: sync::Arc<Direct>) {
+    let mut pause = tokio::time::interval(PROBE_INTERVAL);
     while !direct.answers() {
         pause.tick().await;
         let probing = direct.clone();
--- a/crates/figscale/src/fleet/entry/authorize.rs
+++ b/crates/figscale/src/fleet/entry/authorize.rs
@@ -1,8 +1,8 @@
-//! Whose call it is, by its key.
+//! Identifies the customer of a call by its key.
 //!
-//! A key counts only while the configuration that names it is proven to be in
-//! force. Without that proof nobody can tell whether the key was taken away, so
-//! the call is refused at once and has done nothing.
+//! A key is valid only while the configuration that lists it is proven to be in
+//! force. Without that proof the key may have been revoked, so the call is refused
+//! at once, without effect.
 
 use figscale_types::fleet;
 
@@ -13,13 +13,13 @@
 /// Why a call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// It carries no key, or one that belongs to nobody.
+    /// It carries no key, or one that belongs to no customer.
     UnknownKey,
-    /// Whether its key still holds cannot be told.
+    /// The configuration is not proven, so the key may have been revoked.
     Unproven,
 }
 
-/// The customer of a call for a queue; none where calls need no key.
+/// The customer that makes a call for a queue; `None` where no key is required.
 pub(super) fn customer(
     context: &Context,
     table: &fleet::QueueTable,
--- a/crates/figscale/src/fleet/entry/dispatch.rs
+++ b/crates/figscale/src/fleet/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! Finds what a call is about, and has it answered.
+//! Routes a call to its queue and operation, and answers it.
 
 use axum::body;
 use axum::extract;
@@ -17,7 +17,7 @@
 use crate::fleet::calls::LeaderAnswer;
 use crate::fleet::calls::LeaderCall;
 
-/// Answers any call of a caller.
+/// Handles any call of a caller.
 pub(super) async fn answer(
     extract::State(context): extract::State<Context>,
     request: extract::Request,
@@ -36,7 +36,8 @@
     answer
 }
 
-/// Labels are bounded, whatever callers send.
+/// The method as a label of metrics; the number of labels is bounded whatever
+/// callers send.
 fn method_label(method: &http::Method) -> &'static str {
     match *method {
         http::Method::POST => "POST",
@@ -63,10 +64,10 @@
         return pending(context, call, queue).await;
     }
     let Ok(job) = id.parse::<fleet::JobId>() else {
-        return reply::not_found(call, "not a job id");
+        return reply::not_found(call, "invalid job id");
     };
     let caller = || Caller::Customer(customer.clone());
-    let question = match call.method {
+    let leader_call = match call.method {
         http::Method::POST => return submit::submit(context, call, job, queue, customer).await,
         http::Method::GET => LeaderCall::State {
             job,
@@ -78,16 +79,20 @@
         },
         _ => return http::StatusCode::METHOD_NOT_ALLOWED.into_response(),
     };
-    tell_state(context, call, &question).await
+    reply_with_state(context, call, &leader_call).await
 }
 
-/// Tells how a job stands after a question that is answered with its state.
-async fn tell_state(
+/// Sends the leader a call that it answers with a job's state, and returns that
+/// state to the caller.
+async fn reply_with_state(
     context: &Context,
     call: &call::Call,
-    question: &LeaderCall,
+    leader_call: &LeaderCall,
 ) -> response::Response {
-    match ask::leader(context, question, call.deadline).await.0 {
+    match ask::call_leader(context, leader_call, call.deadline)
+        .await
+        .0
+    {
         Some(LeaderAnswer::State(Some(state))) => {
             reply::json(http::StatusCode::OK, ingress::encode_state(state))
         }
@@ -97,8 +102,11 @@
 }
 
 async fn pending(context: &Context, call: &call::Call, queue: fleet::Queue) -> response::Response {
-    let question = LeaderCall::Pending { queue: queue.name };
-    match ask::leader(context, &question, call.deadline).await.0 {
+    let leader_call = LeaderCall::Pending { queue: queue.name };
+    match ask::call_leader(context, &leader_call, call.deadline)
+        .await
+        .0
+    {
         Some(LeaderAnswer::Pending(jobs)) => {
             reply::json(http::StatusCode::OK, ingress::encode_pending(jobs))
         }
--- a/crates/figscale/src/fleet/entry/mod.rs
+++ b/crates/figscale/src/fleet/entry/mod.rs
@@ -1,10 +1,11 @@
-//! Answers callers: finds the queue, asks the leader, tells the outcome.
+//! Serves callers: finds the queue of a call, calls the leader, returns its answer.
 //!
-//! Any instance takes any call. A call that the leader did not answer is sent
-//! again, to whoever leads then, as long as the caller waits: the id makes a
-//! repeated submission the same job. A caller is told 503 or 429 only where
-//! its job surely was not taken, which only a leader can know: an earlier try
-//! may have gone through another instance. Where nobody knows it is 504.
+//! Any instance accepts any call. A call that the leader does not answer is sent
+//! again, to whichever instance leads by then, until the caller's deadline; the
+//! job's id makes a repeated submission idempotent. A submission is answered with
+//! 503 or 429 only if the job was certainly not accepted. Only a leader can know
+//! that, since an earlier attempt may have gone through another instance. If
+//! nobody knows, the answer is 504.
 
 mod authorize;
 mod call;
@@ -27,19 +28,19 @@
 use super::Context;
 use super::readiness;
 
-/// The callers' listener of a running process.
+/// The listeners for callers and for the load balancer.
 pub(super) struct Server {
     stop: watch::Sender<bool>,
     served: Vec<task::JoinHandle<()>>,
 }
 
 impl Server {
-    /// Takes no more connections; open ones end after their answer.
+    /// Accepts no more connections; open ones end after the current answer.
     pub(super) fn stop(&mut self) {
         self.stop.send_replace(true);
     }
 
-    /// Completes when the last connection has ended.
+    /// Completes once the last connection has ended.
     pub(super) async fn ended(&mut self) {
         for served in self.served.drain(..) {
             let _ = served.await;
@@ -47,7 +48,7 @@
     }
 }
 
-/// Serves callers, and the balancer's question whether to send any.
+/// Serves callers, and the readiness checks of the load balancer.
 pub(super) fn start(context: &Context, callers: TcpListener, ready: TcpListener) -> Server {
     let (stop, stopped) = watch::channel(false);
     let calls = Router::new()
--- a/crates/figscale/src/fleet/entry/reply.rs
+++ b/crates/figscale/src/fleet/entry/reply.rs
@@ -1,4 +1,4 @@
-//! Answers that several kinds of calls get.
+//! Answers to callers that several kinds of calls share.
 
 use axum::response;
 use axum::response::IntoResponse as _;
@@ -7,14 +7,14 @@
 use super::call;
 use crate::events;
 
-/// When to come back where there is no leader.
+/// When to retry while there is no leader.
 const UNAVAILABLE_RETRY_AFTER_MS: u64 = 1_000;
 
 pub(super) fn not_found(call: &call::Call, cause: &'static str) -> response::Response {
     rejected(call, http::StatusCode::NOT_FOUND, cause)
 }
 
-/// A call that a repeat would not help.
+/// Answers a call that would fail again if repeated.
 pub(super) fn rejected(
     call: &call::Call,
     status: http::StatusCode,
@@ -24,17 +24,17 @@
     (status, cause).into_response()
 }
 
-/// A call without a key that is known to hold; it did nothing.
+/// Answers a call without a valid key; the call had no effect.
 pub(super) fn unauthorized(call: &call::Call, refusal: authorize::Refusal) -> response::Response {
     if refusal == authorize::Refusal::UnknownKey {
         let cause = "the key is missing or unknown";
         return rejected(call, http::StatusCode::UNAUTHORIZED, cause);
     }
-    let cause = "it cannot be told whether the key still holds";
+    let cause = "cannot verify that the key is still valid";
     log_rejected(call, cause);
-    let text = format!("{cause}; the call has done nothing");
+    let text = format!("{cause}; the call had no effect");
     let status = http::StatusCode::SERVICE_UNAVAILABLE;
-    refuse(status, UNAVAILABLE_RETRY_AFTER_MS, text)
+    refuse_with_retry(status, UNAVAILABLE_RETRY_AFTER_MS, text)
 }
 
 fn log_rejected(call: &call::Call, cause: &'static str) {
@@ -46,18 +46,23 @@
     );
 }
 
-/// A job was not taken and never runs; its caller may come back after that time.
+/// Answers that a job was not accepted and never runs; its caller may retry after
+/// the given time.
 pub(super) fn refuse_job(
     status: http::StatusCode,
     cause: &'static str,
     retry_after_ms: u64,
 ) -> response::Response {
-    let text = format!("{cause}; the job was not taken and never runs");
-    refuse(status, retry_after_ms, text)
+    let text = format!("{cause}; the job was not accepted and never runs");
+    refuse_with_retry(status, retry_after_ms, text)
 }
 
-/// Not now, but after that time.
-fn refuse(status: http::StatusCode, retry_after_ms: u64, text: String) -> response::Response {
+/// An answer with a `Retry-After` header.
+fn refuse_with_retry(
+    status: http::StatusCode,
+    retry_after_ms: u64,
+    text: String,
+) -> response::Response {
     let retry_after_s = retry_after_ms.div_ceil(1_000).max(1).to_string();
     let headers = [(http::header::RETRY_AFTER, retry_after_s)];
     (status, headers, text).into_response()
@@ -72,16 +77,16 @@
         .into_response()
 }
 
-/// Nobody can answer now.
+/// Answers that no leader or configuration is available.
 pub(super) fn unavailable() -> response::Response {
-    refuse(
+    refuse_with_retry(
         http::StatusCode::SERVICE_UNAVAILABLE,
         UNAVAILABLE_RETRY_AFTER_MS,
         String::new(),
     )
 }
 
-/// The leader did not answer a call that changes nothing when repeated.
+/// Answers an idempotent call that the leader did not answer.
 pub(super) fn unanswered(call: &call::Call) -> response::Response {
     crate::event!(
         events::fleet::CALL_FAILED,
--- a/crates/figscale/src/fleet/entry/submit.rs
+++ b/crates/figscale/src/fleet/entry/submit.rs
@@ -1,4 +1,4 @@
-//! Submissions: a job is checked, given to the leader, and its caller told.
+//! Submissions: validates a job, sends it to the leader and answers the caller.
 
 use axum::response;
 use axum::response::IntoResponse as _;
@@ -16,7 +16,7 @@
 use crate::fleet::calls::LeaderAnswer;
 use crate::fleet::calls::LeaderCall;
 
-/// Gives a job to the leader, and tells its caller what came of it.
+/// Sends a job to the leader, and returns the outcome to its caller.
 pub(super) async fn submit(
     context: &Context,
     call: &call::Call,
@@ -25,7 +25,7 @@
     customer: Option<fleet::CustomerName>,
 ) -> response::Response {
     let decoded = ingress::decode_job(&call.body);
-    let description = match decoded.and_then(checked) {
+    let description = match decoded.and_then(validated) {
         Ok(description) => description,
         Err(fault) => {
             crate::event!(events::fleet::CALL_REJECTED, job = job, cause = fault);
@@ -35,13 +35,13 @@
     let queue_name = queue.name.clone();
     let shape = shape(&description);
     let started = context.clock.now();
-    let question = LeaderCall::Submit {
+    let leader_call = LeaderCall::Submit {
         job,
         queue,
         customer,
         description,
     };
-    let (answer, verdict) = ask::leader(context, &question, call.deadline).await;
+    let (answer, verdict) = ask::call_leader(context, &leader_call, call.deadline).await;
     let waited_ms = clock::millis(context.clock.now().saturating_duration_since(started));
     let (event, cause, response) = match answer {
         Some(LeaderAnswer::Accepted) => {
@@ -54,28 +54,32 @@
             );
             return reply::json(http::StatusCode::OK, bytes::Bytes::from_static(b"{}"));
         }
-        // Beside an earlier call without an answer, which may arrive yet, no
-        // refusal says that the job never runs.
+        // An earlier call that was not answered may still arrive, and then no
+        // refusal can say that the job never runs.
         Some(LeaderAnswer::Refused { retry_after_ms }) if verdict == Verdict::NotRun => {
-            let cause = "the work in front of it would last too long";
+            let cause = "queued work ahead of the job would take too long";
             return reply::refuse_job(http::StatusCode::TOO_MANY_REQUESTS, cause, retry_after_ms);
         }
         Some(LeaderAnswer::IdTaken) => {
-            return reply::rejected(call, http::StatusCode::CONFLICT, "the id is taken");
+            return reply::rejected(
+                call,
+                http::StatusCode::CONFLICT,
+                "the job id is already in use",
+            );
         }
         Some(LeaderAnswer::TooLarge) => {
-            let cause = "a gang needs more than its customer may ever have running";
+            let cause = "a gang exceeds its customer's limit on running work";
             return reply::rejected(call, http::StatusCode::BAD_REQUEST, cause);
         }
         Some(LeaderAnswer::StoreAway { retry_after_ms }) if verdict == Verdict::NotRun => {
-            let cause = "the store is away";
+            let cause = "the store is unavailable";
             let status = http::StatusCode::SERVICE_UNAVAILABLE;
             let refusal = reply::refuse_job(status, cause, retry_after_ms);
             (events::fleet::JOB_REFUSED, cause, refusal)
         }
         answer => (
             events::fleet::JOB_UNANSWERED,
-            why_unanswered(answer.as_ref(), verdict),
+            unanswered_cause(answer.as_ref(), verdict),
             http::StatusCode::GATEWAY_TIMEOUT.into_response(),
         ),
     };
@@ -89,27 +93,27 @@
     response
 }
 
-/// Why nobody can say whether a job was taken. Where this try did nothing an
-/// earlier one may have: any instance takes any try, and only a leader knows
-/// all jobs.
-fn why_unanswered(answer: Option<&LeaderAnswer>, verdict: Verdict) -> &'static str {
+/// Why it is unknown whether a job was accepted. Even if this attempt had no
+/// effect, an earlier one through another instance may have had one, and only a
+/// leader knows all jobs.
+fn unanswered_cause(answer: Option<&LeaderAnswer>, verdict: Verdict) -> &'static str {
     match answer {
         Some(LeaderAnswer::Overloaded) => "the leader is overloaded",
-        Some(_) => "an earlier call of the leader had no answer",
-        None if verdict == Verdict::NotRun => "no leader in time",
+        Some(_) => "an earlier call to the leader was not answered",
+        None if verdict == Verdict::NotRun => "no leader found in time",
         None => "the leader did not answer in time",
     }
 }
 
-/// The job itself unless it has a fault.
-fn checked(job: fleet::JobDescription) -> Result<fleet::JobDescription, String> {
+/// The job itself if it is valid, or else the fault.
+fn validated(job: fleet::JobDescription) -> Result<fleet::JobDescription, String> {
     match scheduling::fault_of(&job) {
         Some(fault) => Err(fault),
         None => Ok(job),
     }
 }
 
-/// A job's steps in one word, as tasks x cores, with `g` for a gang.
+/// Summary of a job's steps as tasks x cores, with `g` for a gang.
 fn shape(description: &fleet::JobDescription) -> String {
     let steps = description.steps.iter().map(|step| {
         let gang = if step.gang { "g" } else { "" };
--- a/crates/figscale/src/fleet/fitness.rs
+++ b/crates/figscale/src/fleet/fitness.rs
@@ -1,4 +1,4 @@
-//! Measures whether this instance's machine has turned slow.
+//! Samples the health of the local machine: whether it has become slow.
 
 use std::hint;
 use std::sync;
@@ -10,30 +10,32 @@
 use super::Context;
 use crate::events;
 
-/// Steps of the piece of computing that is timed; 4 us of a core.
+/// Steps of the timed computation; 4 us of a core.
 const STEPS: u64 = 3_000;
-/// Steps before it, so that a processor which was idle is awake.
+/// Steps before the timed ones, so that an idle CPU leaves its power-saving state.
 const WARM_UP_STEPS: u64 = 1_000;
 
-/// What this instance measures of itself.
+/// The samples of this instance, shared between tasks.
 pub(crate) type Shared = sync::Arc<sync::Mutex<fleet::Fitness>>;
 
-/// Starts to measure.
+/// Starts the sampling task.
 pub(super) fn start(context: &Context) {
-    tokio::spawn(beat(context.clone()));
+    tokio::spawn(sample_periodically(context.clone()));
 }
 
-/// Processor with which this instance could lead now, in thousandths of a core.
+/// CPU capacity with which this instance could lead now, in thousandths of a core:
+/// its configured share, less on a machine that has become slow.
 pub(super) fn cpu_millis(context: &Context) -> u64 {
     mutex::lock(&context.fitness).left_of(context.fleet.cpu_millis())
 }
 
-/// The lag for which this instance should not lead on, if another can.
+/// The lag because of which this instance should hand over leadership, if another
+/// instance can take it.
 pub(super) fn lasting_lag(context: &Context) -> Option<fleet::Lag> {
     mutex::lock(&context.fitness).lasting_lag(context.clock.now())
 }
 
-async fn beat(context: Context) {
+async fn sample_periodically(context: Context) {
     loop {
         let begun = context.clock.now();
         tokio::time::sleep(fleet::BEAT).await;
@@ -44,15 +46,15 @@
         compute(STEPS);
         let now = context.clock.now();
         let took = now.saturating_duration_since(computing);
-        let turn = mutex::lock(&context.fitness).beat(late, took, now);
-        if let Some(turn) = turn {
-            log(turn, late, took);
+        let change = mutex::lock(&context.fitness).beat(late, took, now);
+        if let Some(change) = change {
+            log_change(change, late, took);
         }
     }
 }
 
-fn log(turn: fleet::Turn, late: time::Duration, took: time::Duration) {
-    match turn {
+fn log_change(change: fleet::Turn, late: time::Duration, took: time::Duration) {
+    match change {
         fleet::Turn::Slow(times) => crate::event!(
             events::fleet::INSTANCE_SLOW,
             times = times,
@@ -67,7 +69,7 @@
     }
 }
 
-/// A chain of multiplications, each of which waits for the one before.
+/// A chain of dependent multiplications, which the CPU cannot run in parallel.
 fn compute(steps: u64) {
     const FACTOR: u64 = 6_364_136_223_846_793_005;
     let mut value = 1_u64;
--- a/crates/figscale/src/fleet/operators/catalogue.rs
+++ b/crates/figscale/src/fleet/operators/catalogue.rs
@@ -1,10 +1,10 @@
-//! The operators' configuration as a catalogue, to look at.
+//! Read-only view of the operators' configuration as a catalogue.
 //!
 //! On the users' platform the catalogue of a cell is the configuration that the
-//! platform's operators keep in its store; there it is changed, and there its
-//! history is. Here it is shown as figscale's own: each queue is an entry with
-//! the limits that bind it. The configuration names no owners, so an entry
-//! belongs to the pool of workers that runs its tasks.
+//! platform's operators keep in its store, where it is changed and has its
+//! history. This module shows it in the form of figscale's own catalogue: each
+//! queue is an entry with the limits that apply to it. The configuration names no
+//! owners, so the owner of an entry is the pool of workers that runs its tasks.
 
 use std::sync;
 
@@ -26,23 +26,29 @@
 
 pub(super) fn routes() -> Router<Context> {
     Router::new()
-        .route("/v1/catalogue", routing::get(in_force).post(elsewhere))
-        .route("/v1/catalogue/rollback", routing::post(elsewhere))
-        .route("/v1/catalogue/history", routing::get(elsewhere))
-        .route("/v1/catalogue/at/{revision}", routing::get(elsewhere))
+        .route(
+            "/v1/catalogue",
+            routing::get(in_force).post(managed_in_store),
+        )
+        .route("/v1/catalogue/rollback", routing::post(managed_in_store))
+        .route("/v1/catalogue/history", routing::get(managed_in_store))
+        .route(
+            "/v1/catalogue/at/{revision}",
+            routing::get(managed_in_store),
+        )
         .route("/v1/catalogue/status", routing::get(status))
 }
 
-async fn elsewhere() -> answer::Refusal {
-    let text = "the catalogue of this cell is the configuration in the platform's store: \
-                change it, and look up earlier ones, there";
+async fn managed_in_store() -> answer::Refusal {
+    let text = "the catalogue of this cell is the configuration in the platform's store; \
+                change it and read its history there";
     answer::invalid(text).into()
 }
 
 async fn in_force(
     extract::State(context): extract::State<Context>,
 ) -> answer::Answer<schema::Accepted> {
-    let table = known_table(&context)?;
+    let table = current_table(&context)?;
     Ok(Json(schema::Accepted {
         revision: ids::Revision(table.version),
         change: None,
@@ -53,14 +59,16 @@
 async fn status(
     extract::State(context): extract::State<Context>,
 ) -> answer::Answer<operator::CatalogueStatus> {
-    let revision = ids::Revision(known_table(&context)?.version);
+    let revision = ids::Revision(current_table(&context)?.version);
     Ok(Json(operator::CatalogueStatus {
         revision,
         in_force: IndexMap::from([(context.me.id.clone(), Some(revision))]),
     }))
 }
 
-fn known_table(context: &Context) -> Result<sync::Arc<fleet::QueueTable>, operator::OperatorError> {
+fn current_table(
+    context: &Context,
+) -> Result<sync::Arc<fleet::QueueTable>, operator::OperatorError> {
     let table = context.queues.borrow().clone();
     match table.version {
         0 => Err(answer::unavailable("no configuration has been read yet")),
--- a/crates/figscale/src/fleet/operators/jobs.rs
+++ b/crates/figscale/src/fleet/operators/jobs.rs
@@ -1,9 +1,9 @@
-//! Jobs in figscale's own form, for operators and the command line.
+//! Jobs in the form of figscale's own API, for operators and the command line.
 //!
-//! An entry of the catalogue is a queue here. Ids of the platform have 16
-//! hexadecimal digits; any other id stands for the one that its hash makes, so
-//! that it names the same job in every call. Tasks of a queue run again after a
-//! failure, so a job that may not is refused.
+//! An entry of the catalogue is a queue of the platform. The platform's job ids
+//! are 16 hexadecimal digits; any other id is mapped to one by its hash, so that
+//! it names the same job in every call. Failed tasks of a queue are retried, so a
+//! job that is not idempotent is refused.
 
 use std::time;
 
@@ -39,17 +39,18 @@
         .route("/v1/jobs/{id}/cancel", routing::post(cancel))
 }
 
-/// The platform's id of a job.
+/// The platform's id of a job that an operator names.
 fn job_id(text: &str) -> Result<fleet::JobId, operator::OperatorError> {
     let name: ids::JobId = query::parse(text)?;
     let hashed = || fleet::JobId(hash::fnv1a(name.as_str().bytes()));
     Ok(name.as_str().parse().unwrap_or_else(|_| hashed()))
 }
 
-/// Asks the leader; with whether an unanswered call may have been acted on.
+/// Calls the leader. The verdict says whether an attempt that was not answered may
+/// have taken effect.
 async fn ask_leader(context: &Context, call: &LeaderCall) -> (Option<LeaderAnswer>, Verdict) {
     let limit = time::Duration::from_millis(context.settings.operator.timeout_ms);
-    ask::leader(context, call, context.clock.now() + limit).await
+    ask::call_leader(context, call, context.clock.now() + limit).await
 }
 
 async fn status(
@@ -125,18 +126,21 @@
         job,
         queue,
         customer: None,
-        description: described(spec)?,
+        description: description_of(spec)?,
     };
     match ask_leader(&context, &call).await {
         (Some(LeaderAnswer::Accepted), _) => Ok(Json(show(&context, job).await?)),
         (Some(LeaderAnswer::Refused { retry_after_ms }), Verdict::NotRun) => {
-            let text = "the work in front of it would last too long; it was not taken";
-            Err(not_now(text, retry_after_ms).into())
+            let text = "queued work ahead of the job would take too long; the job was not accepted";
+            Err(retry_later(text, retry_after_ms).into())
         }
-        (Some(LeaderAnswer::StoreAway { retry_after_ms }), Verdict::NotRun) => {
-            Err(not_now("the store is away; it was not taken", retry_after_ms).into())
-        }
-        // An earlier try may have been taken, so this is never "not taken".
+        (Some(LeaderAnswer::StoreAway { retry_after_ms }), Verdict::NotRun) => Err(retry_later(
+            "the store is unavailable; the job was not accepted",
+            retry_after_ms,
+        )
+        .into()),
+        // An earlier attempt may have been accepted, so this is never reported as
+        // "not accepted".
         _ => Err(unanswered(Verdict::MayHaveRun).into()),
     }
 }
@@ -157,14 +161,14 @@
     Ok(queue.clone())
 }
 
-/// The job as the scheduler takes it: one step.
-fn described(spec: schema::JobSpec) -> Result<fleet::JobDescription, operator::OperatorError> {
+/// The job in the scheduler's form, with one step.
+fn description_of(spec: schema::JobSpec) -> Result<fleet::JobDescription, operator::OperatorError> {
     if !spec.idempotent {
-        let text = "idempotent: expected true; tasks of this cell run again after a failure";
+        let text = "idempotent: expected true; this cell retries failed tasks";
         return Err(answer::invalid(text));
     }
     if spec.deadline_ms.is_some() {
-        let text = "deadline_ms: not supported here; the latency objective of the queue holds";
+        let text = "deadline_ms: not supported here; the queue's latency objective applies";
         return Err(answer::invalid(text));
     }
     let step = fleet::StepDescription {
@@ -231,8 +235,8 @@
     }
 }
 
-/// Whether any of it ran. Nothing of a job that waits has been started; of a
-/// cancelled one that is no longer known.
+/// Whether any task of the job ran. No task of a queued job has been started; of a
+/// cancelled job that is no longer known.
 fn verdict_of(view: &fleet::JobView) -> Verdict {
     match view.state {
         fleet::JobState::Queued => Verdict::NotRun,
@@ -246,7 +250,7 @@
     operator::OperatorError::new(operator::ErrorKind::NotFound, text)
 }
 
-fn not_now(text: &str, retry_after_ms: u64) -> operator::OperatorError {
+fn retry_later(text: &str, retry_after_ms: u64) -> operator::OperatorError {
     operator::OperatorError {
         retry_after_ms: Some(retry_after_ms),
         ..answer::unavailable(text)
--- a/crates/figscale/src/fleet/operators/mod.rs
+++ b/crates/figscale/src/fleet/operators/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' address: catalogue and jobs in figscale's own form, metrics,
-//! a dump of the state, liveness, readiness.
+//! HTTP API for operators: catalogue and jobs in the form of figscale's own API,
+//! metrics, a dump of the state, liveness and readiness.
 
 mod catalogue;
 mod jobs;
@@ -19,7 +19,7 @@
 use super::readiness;
 use crate::operator;
 
-/// Serves operators until the process ends.
+/// Serves the operators' API until the process ends.
 pub(super) fn start(context: &Context, listener: TcpListener) {
     let app = Router::new()
         .route("/metrics", routing::get(metrics))
--- a/crates/figscale/src/fleet/relay/link.rs
+++ b/crates/figscale/src/fleet/relay/link.rs
@@ -1,8 +1,9 @@
 //! The leader's stream to one relay.
 //!
-//! Orders that wait together go out together. The stream is opened with the
-//! first one; when it breaks, whoever waits is told so at once and makes the
-//! call itself, and the next order opens another stream.
+//! Orders that are queued at the same time are sent in one batch. The first order
+//! opens the stream. When the stream breaks, all pending orders fail at once, so
+//! that their callers call the workers directly, and the next order opens another
+//! stream.
 
 use std::net;
 use std::sync;
@@ -19,34 +20,35 @@
 use crate::fleet::Context;
 use crate::peer;
 
-/// Orders that wait for a stream at most; further calls are made directly.
+/// Largest number of orders queued for a stream; further calls are made directly.
 const MAX_QUEUED: usize = 1_024;
-/// Orders in one batch at most.
+/// Largest number of orders in one batch.
 const MAX_BATCH: usize = 128;
 
-type Waiting = sync::Arc<sync::Mutex<IndexMap<u64, oneshot::Sender<orders::Answer>>>>;
+/// Senders for the answers that are still pending, by the number of the order.
+type PendingAnswers = sync::Arc<sync::Mutex<IndexMap<u64, oneshot::Sender<orders::Answer>>>>;
 
-/// An order and whoever waits for its answer.
+/// A queued order, with the sender for its answer.
 struct Queued {
     order: orders::Order,
     answer: oneshot::Sender<orders::Answer>,
 }
 
-/// The way to one relay.
+/// The leader's connection to one relay.
 pub(in crate::fleet) struct Link {
     address: net::SocketAddr,
     orders: mpsc::Sender<Queued>,
-    set_aside_until: sync::Mutex<Option<time::Instant>>,
+    ejected_until: sync::Mutex<Option<time::Instant>>,
 }
 
 impl Link {
     pub(super) fn new(context: &Context, address: net::SocketAddr) -> Self {
         let (orders, queue) = mpsc::channel(MAX_QUEUED);
-        tokio::spawn(carry(context.peers.clone(), address, queue));
+        tokio::spawn(forward(context.peers.clone(), address, queue));
         Self {
             address,
             orders,
-            set_aside_until: sync::Mutex::default(),
+            ejected_until: sync::Mutex::default(),
         }
     }
 
@@ -54,31 +56,32 @@
         self.address
     }
 
-    /// Gives an order to the relay; `None` if it brings no answer.
+    /// Sends an order to the relay; `None` if there is no answer, since the queue is
+    /// full or the stream broke.
     pub(in crate::fleet) async fn call(&self, order: orders::Order) -> Option<orders::Answer> {
         let (answer, answered) = oneshot::channel();
         self.orders.try_send(Queued { order, answer }).ok()?;
         answered.await.ok()
     }
 
-    /// Leaves the relay out for a moment.
-    pub(in crate::fleet) fn set_aside(&self, now: time::Instant) {
-        *mutex::lock(&self.set_aside_until) = Some(now + super::SET_ASIDE);
+    /// Ejects the relay for [`super::EJECTION_TIME`].
+    pub(in crate::fleet) fn eject(&self, now: time::Instant) {
+        *mutex::lock(&self.ejected_until) = Some(now + super::EJECTION_TIME);
     }
 
-    pub(super) fn is_set_aside(&self, now: time::Instant) -> bool {
-        mutex::lock(&self.set_aside_until).is_some_and(|until| now < until)
+    pub(super) fn is_ejected(&self, now: time::Instant) -> bool {
+        mutex::lock(&self.ejected_until).is_some_and(|until| now < until)
     }
 }
 
-/// Carries orders until the link is dropped.
-async fn carry(
+/// Forwards orders until the link is dropped.
+async fn forward(
     peers: sync::Arc<peer::Peers>,
     address: net::SocketAddr,
     mut queue: mpsc::Receiver<Queued>,
 ) {
     while let Some(first) = queue.recv().await {
-        if let Err(error) = carry_on_one_stream(&peers, address, first, &mut queue).await {
+        if let Err(error) = forward_on_one_stream(&peers, address, first, &mut queue).await {
             crate::event!(
                 events::fleet::RELAY_LOST,
                 address = address,
@@ -88,7 +91,7 @@
     }
 }
 
-async fn carry_on_one_stream(
+async fn forward_on_one_stream(
     peers: &peer::Peers,
     address: net::SocketAddr,
     first: Queued,
@@ -96,8 +99,8 @@
 ) -> eyre::Result<()> {
     let (answer, mut sender) = peers.open_stream(address, super::STREAM).await?;
     crate::event!(events::fleet::RELAY_USED, address = address);
-    let waiting = Waiting::default();
-    let mut reading = tokio::spawn(read(answer, waiting.clone()));
+    let pending = PendingAnswers::default();
+    let mut reading = tokio::spawn(read(answer, pending.clone()));
     let mut number = 0;
     let mut next = Some(first);
     let ended = loop {
@@ -111,27 +114,32 @@
                 ended = &mut reading => break ended?,
             },
         };
-        mutex::lock(&waiting).retain(|_, answer| !answer.is_closed());
+        mutex::lock(&pending).retain(|_, answer| !answer.is_closed());
         let mut batch = orders::Batch::default();
-        add(&mut batch, &mut number, queued, &waiting);
+        add_to_batch(&mut batch, &mut number, queued, &pending);
         while batch.len() < MAX_BATCH
             && let Ok(queued) = queue.try_recv()
         {
-            add(&mut batch, &mut number, queued, &waiting);
+            add_to_batch(&mut batch, &mut number, queued, &pending);
         }
         if let Err(error) = send(&mut sender, &batch).await {
             break Err(error);
         }
     };
     reading.abort();
-    // Whoever still waits finds the other half of its channel gone.
-    mutex::lock(&waiting).clear();
+    // Dropping the senders ends the calls that are still pending.
+    mutex::lock(&pending).clear();
     ended
 }
 
-fn add(batch: &mut orders::Batch, number: &mut u64, queued: Queued, waiting: &Waiting) {
+fn add_to_batch(
+    batch: &mut orders::Batch,
+    number: &mut u64,
+    queued: Queued,
+    pending: &PendingAnswers,
+) {
     *number += 1;
-    mutex::lock(waiting).insert(*number, queued.answer);
+    mutex::lock(pending).insert(*number, queued.answer);
     batch.push(*number, queued.order);
 }
 
@@ -140,18 +148,22 @@
     Ok(())
 }
 
-/// Hands answers to those who wait, until the stream ends.
-async fn read(answer: h2::client::ResponseFuture, waiting: Waiting) -> eyre::Result<()> {
+/// Reads answers and passes them to the pending calls, until the stream ends.
+async fn read(answer: h2::client::ResponseFuture, pending: PendingAnswers) -> eyre::Result<()> {
     let answer = answer.await?;
-    eyre::ensure!(answer.status().is_success(), "refused: {}", answer.status());
+    eyre::ensure!(
+        answer.status().is_success(),
+        "relay refused the stream: {}",
+        answer.status()
+    );
     let mut reader = peer::Reader::new(answer.into_body());
     loop {
         let answers: orders::Answers = reader.frame().await?;
-        let mut waiting = mutex::lock(&waiting);
+        let mut pending = mutex::lock(&pending);
         for (number, answer) in answers {
-            if let Some(waits) = waiting.swap_remove(&number) {
-                // Nobody waits any more if a direct call was answered first.
-                let _ = waits.send(answer);
+            if let Some(caller) = pending.swap_remove(&number) {
+                // The receiver is gone if a direct call was answered first.
+                let _ = caller.send(answer);
             }
         }
     }
--- a/crates/figscale/src/fleet/relay/mod.rs
+++ b/crates/figscale/src/fleet/relay/mod.rs
@@ -1,17 +1,18 @@
-//! Calls of workers through other entry instances.
+//! Calls to workers that other entry instances relay for the leader.
 //!
-//! The leader of a large fleet does not hold the links to all workers. Each
-//! instance that greets it carries the calls of some of them: those of its own
-//! failure domain where there are any, spread by rendezvous hashing, so that an
-//! instance that comes or goes moves no workers but its own. Orders and answers
-//! go in batches over one stream to each instance. So the leader pays for a few
-//! messages between instances in place of a call each, and a text that the tasks
-//! of a job share crosses its link once a batch.
+//! The leader of a large fleet does not connect to all workers itself. Each
+//! instance that sends it heartbeats relays the calls of some of them. A worker's
+//! relay is chosen by rendezvous hashing, among the instances of the worker's
+//! failure domain if there are any, so that an instance that joins or leaves moves
+//! no workers but its own. Orders and answers are sent in batches over one stream
+//! to each instance. The leader thus pays for a few messages between instances in
+//! place of one call per order, and a task description that several tasks of a job
+//! share is sent once per batch.
 //!
-//! A relay decides nothing and keeps nothing. Whatever it is told carries the
-//! leader's epoch, a reading of the worker's clock or an attempt, by which the
-//! worker itself refuses what comes too late. The leader may make any call again
-//! directly: a worker that gets a call twice does no more than once.
+//! A relay makes no decisions and holds no state. Each order carries the leader's
+//! epoch, a reading of the worker's clock or an attempt number, by which the worker
+//! refuses orders that arrive too late. Calls are idempotent at the worker, so the
+//! leader may repeat any of them directly.
 
 mod link;
 mod orders;
@@ -35,28 +36,30 @@
 pub(super) use orders::Order;
 pub(super) use serve::start;
 
-/// Name of the stream's handler among peers.
+/// Name of the peer stream handler.
 const STREAM: &str = "fleet-relay";
-/// A relay whose call was overtaken by a direct one is left out for so long.
-const SET_ASIDE: time::Duration = time::Duration::from_secs(2);
+/// For how long a relay is ejected after it did not answer, or after a direct call
+/// was answered before its own.
+const EJECTION_TIME: time::Duration = time::Duration::from_secs(2);
 
-/// Workers up to which the leader calls them itself while their relay is set aside.
-/// Only direct calls show that calls of workers get lost; with more workers they
-/// would keep a late leader late.
+/// Largest number of workers at which the leader calls the workers of an ejected
+/// relay directly. Only direct calls show whether calls to workers get lost; with
+/// more workers, direct calls would keep a leader that has fallen behind from
+/// catching up.
 const MAX_CALLED_DIRECTLY: usize = 1_500;
 
-/// Whether a fleet has more workers than its leader could call directly.
+/// Whether a fleet has too many workers for its leader to call them directly.
 pub(super) fn is_large(workers: usize) -> bool {
     workers > MAX_CALLED_DIRECTLY
 }
 
-/// An instance that can carry calls.
+/// An entry instance that can relay calls.
 struct Relay {
     failure_domain: ids::FailureDomain,
     link: sync::Arc<Link>,
 }
 
-/// The instances that carry calls in one term.
+/// The relays of one term.
 pub(super) struct Relays {
     context: Context,
     relays: IndexMap<ids::MemberId, Relay>,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// An instance greets the leader.
+    /// Adds an instance that has sent a heartbeat, or updates its address.
     pub(super) fn joined(
         &mut self,
         member: &ids::MemberId,
@@ -89,13 +92,13 @@
         self.relays.insert(member.clone(), relay);
     }
 
-    /// An instance is gone.
+    /// Removes an instance that is gone.
     pub(super) fn left(&mut self, member: &ids::MemberId) {
         self.relays.swap_remove(member);
     }
 
-    /// The instance that carries the calls of a worker; `None` for the leader
-    /// itself. In a large fleet another relay stands in for one that is set aside.
+    /// The relay for a worker's calls; `None` if the leader makes them itself. In a
+    /// large fleet another relay replaces one that is ejected.
     pub(super) fn relay_of(
         &self,
         worker: &fleet::WorkerId,
@@ -111,11 +114,11 @@
             .iter()
             .map(|(member, relay)| scheduling::Carrier {
                 near: relay.failure_domain.as_str() == failure_domain,
-                set_aside: is_large(workers) && relay.link.is_set_aside(now),
+                set_aside: is_large(workers) && relay.link.is_ejected(now),
                 hash: hash::hash(&[member.as_str(), worker.as_str()]),
             });
         let position = scheduling::choose_carrier(carriers)?;
         let (_, relay) = self.relays.get_index(position)?;
-        (is_large(workers) || !relay.link.is_set_aside(now)).then(|| relay.link.clone())
+        (is_large(workers) || !relay.link.is_ejected(now)).then(|| relay.link.clone())
     }
 }
--- a/crates/figscale/src/fleet/relay/orders.rs
+++ b/crates/figscale/src/fleet/relay/orders.rs
@@ -1,4 +1,7 @@
-//! What a leader tells its relays, and what they answer.
+//! Orders of a leader to its relays, and the answers.
+//!
+//! They are sent as bincode, so the order of variants and fields is part of the
+//! protocol.
 
 use figscale_platform::CallError;
 use figscale_platform::workers;
@@ -7,14 +10,14 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A call of a worker, as the leader would make it.
+/// A call to a worker that the relay makes in place of the leader.
 #[derive(Clone, Debug)]
 pub(in crate::fleet) struct Order {
     pub(in crate::fleet) worker: workers::WorkerAddress,
     pub(in crate::fleet) call: Call,
 }
 
-/// Which call.
+/// The call to make.
 #[derive(Clone, Debug)]
 pub(in crate::fleet) enum Call {
     Report(workers::ReportRequest),
@@ -24,7 +27,7 @@
     },
 }
 
-/// What a call brought.
+/// The result of a call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::fleet) enum Answer {
     Report(Result<workers::ReportOutcome, CallError>),
@@ -32,8 +35,8 @@
 }
 
 impl Answer {
-    /// Whether somebody waits for it; a report in which nothing has ended only
-    /// says that the worker is there.
+    /// Whether the leader needs the answer at once. A report without ended tasks
+    /// only shows that the worker responds.
     pub(super) fn is_urgent(&self) -> bool {
         match self {
             Self::Report(Ok(workers::ReportOutcome::Report(report))) => !report.finished.is_empty(),
@@ -42,10 +45,11 @@
     }
 }
 
-/// Answers, each with the number of its order.
+/// A batch of answers, each with the number of its order.
 pub(super) type Answers = Vec<(u64, Answer)>;
 
-/// Orders on their way to a relay; texts that several share are sent once.
+/// A batch of orders to a relay. Task descriptions that several orders share are
+/// sent once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Batch {
     texts: IndexSet<String>,
@@ -66,7 +70,7 @@
         epoch: fleet::Epoch,
         task: fleet::TaskId,
         attempt: u32,
-        /// Position among the batch's texts.
+        /// Index of the task description in `texts` of the batch.
         text: usize,
         expires_clock_ms: u64,
         checkpoint: String,
@@ -99,8 +103,8 @@
         self.orders.len()
     }
 
-    /// The orders with their numbers; one that names a text that is not there is
-    /// left out, and the leader makes its call itself.
+    /// The orders with their numbers. An order whose `text` index is out of range is
+    /// dropped, and the leader makes its call directly.
     pub(super) fn unpack(self) -> impl Iterator<Item = (u64, Order)> {
         let texts = self.texts;
         self.orders.into_iter().filter_map(move |packed| {
--- a/crates/figscale/src/fleet/relay/serve.rs
+++ b/crates/figscale/src/fleet/relay/serve.rs
@@ -1,4 +1,4 @@
-//! The relaying side: makes the calls that a leader orders.
+//! The relay's side of a stream: makes the calls that a leader orders.
 
 use std::sync;
 use std::time;
@@ -12,13 +12,14 @@
 use crate::fleet::workers::CALL_TIMEOUT;
 use crate::peer;
 
-/// Answers that wait for their stream at most.
+/// Largest number of answers queued for a stream.
 const MAX_ANSWERS: usize = 1_024;
-/// Time for further answers to join one that tells nothing new. An end or the
-/// answer to a start goes out at once, with whatever waits.
+/// How long an answer that is not urgent waits for others to share its batch. An
+/// urgent answer, such as a report of an ended task or the answer to a start, is
+/// sent at once with all that are queued.
 const BATCH_PAUSE: time::Duration = time::Duration::from_millis(10);
 
-/// Starts to carry calls for leaders.
+/// Registers the handler that relays calls for leaders.
 pub(in crate::fleet) fn start(context: &Context, handlers: &mut peer::Handlers) {
     let calls = workers::Workers::new(context.client.clone(), CALL_TIMEOUT);
     handlers.on_stream(super::STREAM, move |incoming| {
@@ -43,7 +44,7 @@
             let (calls, answers) = (calls.clone(), answers.clone());
             tokio::spawn(async move {
                 let answer = make(&calls, order).await;
-                // Nobody reads any more once the stream has broken.
+                // The receiver is gone once the stream has broken.
                 let _ = answers.send((number, answer)).await;
             });
         }
--- a/crates/figscale/src/fleet/workers/hedged.rs
+++ b/crates/figscale/src/fleet/workers/hedged.rs
@@ -1,9 +1,9 @@
-//! Hedged calls of workers: sent once more when the first is overdue.
+//! Hedged calls to workers: a second call is made when the first is overdue.
 //!
-//! A call or its answer is lost now and then on the way to a worker that is
-//! well, or a relay is slow. Both calls go on side by side, the second one always
-//! directly, and the first useful answer counts; a worker may so get a call
-//! twice, which does no more there than once.
+//! A call to a healthy worker or its answer is lost now and then, or a relay is
+//! slow. Both calls continue in parallel, the second always directly, and the first
+//! useful answer is taken. A worker may thus get a call twice; calls are idempotent
+//! there.
 
 use std::time;
 
@@ -11,41 +11,41 @@
 use figscale_platform::workers;
 use figscale_types::fleet;
 
-use super::ways;
+use super::paths;
 use crate::fleet::message;
 use crate::fleet::message::Message;
 
-/// A worker answers so soon after the wait asked for. One that does not is asked
-/// a second time: where one call in twenty is lost, that hides a worker's ends
-/// for 1.15 s in place of 1.8 s, for one more call.
-const USUAL_ANSWER: time::Duration = time::Duration::from_millis(150);
-/// A start that is not answered within this time is ordered again as it was: a
-/// worker takes a run once only. Where one order in twenty is lost, that costs
-/// a quick task 0.2 s in place of its 1.5 s until the order expires.
-const USUAL_START: time::Duration = time::Duration::from_millis(200);
+/// A report that is overdue by this time, on top of the wait asked for, is requested
+/// a second time. Where one call in twenty is lost, ended tasks of a worker are then
+/// seen after 1.15 s in place of 1.8 s, for one more call.
+const HEDGE_REPORT_AFTER: time::Duration = time::Duration::from_millis(150);
+/// A start that is not answered within this time is ordered again unchanged; a
+/// worker accepts a run only once. Where one order in twenty is lost, that costs a
+/// short task 0.2 s in place of the 1.5 s until the order expires.
+const HEDGE_START_AFTER: time::Duration = time::Duration::from_millis(200);
 
-/// Asks for a report, and once more if the first call seems to be lost.
+/// Requests a report, and a second time if the first call is overdue.
 pub(super) async fn report(
-    ways: &ways::Ways,
+    paths: &paths::CallPaths,
     address: &workers::WorkerAddress,
     request: workers::ReportRequest,
     messages: &message::Messages,
 ) -> Result<workers::ReportOutcome, CallError> {
-    let first = ways.report(address, request);
+    let first = paths.report(address, request);
     tokio::pin!(first);
-    let usual = request.wait + USUAL_ANSWER;
-    if let Ok(report) = tokio::time::timeout(usual, &mut first).await {
+    let hedge_after = request.wait + HEDGE_REPORT_AFTER;
+    if let Ok(report) = tokio::time::timeout(hedge_after, &mut first).await {
         return report;
     }
     let _ = messages.send(Message::Overdue(address.id.clone())).await;
-    let Some(_permit) = ways.second_call() else {
+    let Some(_permit) = paths.permit_second_call() else {
         return first.await;
     };
-    let at_once = workers::ReportRequest {
+    let immediate = workers::ReportRequest {
         wait: time::Duration::ZERO,
         ..request
     };
-    let second = ways.direct.report(address, at_once);
+    let second = paths.direct.report(address, immediate);
     tokio::pin!(second);
     tokio::select! {
         report = &mut first => match report {
@@ -54,7 +54,7 @@
         },
         report = &mut second => match report {
             Ok(report) => {
-                direct_was_first(ways, messages).await;
+                on_second_answered_first(paths, messages).await;
                 Ok(report)
             }
             Err(_) => first.await,
@@ -62,24 +62,24 @@
     }
 }
 
-/// Orders a start, and once more if the first order seems to be lost.
+/// Orders a start, and a second time if the first order is overdue.
 pub(super) async fn start(
-    ways: &ways::Ways,
+    paths: &paths::CallPaths,
     address: &workers::WorkerAddress,
     epoch: fleet::Epoch,
     order: &fleet::StartOrder,
     messages: &message::Messages,
 ) -> Result<fleet::StartOutcome, CallError> {
-    let first = ways.start(address, epoch, order);
+    let first = paths.start(address, epoch, order);
     tokio::pin!(first);
-    if let Ok(outcome) = tokio::time::timeout(USUAL_START, &mut first).await {
+    if let Ok(outcome) = tokio::time::timeout(HEDGE_START_AFTER, &mut first).await {
         return outcome;
     }
     let _ = messages.send(Message::Overdue(address.id.clone())).await;
-    let Some(_permit) = ways.second_call() else {
+    let Some(_permit) = paths.permit_second_call() else {
         return first.await;
     };
-    let second = ways.direct.start(address, epoch, order);
+    let second = paths.direct.start(address, epoch, order);
     tokio::pin!(second);
     let (one, other) = tokio::select! {
         outcome = &mut first => match is_started(&outcome) {
@@ -88,7 +88,7 @@
         },
         outcome = &mut second => match is_started(&outcome) {
             true => {
-                direct_was_first(ways, messages).await;
+                on_second_answered_first(paths, messages).await;
                 return outcome;
             }
             false => (outcome, first.await),
@@ -99,15 +99,16 @@
         (Err(error), _) | (_, Err(error)) => error.cause,
         (Ok(one), Ok(other)) => format!("ordered twice: {one:?}, {other:?}"),
     };
-    // That one of them was refused tells nothing of the other.
+    // The refusal of one order does not show the outcome of the other.
     Err(CallError::maybe(cause))
 }
 
-/// The second call was answered before the first one. Behind a relay that says
-/// nothing of the way to the worker.
-async fn direct_was_first(ways: &ways::Ways, messages: &message::Messages) {
-    match &ways.relay {
-        Some(relay) => relay.set_aside(ways.clock.now()),
+/// Handles a second call that was answered before the first. If the first went
+/// through a relay, the relay may be the cause and is ejected; otherwise the first
+/// call or its answer was lost between leader and worker.
+async fn on_second_answered_first(paths: &paths::CallPaths, messages: &message::Messages) {
+    match &paths.relay {
+        Some(relay) => relay.eject(paths.clock.now()),
         None => {
             let _ = messages.send(Message::AnswerLost).await;
         }
--- a/crates/figscale/src/fleet/workers/listing.rs
+++ b/crates/figscale/src/fleet/workers/listing.rs
@@ -1,4 +1,4 @@
-//! The workers' entries in the store, read again and again.
+//! Polls the workers' entries in the store.
 
 use std::time;
 
@@ -12,41 +12,45 @@
 use crate::fleet::message;
 use crate::fleet::message::Message;
 
-/// Time between reads of the workers' entries. A worker that leaves must get
-/// nothing new 2 s after it said so.
-const LIST_PAUSE: time::Duration = time::Duration::from_millis(600);
-/// Unreadable entries remembered, so that each is told of once.
-const MAX_INVALID: usize = 1_000;
+/// Time between reads of the workers' entries. A worker must get no new work later
+/// than 2 s after its entry says that it leaves.
+const POLL_PAUSE: time::Duration = time::Duration::from_millis(600);
+/// Largest number of unreadable entries remembered, so that each is logged once.
+const MAX_REPORTED_INVALID: usize = 1_000;
 
-/// Reads the workers' entries again and again for a term.
+/// Polls the workers' entries during a term.
 ///
-/// Every worker writes its entry each heartbeat, so a watch would return as
-/// often as all workers together write: some thirty calls a second for fifty
-/// workers, where this makes fewer than two.
+/// Every worker writes its entry at each heartbeat, so a watch would return as
+/// often as all workers together write: some thirty calls per second for fifty
+/// workers, while polling makes fewer than two.
 pub(crate) async fn follow(context: Context, messages: message::Messages) {
-    let mut invalid = IndexMap::new();
+    let mut reported_invalid = IndexMap::new();
     loop {
         let begun = context.clock.now();
         if let Ok(listing) = context.store.list(workers::PREFIX).await {
             let items = listing.items.iter();
-            let entries = items.filter_map(|item| entry(item, &mut invalid)).collect();
+            let entries = items
+                .filter_map(|item| decode_or_log(item, &mut reported_invalid))
+                .collect();
             let _ = messages.send(Message::Listing { entries, begun }).await;
         }
-        tokio::time::sleep(LIST_PAUSE).await;
+        tokio::time::sleep(POLL_PAUSE).await;
     }
 }
 
-/// The worker that an entry stands for, if it does; each unreadable entry is told
-/// of once, by the revision that it was last told of with.
-fn entry(item: &store::Item, invalid: &mut IndexMap<String, u64>) -> Option<fleet::WorkerEntry> {
+/// Decodes an entry. An unreadable entry is logged once per revision.
+fn decode_or_log(
+    item: &store::Item,
+    reported_invalid: &mut IndexMap<String, u64>,
+) -> Option<fleet::WorkerEntry> {
     let error = match workers::decode_entry(item) {
         Ok(entry) => return Some(entry),
         Err(error) => error,
     };
-    if invalid.len() >= MAX_INVALID {
-        invalid.clear();
+    if reported_invalid.len() >= MAX_REPORTED_INVALID {
+        reported_invalid.clear();
     }
-    if invalid.insert(item.key.clone(), item.revision) != Some(item.revision) {
+    if reported_invalid.insert(item.key.clone(), item.revision) != Some(item.revision) {
         crate::event!(events::fleet::RECORD_INVALID, key = item.key, error = error);
     }
     None
--- a/crates/figscale/src/fleet/workers/mod.rs
+++ b/crates/figscale/src/fleet/workers/mod.rs
@@ -1,12 +1,14 @@
-//! Links to workers: one waiting call for a report each, and orders beside it.
+//! The leader's links to workers: a long poll for reports on each, and orders in
+//! parallel to it.
 //!
-//! A call for a report extends the lease, acknowledges ends and waits for the
-//! next end, all in one. After ends came, the next call waits until they are in
-//! the store, since a worker repeats at once what was not acknowledged.
+//! One call for a report extends the worker's lease, acknowledges ended tasks and
+//! waits for the next task to end. After a report with ended tasks, the next call is
+//! delayed until their records are in the store, since a worker repeats at once
+//! whatever was not acknowledged.
 
 mod hedged;
 mod listing;
-mod ways;
+mod paths;
 
 use std::sync;
 use std::time;
@@ -28,38 +30,42 @@
 
 pub(super) use listing::follow;
 
-/// Time for a worker's answer, on top of the wait asked for.
+/// Timeout of a worker's answer, on top of the wait asked for.
 pub(super) const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(800);
-/// Pause after a worker did not answer twice.
-const SILENCE_PAUSE: time::Duration = time::Duration::from_millis(200);
-/// Pause after another life of a worker answered.
+/// Pause after two calls in a row without an answer, or after a worker refused.
+const UNRESPONSIVE_PAUSE: time::Duration = time::Duration::from_millis(200);
+/// Pause after another incarnation of a worker answered.
 const REPLACED_PAUSE: time::Duration = time::Duration::from_secs(3);
-/// With the store away, a worker is asked this often without acknowledgement.
-const UNACKNOWLEDGED_PAUSE: time::Duration = time::Duration::from_millis(600);
-/// Second calls, made directly, that go on at the same time beside those of relays.
+/// Interval of calls without acknowledgement while the store is unavailable.
+const UNACKNOWLEDGED_INTERVAL: time::Duration = time::Duration::from_millis(600);
+/// Largest number of direct second calls in flight in a fleet that uses relays.
 const MAX_SECOND_CALLS: usize = 32;
-/// Tries of a stop order; the scheduler repeats it as well.
-const STOP_TRIES: u32 = 2;
+/// Attempts to deliver a stop order; the scheduler repeats it as well.
+const STOP_ATTEMPTS: u32 = 2;
 
+/// When to make the next call for a report.
 #[derive(Clone, Copy, Debug)]
 enum Next {
-    /// A call is on its way.
-    Calling,
-    /// Call at this time.
+    /// A call is in flight.
+    InFlight,
+    /// At this time.
     At(time::Instant),
-    /// Call once ends are acknowledged, or at this time.
-    Acknowledged(time::Instant),
+    /// Once the reported ends can be acknowledged, at this time at the latest.
+    WhenAcknowledged(time::Instant),
 }
 
+/// The link to one worker.
 struct Link {
     address: workers::WorkerAddress,
     failure_domain: String,
     next: Next,
-    answers: bool,
-    first: bool,
+    /// Whether the last call was answered.
+    responsive: bool,
+    /// Whether no call has ended yet.
+    first_call: bool,
 }
 
-/// Links of one term.
+/// The links of one term.
 pub(super) struct Links {
     context: Context,
     calls: workers::Workers,
@@ -68,7 +74,7 @@
     links: IndexMap<fleet::WorkerId, Link>,
     losses: Losses,
     second_calls: sync::Arc<Semaphore>,
-    /// The instances that carry calls.
+    /// The entry instances that relay calls.
     pub(super) relays: relay::Relays,
 }
 
@@ -86,11 +92,11 @@
         }
     }
 
-    /// How the calls of a worker go.
-    fn ways(&self, link: &Link) -> ways::Ways {
+    /// The paths for calls to a worker.
+    fn paths(&self, link: &Link) -> paths::CallPaths {
         let (id, domain) = (&link.address.id, &link.failure_domain);
         let large = relay::is_large(self.links.len());
-        ways::Ways {
+        paths::CallPaths {
             direct: self.calls.clone(),
             relay: self.relays.relay_of(id, domain, self.links.len()),
             second_calls: large.then(|| self.second_calls.clone()),
@@ -98,7 +104,7 @@
         }
     }
 
-    /// A worker is to be asked from now on.
+    /// Adds a worker, which is polled for reports from now on.
     pub(super) fn add(&mut self, entry: &fleet::WorkerEntry) {
         let address = workers::WorkerAddress {
             id: entry.id.clone(),
@@ -109,18 +115,19 @@
             address,
             failure_domain: entry.failure_domain.clone(),
             next: Next::At(now),
-            answers: true,
-            first: true,
+            responsive: true,
+            first_call: true,
         };
         self.links.entry(entry.id.clone()).or_insert(link);
     }
 
-    /// Calls every worker whose turn it is; forgets those that are unknown.
+    /// Makes all calls for reports that are due, and removes the links to workers
+    /// that the scheduler does not know.
     pub(super) fn call_due(&mut self, scheduler: &mut Scheduler, now: time::Instant) {
         let due = |(id, link): (&fleet::WorkerId, &Link)| match link.next {
-            Next::Calling => None,
+            Next::InFlight => None,
             Next::At(at) => (now >= at).then(|| id.clone()),
-            Next::Acknowledged(latest) => {
+            Next::WhenAcknowledged(latest) => {
                 let ready = now >= latest || !scheduler.has_unacknowledged(id);
                 ready.then(|| id.clone())
             }
@@ -131,7 +138,8 @@
         }
     }
 
-    /// A call was lost on the way to a worker that answers.
+    /// Records that a call or its answer was lost although the worker responds, so
+    /// that calls for reports wait for a shorter time.
     pub(super) fn answer_lost(&mut self, now: time::Instant) {
         self.losses.note(now);
     }
@@ -144,30 +152,31 @@
         let Some(link) = self.links.get_mut(id) else {
             return;
         };
-        link.next = Next::Calling;
-        let quick = link.first || !link.answers || scheduler.has_unacknowledged(id);
+        link.next = Next::InFlight;
+        let immediate = link.first_call || !link.responsive || scheduler.has_unacknowledged(id);
         let request = workers::ReportRequest {
             epoch: self.epoch,
             acknowledged: due.acknowledged,
             lease_until_clock_ms: due.lease_until_clock_ms,
-            wait: if quick {
+            wait: if immediate {
                 time::Duration::ZERO
             } else {
                 self.losses.report_wait(now)
             },
         };
         let address = link.address.clone();
-        let Some(ways) = self.links.get(id).map(|link| self.ways(link)) else {
+        let Some(paths) = self.links.get(id).map(|link| self.paths(link)) else {
             return;
         };
         let messages = self.messages.clone();
         tokio::spawn(async move {
-            let report = hedged::report(&ways, &address, request, &messages).await;
+            let report = hedged::report(&paths, &address, request, &messages).await;
             let _ = messages.send(Message::Reported(address.id, report)).await;
         });
     }
 
-    /// A call for a report has ended; ends may wait to be acknowledged.
+    /// Schedules the next call after one has ended. `unacknowledged` says whether
+    /// reported ends are not acknowledged yet.
     pub(super) fn reported(
         &mut self,
         id: &fleet::WorkerId,
@@ -178,15 +187,15 @@
         let Some(link) = self.links.get_mut(id) else {
             return;
         };
-        link.first = false;
-        // A connection may have been reset and nothing else; the worker gets no
-        // work until it is heard.
-        let pause = match link.answers {
+        link.first_call = false;
+        // The first failure may be just a reset connection, so the call is repeated
+        // at once; the worker gets no work until it reports.
+        let pause = match link.responsive {
             true => time::Duration::ZERO,
-            false => SILENCE_PAUSE,
+            false => UNRESPONSIVE_PAUSE,
         };
-        if report.is_ok() != link.answers {
-            link.answers = report.is_ok();
+        if report.is_ok() != link.responsive {
+            link.responsive = report.is_ok();
             match report {
                 Ok(_) => crate::event!(events::fleet::WORKER_ANSWERS, worker = id),
                 Err(error) => {
@@ -196,28 +205,28 @@
         }
         link.next = match report {
             Ok(workers::ReportOutcome::Report(_)) if unacknowledged => {
-                Next::Acknowledged(now + UNACKNOWLEDGED_PAUSE)
+                Next::WhenAcknowledged(now + UNACKNOWLEDGED_INTERVAL)
             }
             Ok(workers::ReportOutcome::Report(_)) => Next::At(now),
             Ok(workers::ReportOutcome::OtherLife) => Next::At(now + REPLACED_PAUSE),
-            Ok(_) => Next::At(now + SILENCE_PAUSE),
+            Ok(_) => Next::At(now + UNRESPONSIVE_PAUSE),
             Err(_) => Next::At(now + pause),
         };
     }
 
-    /// Orders a start.
+    /// Orders the start of a task.
     pub(super) fn start(&self, worker: fleet::WorkerId, order: fleet::StartOrder) {
         let messages = self.messages.clone();
         let (task, attempt) = (order.task, order.attempt);
         let Some(link) = self.links.get(&worker) else {
             return;
         };
-        let (ways, address, epoch) = (self.ways(link), link.address.clone(), self.epoch);
+        let (paths, address, epoch) = (self.paths(link), link.address.clone(), self.epoch);
         tokio::spawn(async move {
-            let ordered = hedged::start(&ways, &address, epoch, &order, &messages);
+            let ordered = hedged::start(&paths, &address, epoch, &order, &messages);
             let outcome = match ordered.await {
                 Ok(outcome) => outcome,
-                Err(error) => unanswered(&worker, task, attempt, &error),
+                Err(error) => outcome_of_unanswered(&worker, task, attempt, &error),
             };
             if let fleet::StartOutcome::Started { clock_ms } = outcome {
                 crate::event!(
@@ -238,14 +247,14 @@
         });
     }
 
-    /// Orders a stop.
+    /// Orders the stop of a task.
     pub(super) fn stop(&self, worker: fleet::WorkerId, task: fleet::TaskId, attempt: u32) {
         let Some(link) = self.links.get(&worker) else {
             return;
         };
         let (calls, address, epoch) = (self.calls.clone(), link.address.clone(), self.epoch);
         tokio::spawn(async move {
-            for _ in 0..STOP_TRIES {
+            for _ in 0..STOP_ATTEMPTS {
                 if calls.stop(&address, epoch, task, attempt).await.is_ok() {
                     return;
                 }
@@ -254,8 +263,9 @@
     }
 }
 
-/// A start that surely did not reach the worker was refused, in effect.
-fn unanswered(
+/// The outcome of a start that was not answered. One that certainly did not reach
+/// the worker counts as refused.
+fn outcome_of_unanswered(
     worker: &fleet::WorkerId,
     task: fleet::TaskId,
     attempt: u32,
--- a/crates/figscale/src/fleet/workers/ways.rs
+++ b/crates/figscale/src/fleet/workers/paths.rs
@@ -1,4 +1,4 @@
-//! The two ways to a worker: through a relay, and directly.
+//! The two paths to a worker: through a relay, and directly.
 
 use std::sync;
 use std::time;
@@ -13,30 +13,30 @@
 use super::CALL_TIMEOUT;
 use crate::fleet::relay;
 
-/// Time for the way to a relay and back, on top of the worker's own.
+/// Round trip to a relay, added to the timeout of the call to the worker.
 const RELAY_SLACK: time::Duration = time::Duration::from_millis(200);
 
-/// How the calls of one worker go.
+/// The paths for calls to one worker.
 #[derive(Clone)]
-pub(super) struct Ways {
+pub(super) struct CallPaths {
     pub(super) direct: workers::Workers,
-    /// The instance that carries them, if one does.
+    /// The relay that makes the calls; `None` if the leader makes them itself.
     pub(super) relay: Option<sync::Arc<relay::Link>>,
-    /// Second calls, made directly, that may go on beside calls of relays; `None`
-    /// for any number.
+    /// Limits the direct second calls that run in parallel with calls through
+    /// relays; `None` for no limit.
     pub(super) second_calls: Option<sync::Arc<Semaphore>>,
     pub(super) clock: clock::SharedClock,
 }
 
-impl Ways {
-    /// Asks for a report, through the relay if there is one.
+impl CallPaths {
+    /// Requests a report, through the relay if there is one.
     pub(super) async fn report(
         &self,
         worker: &workers::WorkerAddress,
         request: workers::ReportRequest,
     ) -> Result<workers::ReportOutcome, CallError> {
         let call = || relay::Call::Report(request);
-        match self.relayed(worker, call, request.wait).await {
+        match self.call_through_relay(worker, call, request.wait).await {
             Some(relay::Answer::Report(answer)) => answer,
             _ => self.direct.report(worker, request).await,
         }
@@ -53,23 +53,26 @@
             epoch,
             order: order.clone(),
         };
-        match self.relayed(worker, call, time::Duration::ZERO).await {
+        match self
+            .call_through_relay(worker, call, time::Duration::ZERO)
+            .await
+        {
             Some(relay::Answer::Start(answer)) => answer,
             _ => self.direct.start(worker, epoch, order).await,
         }
     }
 
-    /// Permission for a second call; `None` where too many go on already. Without
-    /// relays the leader makes all calls itself, and there is no bound.
-    pub(super) fn second_call(&self) -> Option<Option<OwnedSemaphorePermit>> {
+    /// Permit for a second call; `None` if too many are in flight. Without a relay
+    /// the leader makes all calls itself, and there is no limit.
+    pub(super) fn permit_second_call(&self) -> Option<Option<OwnedSemaphorePermit>> {
         let Some(second_calls) = self.second_calls.as_ref().filter(|_| self.relay.is_some()) else {
             return Some(None);
         };
         second_calls.clone().try_acquire_owned().ok().map(Some)
     }
 
-    /// What the relay's call brought; `None` if it brought nothing.
-    async fn relayed(
+    /// The answer through the relay. If there is none in time, the relay is ejected.
+    async fn call_through_relay(
         &self,
         worker: &workers::WorkerAddress,
         call: impl FnOnce() -> relay::Call,
@@ -84,7 +87,7 @@
         let answer = tokio::time::timeout(limit, relay.call(order)).await;
         let answer = answer.ok().flatten();
         if answer.is_none() {
-            relay.set_aside(self.clock.now());
+            relay.eject(self.clock.now());
         }
         answer
     }
--- a/crates/figscale/tests/fleet_trace.rs
+++ b/crates/figscale/tests/fleet_trace.rs
@@ -47,7 +47,7 @@
     let mut of_job = of_job(&lines, 0x701);
     let refused = of_job.pop().expect("nothing is logged of the job");
     assert_eq!(refused["name"], "JOB_REFUSED");
-    assert_eq!(refused["cause"], "the store is away");
+    assert_eq!(refused["cause"], "the store is unavailable");
     assert!(of_job.is_empty(), "something else was done: {of_job:#?}");
     let cause = &lines
         .iter()
