--- a/crates/figscale/tests/entry/mod.rs
+++ b/crates/figscale/tests/entry/mod.rs
@@ -1,4 +1,4 @@
-//! An operator address without the real services behind it.
+//! The operators' HTTP API of an instance without the real services behind it.
 
 use std::future;
 use std::net;
@@ -23,10 +23,10 @@
 use tokio::net::TcpListener;
 use tokio::task;
 
-/// Longest wait for anything.
-const LIMIT: time::Duration = time::Duration::from_secs(30);
+/// Timeout of any operation.
+const OPERATION_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// The operator address of a process in which no service was started.
+/// The operators' HTTP API of a process in which no service was started.
 pub(crate) struct Entry {
     pub(crate) context: state::Context,
     address: net::SocketAddr,
@@ -76,7 +76,7 @@
     }
 
     pub(crate) fn block_on<F: future::Future>(&self, work: F) -> F::Output {
-        let limited = async { tokio::time::timeout(LIMIT, work).await };
+        let limited = async { tokio::time::timeout(OPERATION_TIMEOUT, work).await };
         self.runtime.block_on(limited).expect("done in time")
     }
 
@@ -99,13 +99,13 @@
             .spawn(async move { ask(address, "POST", &path, body.into()).await })
     }
 
-    /// Begins the end of the server.
+    /// Starts to shut down the server.
     pub(crate) fn end_later(&mut self) -> task::JoinHandle<()> {
         let server = self.server.take().unwrap();
         self.runtime.spawn(server.end())
     }
 
-    /// Waits until no connection is taken any more.
+    /// Waits until no more connections are accepted.
     pub(crate) fn wait_until_refused(&self) {
         self.block_on(async {
             while tokio::net::TcpStream::connect(self.address).await.is_ok() {
@@ -132,13 +132,13 @@
     }
 }
 
-/// Reports one of each.
+/// Reports one sample of each metric.
 pub(crate) fn report_everything(metrics: &metrics::Metrics) {
     let entry: ids::EntryName = "hullrate/quote".parse().unwrap();
     let urgency = catalogue::Urgency::Interactive;
-    let moment = time::Duration::from_millis(3);
+    let latency = time::Duration::from_millis(3);
     metrics.request_answered(&entry, urgency, verdict::Verdict::Ran);
-    metrics.request_dispatched(&entry, urgency, moment);
+    metrics.request_dispatched(&entry, urgency, latency);
     metrics.queue_changed(7);
     let slots = metrics::Slots { free: 5, taken: 3 };
     metrics.slots_changed(&"hullrate".parse().unwrap(), slots);
--- a/crates/figscale/tests/fleet_crashes.rs
+++ b/crates/figscale/tests/fleet_crashes.rs
@@ -1,5 +1,5 @@
-//! Tasks that crash their workers, and workers whose room changes, by real entry
-//! instances as processes around a stand-in of the users' platform.
+//! Tasks that crash their workers, and workers whose capacity changes, with real entry
+//! instances as processes and a stand-in of the users' platform.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -9,12 +9,13 @@
 
 const CRASHING: u64 = 0xc1;
 
-/// Guards against a task that crashes one worker after the other for good.
+/// Guards against a task that is retried without end and crashes one worker after
+/// the other.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_task_that_crashes_its_workers_is_given_up() {
+async fn a_job_whose_task_crashes_its_workers_fails() {
     let fleet = Fleet::start(2, 6, false).await;
     assert_eq!(fleet.submit(0, CRASHING, 1, "crash").await, 200);
-    // Beside it, tasks that are lost with the same workers.
+    // Other tasks are lost with the same workers.
     for number in 0..4 {
         assert_eq!(fleet.submit(0, 0xd0 + number, 4, "1500").await, 200);
     }
@@ -22,12 +23,12 @@
     for number in 0..4 {
         fleet.wait_for_state(1, 0xd0 + number, "completed").await;
     }
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Guards against losses of workers that are forgotten with a leader.
+/// Guards against lost runs that are forgotten when the leader changes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_task_that_crashes_its_workers_is_given_up_through_takeovers() {
+async fn a_job_whose_task_crashes_its_workers_fails_across_takeovers() {
     let mut fleet = Fleet::start(3, 6, false).await;
     assert_eq!(fleet.submit(0, CRASHING, 1, "crash").await, 200);
     for crashes in 1..=2 {
@@ -42,12 +43,12 @@
         fleet.wait_until_ready(leader).await;
     }
     fleet.wait_for_state(1, CRASHING, "failed").await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Guards against starts on a worker that has said that its room is smaller.
+/// Guards against starts beyond the capacity of a worker that has reported less.
 #[tokio::test(flavor = "multi_thread")]
-async fn room_that_has_shrunk_is_not_used() {
+async fn workers_with_reduced_capacity_are_not_overcommitted() {
     let fleet = Fleet::start(1, 2, false).await;
     for worker in &fleet.platform.workers {
         worker.set_cores(2);
@@ -55,5 +56,5 @@
     tokio::time::sleep(std::time::Duration::from_secs(5)).await;
     assert_eq!(fleet.submit(0, 0xe1, 12, "300").await, 200);
     fleet.wait_for_state(0, 0xe1, "completed").await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
--- a/crates/figscale/tests/fleet_entries.rs
+++ b/crates/figscale/tests/fleet_entries.rs
@@ -1,4 +1,5 @@
-//! Entries of other writers among those of the workers, with real processes.
+//! Entries that other writers put among those of the workers in the store, with real
+//! entry instances as processes.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -8,7 +9,7 @@
 use serde_json::json;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_of_other_writers_name_no_workers_and_the_others_hold() {
+async fn entries_of_other_writers_are_ignored_and_real_workers_are_used() {
     let fleet = Fleet::start(2, 2, false).await;
     let store = &fleet.platform.store;
     store.put("servers/i-bytes", &[0xff, 0xfe, 0x00, 0x80]);
@@ -19,12 +20,12 @@
         "available": {"cpu": 64_000, "mem_mb": 65_536, "gpu": 0}, "sequence": 1,
     });
     store.put("servers/i-pool", like_a_worker.to_string().as_bytes());
-    let mut dreaming = like_a_worker.clone();
-    dreaming["service"] = "pool".into();
-    dreaming["state"] = "dreaming".into();
-    store.put("servers/i-state", dreaming.to_string().as_bytes());
+    let mut unknown_state = like_a_worker.clone();
+    unknown_state["service"] = "pool".into();
+    unknown_state["state"] = "dreaming".into();
+    store.put("servers/i-state", unknown_state.to_string().as_bytes());
     fleet
-        .wait("three entries are told of", || {
+        .wait("three entries to be logged", || {
             fleet.count_events("RECORD_INVALID") >= 3
         })
         .await;
@@ -37,5 +38,5 @@
     workers.sort_unstable();
     workers.dedup();
     assert_eq!(workers, ["i-0", "i-1"]);
-    fleet.check();
+    fleet.assert_no_violations();
 }
--- a/crates/figscale/tests/fleet_keys.rs
+++ b/crates/figscale/tests/fleet_keys.rs
@@ -1,5 +1,6 @@
-//! Customers' keys over real entry instances: who is let in, and that a key that
-//! was taken away is good nowhere after its bound.
+//! Customers' keys, with real entry instances as processes: which calls are
+//! authorized, and that a revoked key is refused everywhere once the proof of the old
+//! configuration is too old.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -9,12 +10,13 @@
 
 use fleet_support::Fleet;
 
-/// How old the proof of a configuration may be in these tests.
+/// Maximum age of the proof of a configuration in these tests.
 const MAX_CONFIG_AGE: time::Duration = time::Duration::from_millis(2_500);
 const KEY: &str = "key-of-a-customer";
 const OTHER_KEY: &str = "key-of-another-one";
 
-/// A fleet with two customers, of which the first may have so many cores.
+/// Starts a fleet with two customers, the first with this limit on cores (0 for
+/// none).
 async fn start(instances: usize, cores: u64) -> Fleet {
     let mut fleet = Fleet::start_with_config_age(instances, 2, MAX_CONFIG_AGE).await;
     configure(&fleet, 20, &[KEY], cores);
@@ -27,7 +29,9 @@
             .count()
     };
     fleet
-        .wait("customers everywhere", || in_force(&fleet) == instances)
+        .wait("the customers to be known to all instances", || {
+            in_force(&fleet) == instances
+        })
         .await;
     fleet.set_key(KEY);
     fleet.submit_until_taken(0, 0xa0, 1, "10").await;
@@ -42,8 +46,8 @@
         .configure_customers(version, "pool", "/jobs/", &customers);
 }
 
-/// Statuses of every kind of call: of a new job, its state, its end, and the
-/// queue.
+/// Statuses of every kind of call: submission of a job, its state, its cancellation,
+/// and the length of the queue.
 async fn statuses(fleet: &Fleet, instance: usize, job: u64) -> [u16; 4] {
     let path = format!("/jobs/{job:016x}");
     [
@@ -54,7 +58,7 @@
     ]
 }
 
-fn never_succeeds(statuses: [u16; 4]) -> bool {
+fn are_all_refused(statuses: [u16; 4]) -> bool {
     statuses.iter().all(|status| *status >= 400)
 }
 
@@ -68,12 +72,12 @@
         }
     }
     assert!(!fleet.log_has(KEY) && !fleet.log_has("never-heard-of"));
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Guards against a customer that sees, ends or takes over another one's job.
+/// Guards against a customer that sees, cancels or takes over another one's job.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_is_there_for_its_customer_alone() {
+async fn a_job_is_visible_to_its_customer_only() {
     let mut fleet = start(2, 0).await;
     assert_eq!(fleet.submit(0, 0xc0, 1, "60000").await, 200);
     fleet.set_key(OTHER_KEY);
@@ -81,37 +85,37 @@
     fleet.set_key(KEY);
     fleet.wait_for_state(1, 0xc0, "running").await;
     assert_eq!(fleet.cancel(1, 0xc0).await, 200);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Guards against a revoked key at an instance that the store turned away before
-/// it could hear of that, and whose leader cannot be asked either.
+/// Guards against a revoked key that is accepted by an instance which was cut off from
+/// the store before it learned of the change, and whose leader is cut off as well.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_revoked_key_is_good_nowhere_after_its_bound() {
+async fn a_revoked_key_is_refused_everywhere_after_the_maximum_age() {
     let fleet = start(3, 0).await;
     let leader = fleet.leader().await;
-    for door in &fleet.doors {
-        door.set_shut(true);
+    for proxy in &fleet.store_proxies {
+        proxy.set_shut(true);
     }
     configure(&fleet, 30, &[], 0);
     tokio::time::sleep(MAX_CONFIG_AGE).await;
     for instance in 0..3 {
         let statuses = statuses(&fleet, instance, 0xd0).await;
-        assert!(never_succeeds(statuses), "leader {leader}: {statuses:?}");
+        assert!(are_all_refused(statuses), "leader {leader}: {statuses:?}");
     }
-    for door in &fleet.doors {
-        door.set_shut(false);
+    for proxy in &fleet.store_proxies {
+        proxy.set_shut(false);
     }
     for instance in 0..3 {
         fleet.wait_for_status(instance, "/jobs/", 401).await;
     }
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Guards against an instance whose watch is silent, and one that stood still
-/// while the key was taken away.
+/// Guards against a revoked key that is accepted by an instance whose watch reports no
+/// change, or by one that was paused while the key was revoked.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_watch_and_a_pause_prove_nothing() {
+async fn a_revoked_key_is_refused_despite_an_unresponsive_watch_or_a_pause() {
     let mut fleet = start(3, 0).await;
     let leader = fleet.leader().await;
     let paused = (leader + 1) % 3;
@@ -122,35 +126,34 @@
     fleet.signal(paused, "STOP");
     configure(&fleet, 30, &[], 0);
     tokio::time::sleep(MAX_CONFIG_AGE).await;
-    fleet.doors[paused].set_shut(true);
+    fleet.store_proxies[paused].set_shut(true);
     fleet.signal(paused, "CONT");
     for instance in [paused, leader, (leader + 2) % 3] {
         let statuses = statuses(&fleet, instance, 0xe0).await;
-        assert!(never_succeeds(statuses), "{instance}: {statuses:?}");
+        assert!(are_all_refused(statuses), "{instance}: {statuses:?}");
     }
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Guards against an instance that is cut from the store and refuses its customers,
-/// although its leader has the proof.
+/// Guards against an instance that is cut off from the store and refuses its
+/// customers although its leader has the proof.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_cut_from_the_store_serves_on_its_leaders_proof() {
+async fn an_instance_cut_off_from_the_store_serves_with_its_leaders_proof() {
     let fleet = start(3, 0).await;
     let leader = fleet.leader().await;
     let cut = (leader + 1) % 3;
-    fleet.doors[cut].set_shut(true);
+    fleet.store_proxies[cut].set_shut(true);
     tokio::time::sleep(MAX_CONFIG_AGE * 2).await;
     fleet.submit_until_taken(cut, 0xf0, 1, "10").await;
     fleet.wait_for_state(cut, 0xf0, "completed").await;
-    // It hears of the change through the others.
+    // It learns of the change through the other instances.
     configure(&fleet, 30, &[], 0);
     fleet.wait_for_status(cut, "/jobs/", 401).await;
     assert!(!fleet.log_has(KEY) && !fleet.log_has(OTHER_KEY));
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Guards against a configuration that the operators cannot have meant: the last
-/// one stays in force.
+/// Guards against an invalid configuration that replaces the last valid one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_that_cannot_be_read_leaves_the_last_one_in_force() {
     let fleet = start(2, 0).await;
@@ -161,14 +164,14 @@
     tokio::time::sleep(MAX_CONFIG_AGE * 2).await;
     assert_eq!(fleet.submit(1, 0xa1, 1, "10").await, 200);
     fleet.wait_for_state(0, 0xa1, "completed").await;
-    assert_eq!(fleet.count_events("CONFIG_INVALID"), 2, "once an instance");
+    assert_eq!(fleet.count_events("CONFIG_INVALID"), 2, "once per instance");
     assert!(!fleet.log_has(KEY));
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Guards against a limit that is forgotten with its leader.
+/// Guards against a customer's limit that is forgotten when the leader changes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_holds_over_leaders() {
+async fn a_customers_limit_holds_across_leaders() {
     let mut fleet = start(3, 3).await;
     assert_eq!(fleet.submit(0, 0xa2, 8, "60000").await, 200);
     let started = |fleet: &Fleet| {
@@ -185,5 +188,5 @@
     assert_eq!(started(&fleet), 3);
     assert_eq!(fleet.cancel(other, 0xa2).await, 200);
     fleet.wait_for_state(other, 0xa3, "completed").await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
--- a/crates/figscale/tests/fleet_leaders.rs
+++ b/crates/figscale/tests/fleet_leaders.rs
@@ -1,8 +1,9 @@
-//! Who leads, and how leadership moves, by real entry instances as processes.
+//! Leader election and takeovers, with real entry instances as processes.
 //!
-//! The platform is a stand-in in the test's process. What must hold is judged
-//! by what the workers saw and by what callers were told.
-//! Bounds on time are on time that the machine gave these processes.
+//! The platform is a stand-in in the test's process. The tests check what the
+//! workers saw and what callers were answered.
+//! Time bounds apply to the time during which the machine ran these processes
+//! (see `Stopwatch`).
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -37,7 +38,7 @@
             .await;
     }
     fleet.wait_for_state(other, 0xdff, "completed").await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -56,11 +57,11 @@
             .wait_for_state(leader, 0xe00 + number, "completed")
             .await;
     }
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_instances_killed_lose_no_job() {
+async fn no_job_is_lost_when_all_instances_are_killed() {
     let mut fleet = Fleet::start(2, 2, false).await;
     for number in 0..4 {
         assert_eq!(fleet.submit(0, 0xf00 + number, 1, "800").await, 200);
@@ -74,15 +75,15 @@
     for number in 0..4 {
         fleet.wait_for_state(1, 0xf00 + number, "completed").await;
     }
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Nobody waits for the lease of a leader whose address another process has,
-/// nor for the time that a winner has to begin.
+/// Guards against a wait for the lease of a leader whose address already belongs to
+/// another process, or for the time that a new leader has to begin its term.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_leader_is_known_to_be_another_life() {
+async fn a_restarted_leader_is_recognized_as_a_new_incarnation() {
     let mut fleet = Fleet::start(3, 2, false).await;
-    // From here on no term can begin because a lease has ended.
+    // From here on leases do not expire, so no term can begin for that reason.
     fleet
         .platform
         .store
@@ -96,18 +97,18 @@
     fleet
         .wait("a second term", || fleet.count_events("TERM_BEGUN") >= 2)
         .await;
-    assert_eq!(causes_of_the_first_end(&fleet), ["its process is gone"]);
+    assert_eq!(causes_of_first_leader_end(&fleet), ["its process is gone"]);
 }
 
-/// A leader without power refuses nothing; its peers agree that it is lost
-/// before its lease ends.
+/// A leader that lost power refuses no connection, so peers have to agree that it is
+/// lost before its lease ends.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_leader_is_replaced_before_its_lease_ends() {
+async fn an_unresponsive_leader_is_replaced_before_its_lease_ends() {
     let mut fleet = Fleet::start(4, 2, false).await;
     let leader = fleet.leader().await;
-    fleet.wait_until_all_greet(leader).await;
-    // From here on no term can begin because a lease has ended. How soon peers
-    // agree is a matter of `figscale_core::fleet`, with a test there.
+    fleet.wait_for_all_heartbeats(leader).await;
+    // From here on leases do not expire, so no term can begin for that reason. How
+    // soon peers agree is tested in `figscale_core::fleet`.
     fleet
         .platform
         .store
@@ -116,13 +117,14 @@
     fleet
         .wait("a second term", || fleet.count_events("TERM_BEGUN") >= 2)
         .await;
-    let causes = causes_of_the_first_end(&fleet);
+    let causes = causes_of_first_leader_end(&fleet);
     fleet.signal(leader, "CONT");
     assert_eq!(causes, ["most peers miss it"]);
 }
 
-/// Why instances have held the first term for over, each cause once.
-fn causes_of_the_first_end(fleet: &Fleet) -> Vec<String> {
+/// The causes that instances logged for the end of the first term, without
+/// duplicates.
+fn causes_of_first_leader_end(fleet: &Fleet) -> Vec<String> {
     let mut ends = fleet.log_lines();
     ends.retain(|line| line["name"] == "LEADER_ENDED" && line["epoch"] == "1");
     let causes = ends.iter().map(|line| line["cause"].as_str().unwrap());
@@ -132,10 +134,11 @@
     causes
 }
 
-/// The records are read while the election is decided: their first page is
-/// asked for beside the lease, and the last one beside the transaction.
+/// Guards against a takeover that reads the records only after the election: the
+/// first page is requested in parallel with the lease, the last one in parallel with
+/// the transaction.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_store_is_read_while_it_elects() {
+async fn records_are_read_in_parallel_with_the_election() {
     let mut fleet = Fleet::start(3, 2, false).await;
     for job in 0..10 {
         fleet.submit_until_taken(0, 0xc00 + job, 1, "20").await;
@@ -144,8 +147,8 @@
         fleet.wait_for_state(0, 0xc00 + job, "completed").await;
     }
     let leader = fleet.leader().await;
-    fleet.wait_until_all_greet(leader).await;
-    // Nothing is left to write, so a held transaction is one of an election.
+    fleet.wait_for_all_heartbeats(leader).await;
+    // No writes are pending, so a held transaction belongs to an election.
     tokio::time::sleep(NEW_LEASE).await;
     let store = fleet.platform.store.clone();
     let pages = || store.pages_asked("figscale/jobs/");
@@ -156,11 +159,15 @@
     });
     fleet.signal(leader, "TERM");
     fleet
-        .wait("a page of records, beside the lease", || pages() > before)
+        .wait("a page of records, in parallel with the lease", || {
+            pages() > before
+        })
         .await;
     store.change_faults(|faults| faults.grants_held = false);
     fleet
-        .wait("two pages, beside the election", || pages() > before + 1)
+        .wait("two pages, in parallel with the election", || {
+            pages() > before + 1
+        })
         .await;
     assert_eq!(fleet.count_events("TERM_BEGUN"), 1);
     store.change_faults(|faults| faults.transactions_held = false);
@@ -169,27 +176,31 @@
         .await;
 }
 
-/// A lease lasts 1.5 s, and beside a slow store eight pages of records take 2 s.
-/// A winner that let its lease end meanwhile was deposed as it began, and so
-/// was the next one: nobody led for 30 s.
+/// Guards against a new leader whose lease ends while it reads the records. A lease
+/// lasts 1.5 s, and eight pages of records from a slow store take 2 s. Such a leader
+/// was deposed as its term began, and so was the next one: there was no leader for
+/// 30 s.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_winner_renews_its_lease_while_it_reads() {
+async fn a_new_leader_renews_its_lease_while_it_reads_the_records() {
     let mut fleet = Fleet::start(2, 2, false).await;
-    kill_the_leader_beside_records(&mut fleet, 40).await;
+    kill_leader_with_records_in_a_slow_store(&mut fleet, 40).await;
     let store = fleet.platform.store.clone();
     let before = store.renewals();
     let begun = || fleet.count_events("TERM_BEGUN") >= 2;
     fleet.wait("a second term", begun).await;
-    assert!(store.renewals() > before, "none before the term began");
+    assert!(
+        store.renewals() > before,
+        "no renewal before the term began"
+    );
 }
 
-/// Sixteen pages take 4 s, and peers hold a winner for over that says for 2.5 s
-/// that it does not lead. The next one reads no faster, so terms follow each
-/// other and none lasts.
+/// Guards against peers that depose a new leader which still reads the records.
+/// Sixteen pages take 4 s, and an instance that answers for 2.5 s that it is not
+/// leading counts as gone. The next one reads no faster, so no term would last.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_winner_that_reads_long_is_not_deposed() {
+async fn a_new_leader_is_not_deposed_while_it_reads_the_records() {
     let mut fleet = Fleet::start(3, 2, false).await;
-    kill_the_leader_beside_records(&mut fleet, 80).await;
+    kill_leader_with_records_in_a_slow_store(&mut fleet, 80).await;
     let begun = || fleet.count_events("TERM_BEGUN") >= 2;
     fleet.wait("a second term", begun).await;
     let mut won = fleet.log_lines();
@@ -197,50 +208,51 @@
     assert_eq!(won.len(), 2, "{won:#?}");
 }
 
-/// Leaves the records of so many jobs behind a slow store, and no leader.
-async fn kill_the_leader_beside_records(fleet: &mut Fleet, jobs: u64) {
+/// Completes this number of jobs, slows down the store that holds their records, and
+/// kills the leader.
+async fn kill_leader_with_records_in_a_slow_store(fleet: &mut Fleet, jobs: u64) {
     let taken = (0..jobs).map(|job| fleet.submit_until_taken(0, 0xc00 + job, 1, "20"));
     futures_util::future::join_all(taken).await;
     for job in 0..jobs {
         fleet.wait_for_state(0, 0xc00 + job, "completed").await;
     }
     let leader = fleet.leader().await;
-    fleet.wait_until_all_greet(leader).await;
+    fleet.wait_for_all_heartbeats(leader).await;
     let slow = time::Duration::from_millis(250);
     let store = &fleet.platform.store;
     store.change_faults(|faults| faults.slow = slow);
     fleet.kill(leader);
 }
 
-/// A caller's request that waits for a leader that was lost goes to the next
-/// one as soon as there is one: those that come then do not overtake it.
+/// Guards against a request that waits for a lost leader until its timeout: it must
+/// go to the next leader at once, so that later requests do not overtake it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_does_not_wait_for_a_leader_that_was_lost() {
+async fn a_request_to_a_lost_leader_goes_to_the_next_one_at_once() {
     let mut fleet = Fleet::start(4, 2, false).await;
     let leader = fleet.leader().await;
-    fleet.wait_until_all_greet(leader).await;
+    fleet.wait_for_all_heartbeats(leader).await;
     fleet.signal(leader, "STOP");
     let other = (leader + 1) % 4;
     let answered = sync::Mutex::new(Vec::new());
     let submit = async |job: u64| {
-        let status = fleet.submit_within(other, job, LONG).await;
+        let status = fleet.submit_within(other, job, PATIENT_TIME_LIMIT).await;
         assert_eq!(status, 200, "{job:x}");
         answered.lock().unwrap().push(job);
     };
     let earlier: Vec<u64> = (0xb00..0xb06).collect();
     let waiting = earlier.iter().map(async |job| {
-        // One after the other, so that some have waited for a short time only.
-        tokio::time::sleep(BETWEEN_CALLS * (*job - 0xb00) as u32).await;
+        // Staggered, so that some have waited for a short time only.
+        tokio::time::sleep(CALL_INTERVAL * (*job - 0xb00) as u32).await;
         submit(*job).await;
     });
     let later = async {
         let known = || {
-            let mut lines = fleet.log_of(other);
+            let mut lines = fleet.log_lines_of(other);
             lines.retain(|line| line["name"] == "LEADER_KNOWN" && line["epoch"] == "2");
             !lines.is_empty()
         };
         fleet.wait("a new leader", known).await;
-        for job in 0..OVERTAKING {
+        for job in 0..LATER_CALLS {
             submit(0xc00 + job).await;
         }
     };
@@ -249,34 +261,35 @@
     let answered = answered.into_inner().unwrap();
     let last = answered
         .iter()
-        .position(|job| *job == 0xc00 + OVERTAKING - 1);
+        .position(|job| *job == 0xc00 + LATER_CALLS - 1);
     let overtaken = earlier
         .iter()
         .filter(|job| answered.iter().position(|other| other == *job) > last);
     assert_eq!(overtaken.count(), 0, "{answered:x?}");
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// For a caller who does not give up, on a machine that may be busy.
-const LONG: time::Duration = time::Duration::from_secs(30);
-/// Six of these are 0.5 s, which a leader without power needs to be missed.
-const BETWEEN_CALLS: time::Duration = time::Duration::from_millis(90);
-/// So many calls in a row are not all answered before one that came first. A
-/// call that waits on for the old leader is answered up to 0.9 s after it came.
-const OVERTAKING: u64 = 6;
+/// Time limit of a patient caller, on a machine that may be busy.
+const PATIENT_TIME_LIMIT: time::Duration = time::Duration::from_secs(30);
+/// Six of these are 0.5 s, the time in which peers notice a leader that lost power.
+const CALL_INTERVAL: time::Duration = time::Duration::from_millis(90);
+/// This number of consecutive calls must not all be answered before an earlier one.
+/// A call that keeps waiting for the old leader is answered up to 0.9 s after it
+/// arrived.
+const LATER_CALLS: u64 = 6;
 
-/// The leader hands over, callers are served to the end, and the stop fits
-/// into the time that the platform gives.
+/// A leader that is stopped hands over, serves callers to the end, and exits within
+/// the time that the platform allows.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_hands_over() {
+async fn a_planned_stop_hands_over_leadership() {
     let mut fleet = Fleet::start(2, 2, false).await;
     assert_eq!(fleet.submit(0, 0x501, 1, "4000").await, 200);
     let leader = fleet.leader().await;
     let begun = Stopwatch::start();
     fleet.signal(leader, "TERM");
     fleet.wait_until_not_ready(leader).await;
-    let through_the_leaving = fleet.submit_answer(leader, 0x502, 1, "50").await;
-    assert_eq!(through_the_leaving.status, 200);
+    let from_stopping_leader = fleet.submit_answer(leader, 0x502, 1, "50").await;
+    assert_eq!(from_stopping_leader.status, 200);
     assert_eq!(fleet.exit_code(leader), Some(0));
     assert!(
         begun.elapsed() < time::Duration::from_secs(6),
@@ -291,11 +304,11 @@
         2,
         "the hand-over stopped a task"
     );
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leader_whose_lease_was_taken_leads_on_or_is_replaced() {
+async fn a_leader_whose_lease_expired_continues_or_is_replaced() {
     let fleet = Fleet::start(3, 2, false).await;
     assert_eq!(fleet.submit(0, 0x601, 4, "1500").await, 200);
     for _ in 0..3 {
@@ -305,18 +318,18 @@
     fleet.wait_for_state(0, 0x601, "completed").await;
     fleet.submit_until_taken(1, 0x602, 1, "50").await;
     fleet.wait_for_state(2, 0x602, "completed").await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// While callers keep coming there is always something being written. The
-/// others hear of the end from the leader, and not from its process, which ends
-/// some seconds later.
+/// Guards against a hand-over that waits for all writes to end: under load there is
+/// always one in flight. The others learn of the end of the term from the leader, and
+/// not from the exit of its process some seconds later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leader_under_load_hands_over_at_once() {
     let mut fleet = Fleet::start(2, 4, false).await;
     let leader = fleet.leader().await;
     let other = 1 - leader;
-    fleet.wait_until_all_greet(leader).await;
+    fleet.wait_for_all_heartbeats(leader).await;
     fleet
         .platform
         .store
@@ -324,16 +337,16 @@
     fleet.signal(leader, "TERM");
     let begun = time::Instant::now();
     let mut number = 0;
-    while !fleet.leads(other).await {
+    while !fleet.is_leader(other).await {
         number += 1;
         let job = 0x1000 + number;
         let _ = tokio::join!(
             fleet.submit(other, job, 1, "20"),
             fleet.submit(other, 0x2000 + number, 1, "20"),
         );
-        assert!(begun.elapsed() < LONG, "no hand-over");
+        assert!(begun.elapsed() < PATIENT_TIME_LIMIT, "no hand-over");
     }
-    assert_eq!(causes_of_the_first_end(&fleet), ["it said so"]);
+    assert_eq!(causes_of_first_leader_end(&fleet), ["it said so"]);
     assert_eq!(fleet.exit_code(leader), Some(0));
-    fleet.check();
+    fleet.assert_no_violations();
 }
--- a/crates/figscale/tests/fleet_operators.rs
+++ b/crates/figscale/tests/fleet_operators.rs
@@ -1,4 +1,4 @@
-//! figscale's own commands against entry instances on the users' platform.
+//! figscale's command line against entry instances on the users' platform.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -9,12 +9,12 @@
 use fleet_support::Fleet;
 
 const JOB: &str = r#"{
-  // Tasks of the stand-in run for the milliseconds that the command names.
+  // A task of the stand-in runs for the number of milliseconds in its command.
   "entry": "r-1", "owner": "pool", "tasks": 2, "command": "50", "idempotent": true,
   "task": {"cpu_millis": 1000, "memory_bytes": 67108864}, "run_ms": 200
 }"#;
 
-/// A job file, changed as asked.
+/// Writes a job file with `from` replaced by `to`, and returns its path.
 fn job_file(directory: &tempfile::TempDir, from: &str, to: &str) -> String {
     assert!(JOB.contains(from), "{from}");
     let file = directory.path().join("job.jsonc");
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_of_an_operator_runs() {
+async fn a_job_submitted_by_an_operator_runs() {
     let fleet = Fleet::start(2, 2, false).await;
     let directory = tempfile::tempdir().unwrap();
     let file = job_file(&directory, "\"50\"", "\"50\"");
@@ -61,7 +61,7 @@
         assert!(status.contains("done r-1 of pool (ran)"), "{status}");
     }
     assert_eq!(fleet.platform.ledger.runs().len(), 2);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -83,11 +83,11 @@
     assert_eq!(code, 0);
     let (code, missing) = fleet.command(0, &["job", "status", "none"]).await;
     assert_eq!(code, 1, "{missing}");
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_this_cell_cannot_promise_is_refused() {
+async fn unsupported_jobs_are_refused() {
     let fleet = Fleet::start(1, 1, false).await;
     let directory = tempfile::tempdir().unwrap();
     let cases = [
--- a/crates/figscale/tests/fleet_process.rs
+++ b/crates/figscale/tests/fleet_process.rs
@@ -1,9 +1,9 @@
-//! Jobs over the users' platform, by real entry instances as processes.
+//! Jobs on the users' platform, with real entry instances as processes.
 //!
 //! The platform is a stand-in in the test's process; entry instances are
-//! `figscale serve` with the `fleet` section. What must hold is judged by what
-//! the workers saw and by what callers were told. Bounds on time are on time
-//! that the machine gave these processes.
+//! `figscale serve` with the `fleet` section. The tests check what the workers saw
+//! and what callers were answered. Time bounds apply to the time during which the
+//! machine ran these processes (see `Stopwatch`).
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -28,11 +28,11 @@
     assert_eq!(fleet.platform.ledger.done(), 2);
     assert_eq!(fleet.platform.ledger.runs().len(), 2);
     assert!(fleet.platform.advice.questions() > 0);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_are_told_what_there_is() {
+async fn calls_get_the_status_for_their_path_and_body() {
     let fleet = Fleet::start(2, 1, false).await;
     assert_eq!(fleet.get(0, "/jobs/00000000000000ff").await.status, 410);
     assert_eq!(fleet.get(0, "/other/00000000000000ff").await.status, 404);
@@ -64,7 +64,7 @@
                 .all(|run| run.end.as_deref() == Some("stopped"))
         })
         .await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -73,7 +73,7 @@
     assert_eq!(fleet.submit(0, 0xc1, 1, "fail").await, 200);
     fleet.wait_for_state(0, 0xc1, "failed").await;
     assert_eq!(fleet.platform.ledger.runs().len(), 2);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -107,12 +107,13 @@
     assert!(never, "a refused job ran");
     fleet.submit_until_taken(0, 0x103, 1, "50").await;
     fleet.wait_for_state(1, 0x103, "completed").await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// A try with little time left is made all the same; an answer takes some 10 ms.
+/// Guards against an instance that refuses a caller because of its short time
+/// limit: an answer takes only some 10 ms.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_in_a_hurry_is_served() {
+async fn a_caller_with_a_short_time_limit_is_served() {
     let fleet = Fleet::start(2, 2, false).await;
     let wait = time::Duration::from_millis(100);
     for job in 0x130..0x150 {
@@ -120,29 +121,29 @@
             return;
         }
     }
-    panic!("32 callers who wait {wait:?} were refused");
+    panic!("32 callers with a time limit of {wait:?} were refused");
 }
 
-/// An instance that finds nobody who leads cannot know what became of an
-/// earlier try, so it must not say that the job never runs.
+/// Guards against a refusal by an instance that finds no leader: it cannot know the
+/// outcome of an earlier attempt, so it must not say that the job never runs.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_leader_nobody_is_told_that_a_job_was_not_taken() {
+async fn without_a_leader_no_caller_is_told_that_its_job_was_refused() {
     let mut fleet = Fleet::start(2, 2, false).await;
     assert_eq!(fleet.submit(0, 0x150, 1, "1500").await, 200);
     let store = fleet.platform.store.clone();
     let leader = fleet.leader().await;
-    // Nobody can be elected.
+    // No leader can be elected.
     store.change_faults(|faults| faults.busy = true);
     fleet.kill(leader);
     let again = fleet.submit(1 - leader, 0x150, 1, "1500").await;
     assert_eq!(again, 504, "the job runs");
     store.change_faults(|faults| faults.busy = false);
     fleet.wait_for_state(1 - leader, 0x150, "completed").await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_is_in_force_everywhere_and_never_goes_back() {
+async fn a_configuration_reaches_all_instances_and_no_older_one_replaces_it() {
     let fleet = Fleet::start(3, 1, false).await;
     fleet.platform.configure(20, "pool", "/renamed/", false);
     for instance in 0..3 {
@@ -157,9 +158,9 @@
     }
 }
 
-/// Jobs are taken as soon as a store that was silent answers again.
+/// Guards against a recovery of the store that instances notice only late.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_store_that_returns_is_noticed_at_once() {
+async fn jobs_are_accepted_as_soon_as_an_unresponsive_store_recovers() {
     let fleet = Fleet::start(3, 2, false).await;
     fleet.submit_until_taken(0, 0xe00, 1, "20").await;
     let mut waited = time::Duration::ZERO;
@@ -179,5 +180,5 @@
         waited < time::Duration::from_millis(400) * rounds as u32,
         "{waited:?}"
     );
-    fleet.check();
+    fleet.assert_no_violations();
 }
--- a/crates/figscale/tests/fleet_relays.rs
+++ b/crates/figscale/tests/fleet_relays.rs
@@ -1,7 +1,8 @@
-//! Calls of workers through other entry instances, by real instances as processes.
+//! Calls to workers that other entry instances relay, with real instances as
+//! processes.
 //!
-//! The platform is a stand-in in the test's process. What must hold is judged
-//! by what the workers saw and by what callers were told.
+//! The platform is a stand-in in the test's process. The tests check what the
+//! workers saw and what callers were answered.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -13,11 +14,11 @@
 
 const JOBS: u64 = 12;
 
-/// Starts a fleet whose leader, that is told, uses relays.
-async fn relayed(instances: usize, workers: usize) -> (Fleet, usize) {
+/// Starts a fleet whose leader uses relays; returns it with the leader's number.
+async fn start_with_relays(instances: usize, workers: usize) -> (Fleet, usize) {
     let fleet = Fleet::start_relayed(instances, workers).await;
     let leader = fleet.leader().await;
-    fleet.wait_until_all_greet(leader).await;
+    fleet.wait_for_all_heartbeats(leader).await;
     let used = || fleet.count_events("RELAY_USED") > 0;
     fleet.wait("a relay", used).await;
     (fleet, leader)
@@ -41,29 +42,30 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn work_runs_through_relays() {
-    let (fleet, leader) = relayed(3, 6).await;
+    let (fleet, leader) = start_with_relays(3, 6).await;
     submit_all(&fleet, leader, "50").await;
     wait_for_all(&fleet, leader).await;
     assert_eq!(fleet.platform.ledger.runs().len() as u64, 2 * JOBS);
     assert_eq!(fleet.count_events("RELAY_LOST"), 0);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// What it was asked for is done directly, and nothing runs twice.
+/// The leader makes the calls of a killed relay directly, and no task runs twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_relay_hides_nothing() {
-    let (mut fleet, leader) = relayed(3, 6).await;
+async fn a_killed_relay_loses_no_orders_or_reports() {
+    let (mut fleet, leader) = start_with_relays(3, 6).await;
     submit_all(&fleet, leader, "1500").await;
     fleet.kill((leader + 1) % 3);
     wait_for_all(&fleet, leader).await;
     assert_eq!(fleet.platform.ledger.runs().len() as u64, 2 * JOBS);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// A relay that stands still keeps what it was told, and says it late.
+/// A frozen relay holds its orders and sends them late, when workers must refuse
+/// them.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_relay_does_no_harm_when_it_wakes() {
-    let (mut fleet, leader) = relayed(3, 6).await;
+async fn orders_delayed_by_a_frozen_relay_run_nothing_twice() {
+    let (mut fleet, leader) = start_with_relays(3, 6).await;
     let relay = (leader + 1) % 3;
     submit_all(&fleet, leader, "1000").await;
     fleet.signal(relay, "STOP");
@@ -78,19 +80,20 @@
             .wait_for_state(leader, 0x7800 + number, "completed")
             .await;
     }
-    // Starts that were on their way arrive by then, and are refused.
+    // Starts that were in flight arrive by then, and are refused.
     tokio::time::sleep(time::Duration::from_secs(2)).await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Relays carry on what the killed leader had begun: its tasks go on running.
+/// Tasks that a killed leader started through relays keep running under the next
+/// leader.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_leader_is_followed_by_one_with_relays() {
-    let (mut fleet, leader) = relayed(4, 6).await;
+async fn tasks_keep_running_when_a_leader_with_relays_is_killed() {
+    let (mut fleet, leader) = start_with_relays(4, 6).await;
     submit_all(&fleet, leader, "2500").await;
     fleet.kill(leader);
     let other = (leader + 1) % 4;
     wait_for_all(&fleet, other).await;
     assert_eq!(fleet.platform.ledger.runs().len() as u64, 2 * JOBS);
-    fleet.check();
+    fleet.assert_no_violations();
 }
--- a/crates/figscale/tests/fleet_store_away.rs
+++ b/crates/figscale/tests/fleet_store_away.rs
@@ -1,8 +1,8 @@
-//! Submissions while the store is away: refused at once, and truly not run.
+//! Submissions while the store is unavailable: refused at once, and never run.
 //!
-//! A refusal says that the job was not taken and never runs, so none may be
-//! given beside a call of the same job that is on its way to the store, and no
-//! refused job may run unless it is submitted again.
+//! A refusal says that the job was not accepted and never runs. So none may be given
+//! while another call of the same job is in flight to the store, and no refused job
+//! may run unless it is submitted again.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -13,12 +13,12 @@
 use fleet_support::Fleet;
 use fleet_support::stopwatch::Stopwatch;
 
-/// Nothing waits for the store's return: a refusal takes two messages.
-const AT_ONCE: time::Duration = time::Duration::from_millis(200);
-/// A store without an answer counts as away after 0.4 s.
-const UNTIL_AWAY: time::Duration = time::Duration::from_millis(600);
-/// Writes begin each 20 ms, so some jobs are in none when the first one fails.
-const BETWEEN_JOBS: time::Duration = time::Duration::from_millis(4);
+/// A refusal takes two messages and does not wait for the store to recover.
+const MAX_REFUSAL_TIME: time::Duration = time::Duration::from_millis(200);
+/// A store that does not answer counts as unavailable after 0.4 s.
+const TIME_TO_UNAVAILABLE: time::Duration = time::Duration::from_millis(600);
+/// A write begins every 20 ms, so some jobs are in none when the first one fails.
+const SUBMIT_INTERVAL: time::Duration = time::Duration::from_millis(4);
 
 /// Whether a job was ever started.
 fn ran(fleet: &Fleet, job: u64) -> bool {
@@ -32,19 +32,22 @@
     runs.iter().filter(|run| run.task.starts_with(&id)).count()
 }
 
-/// Submits a job that has to be refused at once, with the time to come back.
-async fn refused_at_once(fleet: &Fleet, instance: usize, job: u64) {
+/// Submits a job that has to be refused at once, with the time to retry.
+async fn assert_refused_at_once(fleet: &Fleet, instance: usize, job: u64) {
     let begun = Stopwatch::start();
     let answer = fleet.submit_answer(instance, job, 1, "50").await;
     let took = begun.elapsed();
     assert_eq!(answer.status, 503, "job {job:x}");
     assert_eq!(answer.header("retry-after"), "1", "job {job:x}");
-    assert!(took < AT_ONCE, "job {job:x} was refused after {took:?}");
+    assert!(
+        took < MAX_REFUSAL_TIME,
+        "job {job:x} was refused after {took:?}"
+    );
     assert!(answer.text().contains("never runs"), "{}", answer.text());
 }
 
-/// Makes the leader find out that the store refuses everything.
-async fn find_the_store_away(fleet: &Fleet) {
+/// Makes the store refuse everything, and waits until the leader has detected it.
+async fn make_store_unavailable(fleet: &Fleet) {
     fleet
         .platform
         .store
@@ -53,20 +56,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_is_refused_at_once_and_taken_when_it_comes_again() {
+async fn a_job_is_refused_at_once_and_accepted_when_submitted_again() {
     let fleet = Fleet::start(2, 2, false).await;
-    find_the_store_away(&fleet).await;
+    make_store_unavailable(&fleet).await;
     let jobs = 0x110..0x120;
     for job in jobs.clone() {
-        refused_at_once(&fleet, job as usize % 2, job).await;
+        assert_refused_at_once(&fleet, job as usize % 2, job).await;
     }
     fleet
         .platform
         .store
         .change_faults(|faults| faults.busy = false);
-    // Half of them come again.
+    // Half of them are submitted again.
     for job in jobs.clone().filter(|job| job % 2 == 0) {
-        assert!(!ran(&fleet, job), "job {job:x} ran before it came again");
+        assert!(
+            !ran(&fleet, job),
+            "job {job:x} ran before it was submitted again"
+        );
         fleet.submit_until_taken(1, job, 1, "50").await;
     }
     for job in jobs.clone().filter(|job| job % 2 == 0) {
@@ -78,11 +84,12 @@
         assert_eq!(asked.status, 410, "job {job:x} was refused");
         assert!(!ran(&fleet, job), "job {job:x} was refused");
     }
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Several calls of each job share the write that fails, or come while it is on
-/// its way: all of them are refused, and none is taken in later.
+/// Guards against calls of one job with different outcomes: several share the write
+/// that fails, or arrive while it is in flight. All are refused, and the job is not
+/// accepted later.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_of_one_job_are_refused_together() {
     let fleet = Fleet::start(2, 2, false).await;
@@ -108,14 +115,14 @@
         assert_eq!(asked.status, 410, "job {job:x} was refused");
         assert!(!ran(&fleet, job), "job {job:x} was refused");
     }
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Jobs keep coming when the store goes, and it returns at the first refusal:
-/// some jobs are in a write that fails then, some in one that is tried again,
-/// some in none yet. Each call was told the truth.
+/// Guards against refused jobs that run after all. Jobs keep arriving when the store
+/// fails, and it recovers at the first refusal: some jobs are in a write that fails,
+/// some in one that is retried, some in none yet.
 #[tokio::test(flavor = "multi_thread")]
-async fn refusals_are_true_when_the_store_returns_at_once() {
+async fn no_refused_job_runs_when_the_store_recovers_at_once() {
     let fleet = Fleet::start(2, 4, false).await;
     let store = &fleet.platform.store;
     let set_busy = |busy| store.change_faults(|faults| faults.busy = busy);
@@ -125,7 +132,7 @@
         let calls = (0..80).map(|number| {
             let (fleet, job) = (&fleet, 0x2000 + 0x100 * round + number);
             async move {
-                tokio::time::sleep(BETWEEN_JOBS * number as u32).await;
+                tokio::time::sleep(SUBMIT_INTERVAL * number as u32).await;
                 let status = fleet.submit(number as usize % 2, job, 1, "20").await;
                 if status == 503 {
                     set_busy(false);
@@ -142,7 +149,7 @@
         }
     }
     assert!(!refused.is_empty());
-    // Whatever was left to write is written by now.
+    // All pending writes have been made once this job is completed.
     fleet.submit_until_taken(0, 0x3000, 1, "20").await;
     fleet.wait_for_state(1, 0x3000, "completed").await;
     for job in refused {
@@ -150,49 +157,49 @@
         assert_eq!(asked.status, 410, "job {job:x} was refused");
         assert!(!ran(&fleet, job), "job {job:x} was refused");
     }
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// The write of a job's first call is without an answer and may have been
-/// executed, so no later call of that job hears that it never runs; others do.
+/// Guards against a refusal while an earlier call of the same job is in flight: its
+/// write was not answered and may have been executed. Other jobs are refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_call_is_refused_beside_one_on_its_way_to_the_store() {
+async fn no_call_is_refused_while_another_of_its_job_is_in_flight() {
     let fleet = Fleet::start(2, 2, false).await;
     let store = &fleet.platform.store;
-    // Writes are not answered, reads are.
+    // Only reads are answered.
     store.change_faults(|faults| faults.lost_part = 1.0);
-    let (on_its_way, again, other) = (0x150, 2 * UNTIL_AWAY, 0x151);
-    let first = fleet.submit_within(0, on_its_way, 2 * UNTIL_AWAY);
+    let (in_flight, again, other) = (0x150, 2 * TIME_TO_UNAVAILABLE, 0x151);
+    let first = fleet.submit_within(0, in_flight, 2 * TIME_TO_UNAVAILABLE);
     let others = async {
-        tokio::time::sleep(UNTIL_AWAY).await;
-        refused_at_once(&fleet, 1, other).await;
-        let instances = [0, 1].map(|instance| fleet.submit_within(instance, on_its_way, again));
+        tokio::time::sleep(TIME_TO_UNAVAILABLE).await;
+        assert_refused_at_once(&fleet, 1, other).await;
+        let instances = [0, 1].map(|instance| fleet.submit_within(instance, in_flight, again));
         futures_util::future::join_all(instances).await
     };
     let (first, others) = tokio::join!(first, others);
-    assert_eq!(first, 504, "nobody knows");
-    assert_eq!(others, [504, 504], "nobody knows");
-    refused_at_once(&fleet, 0, other).await;
+    assert_eq!(first, 504, "the outcome is unknown");
+    assert_eq!(others, [504, 504], "the outcome is unknown");
+    assert_refused_at_once(&fleet, 0, other).await;
     store.change_faults(|faults| faults.lost_part = 0.0);
-    fleet.wait_for_state(1, on_its_way, "completed").await;
+    fleet.wait_for_state(1, in_flight, "completed").await;
     assert!(!ran(&fleet, other), "it was refused");
-    assert_eq!(fleet.submit(1, on_its_way, 1, "50").await, 200);
+    assert_eq!(fleet.submit(1, in_flight, 1, "50").await, 200);
     fleet.submit_until_taken(0, other, 1, "50").await;
     fleet.wait_for_state(1, other, "completed").await;
-    assert_eq!(runs_of(&fleet, on_its_way), 1);
+    assert_eq!(runs_of(&fleet, in_flight), 1);
     assert_eq!(runs_of(&fleet, other), 1);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Whoever cancels a refused job is told that there is none, and it never runs.
+/// Cancelling a refused job reports that there is no such job, and it never runs.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_job_that_is_cancelled_never_runs() {
     let fleet = Fleet::start(2, 2, false).await;
     let store = &fleet.platform.store;
     store.change_faults(|faults| faults.lost_part = 1.0);
     let cancelled = async {
-        tokio::time::sleep(UNTIL_AWAY).await;
-        refused_at_once(&fleet, 1, 0x161).await;
+        tokio::time::sleep(TIME_TO_UNAVAILABLE).await;
+        assert_refused_at_once(&fleet, 1, 0x161).await;
         let status = fleet.cancel(0, 0x161).await;
         store.change_faults(|faults| faults.lost_part = 0.0);
         status
@@ -202,5 +209,5 @@
     fleet.submit_until_taken(0, 0x162, 1, "50").await;
     fleet.wait_for_state(1, 0x162, "completed").await;
     assert!(!ran(&fleet, 0x161), "it was refused and cancelled");
-    fleet.check();
+    fleet.assert_no_violations();
 }
--- a/crates/figscale/tests/fleet_support/mod.rs
+++ b/crates/figscale/tests/fleet_support/mod.rs
@@ -1,6 +1,6 @@
-//! Entry instances as processes around a stand-in of the users' platform.
+//! Test cluster: entry instances as processes, with a stand-in of the users' platform.
 
-#![allow(dead_code, reason = "Each test binary uses a part, one of them all.")]
+#![allow(dead_code, reason = "each test binary uses a part of it, one uses all")]
 
 pub(crate) mod stopwatch;
 
@@ -15,12 +15,12 @@
 use figscale_standin::ports;
 use serde_json::json;
 
-/// Longest wait for a condition; real time, on a machine that may be busy.
-const PATIENCE: time::Duration = time::Duration::from_secs(40);
-/// Long enough for a leader to find its lease ended and to get another.
+/// Timeout for a condition, in wall-clock time on a machine that may be busy.
+const CONDITION_TIMEOUT: time::Duration = time::Duration::from_secs(40);
+/// Long enough for a leader to detect that its lease has ended and to get another.
 pub(crate) const NEW_LEASE: time::Duration = time::Duration::from_millis(1_500);
-const POLL: time::Duration = time::Duration::from_millis(40);
-/// What a refusal of the store reads like, in place of a missing answer.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(40);
+/// Texts of errors with which the store refused a write, as opposed to not answering.
 const REFUSALS: [&str; 2] = ["the store answered ", "the lease has ended"];
 const HOST: &str = "jobs.example";
 
@@ -33,16 +33,16 @@
     child: Option<process::Child>,
 }
 
-/// A platform with entry instances on it.
+/// A stand-in platform with entry instances.
 pub(crate) struct Fleet {
     pub(crate) platform: standin::Platform,
-    /// Each instance's way to the store.
-    pub(crate) doors: Vec<standin::store::Door>,
+    /// The proxy through which each instance reaches the store.
+    pub(crate) store_proxies: Vec<standin::store::Door>,
     instances: Vec<Instance>,
-    /// Workers whose calls a leader makes itself.
+    /// Largest number of workers for which a leader makes all calls itself.
     own_workers: u64,
     max_config_age: Option<time::Duration>,
-    /// Sent with each call of a caller, unless it is empty.
+    /// Key sent with each call of a caller; none if empty.
     key: String,
     directory: tempfile::TempDir,
     client: client::Client,
@@ -68,7 +68,7 @@
         Self::start_with(instances, workers, advised, 64, None).await
     }
 
-    /// The same where the proof of the configuration must not be older than this.
+    /// Like [`Self::start`], with a maximum age of the proof of the configuration.
     pub(crate) async fn start_with_config_age(
         instances: usize,
         workers: usize,
@@ -77,7 +77,7 @@
         Self::start_with(instances, workers, false, 64, Some(max_config_age)).await
     }
 
-    /// The same where the leader's calls of workers all go through the others.
+    /// Like [`Self::start`], with all calls to workers relayed by the other instances.
     pub(crate) async fn start_relayed(instances: usize, workers: usize) -> Self {
         Self::start_with(instances, workers, false, 0, None).await
     }
@@ -93,7 +93,7 @@
         platform.configure(10, "pool", "/jobs/", advised);
         let mut fleet = Self {
             platform,
-            doors: Vec::new(),
+            store_proxies: Vec::new(),
             instances: Vec::new(),
             own_workers,
             max_config_age,
@@ -102,22 +102,24 @@
             client: client::Client::default(),
         };
         for number in 0..instances {
-            fleet.doors.push(fleet.platform.store.door().await.unwrap());
-            fleet.add(number);
+            fleet
+                .store_proxies
+                .push(fleet.platform.store.door().await.unwrap());
+            fleet.add_instance(number);
             fleet.launch(number);
         }
         for number in 0..instances {
             fleet.wait_until_ready(number).await;
         }
-        // An instance is ready as soon as the store names a leader, which may
-        // still read the records, and refuses whatever it is asked.
+        // Instances are ready as soon as the store has a leader's key. That leader
+        // may still be reading the records, and then it refuses all calls.
         fleet
             .wait("a first term", || fleet.count_events("TERM_BEGUN") > 0)
             .await;
         fleet
     }
 
-    fn add(&mut self, number: usize) {
+    fn add_instance(&mut self, number: usize) {
         let address = || ports::free_address().unwrap();
         let [caller, ready, operator, peer] = std::array::from_fn(|_| address());
         let settings = json!({
@@ -126,7 +128,7 @@
             "caller_address": caller,
             "peer_address": peer,
             "operator_address": operator,
-            "platform_address": self.doors[number].address,
+            "platform_address": self.store_proxies[number].address,
             "peer_token": "0123456789abcdef",
             "log": {"target": "stdout", "level": "debug"},
             "fleet": {
@@ -148,7 +150,7 @@
         });
     }
 
-    /// Callers send this key from now on; none if it is empty.
+    /// Sets the key that callers send from now on; none if empty.
     pub(crate) fn set_key(&mut self, key: &str) {
         key.clone_into(&mut self.key);
     }
@@ -159,7 +161,7 @@
         lines.iter().any(|line| line.to_string().contains(text))
     }
 
-    /// Gives an instance this part of a core from its next start on.
+    /// Sets the share of a core of an instance, from its next start on.
     pub(crate) fn set_cpu_share(&mut self, number: usize, share: f64) {
         let file = &self.instances[number].settings;
         let settings = fs::read_to_string(file).unwrap();
@@ -185,7 +187,7 @@
         instance.child = Some(child);
     }
 
-    /// Runs an operator's command against an instance; exit code and output.
+    /// Runs an operator's command against an instance; returns exit code and output.
     pub(crate) async fn command(&self, number: usize, arguments: &[&str]) -> (i32, String) {
         let output = tokio::process::Command::new(env!("CARGO_BIN_EXE_figscale"))
             .arg("--entry")
@@ -194,10 +196,10 @@
             .output()
             .await
             .unwrap();
-        let told = [output.stdout, output.stderr].concat();
+        let output_bytes = [output.stdout, output.stderr].concat();
         (
             output.status.code().unwrap(),
-            String::from_utf8(told).unwrap(),
+            String::from_utf8(output_bytes).unwrap(),
         )
     }
 
@@ -221,37 +223,38 @@
     pub(crate) fn exit_code(&mut self, number: usize) -> Option<i32> {
         let mut child = self.instances[number].child.take().unwrap();
         let begun = time::Instant::now();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < CONDITION_TIMEOUT {
             if let Some(status) = child.try_wait().unwrap() {
                 return status.code();
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         let _ = child.kill();
         let _ = child.wait();
         panic!("still running");
     }
 
-    /// Submits a job of one task, waits until it runs, and silences its worker.
-    pub(crate) async fn silence_the_worker_of(&self, job: u64, spec: &str) -> String {
+    /// Submits a job of one task, waits until it runs, and makes its worker
+    /// unresponsive; returns the worker's id.
+    pub(crate) async fn submit_and_make_worker_unresponsive(&self, job: u64, spec: &str) -> String {
         assert_eq!(self.submit(0, job, 1, spec).await, 200);
         self.wait_for_state(0, job, "running").await;
-        let home = self.platform.ledger.runs()[0].worker.clone();
+        let worker_id = self.platform.ledger.runs()[0].worker.clone();
         let mut workers = self.platform.workers.iter();
-        let worker = workers.find(|worker| worker.plan.id == home).unwrap();
+        let worker = workers.find(|worker| worker.plan.id == worker_id).unwrap();
         worker.change_faults(|faults| faults.silent = true);
-        home
+        worker_id
     }
 
     pub(crate) async fn wait(&self, what: &str, done: impl Fn() -> bool) {
         let begun = time::Instant::now();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < CONDITION_TIMEOUT {
             if done() {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("waited in vain for {what}");
+        panic!("timed out waiting for {what}");
     }
 
     async fn ready_status(&self, number: usize) -> u16 {
@@ -264,13 +267,13 @@
 
     async fn wait_for_ready_status(&self, number: usize, ready: bool) {
         let begun = time::Instant::now();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < CONDITION_TIMEOUT {
             if (self.ready_status(number).await == 200) == ready {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("entry-{number} is not ready: {}", !ready);
+        panic!("entry-{number}: readiness is still {}", !ready);
     }
 
     pub(crate) async fn wait_until_ready(&self, number: usize) {
@@ -285,14 +288,14 @@
         self.send_within(call, time::Duration::from_secs(3)).await
     }
 
-    /// Sends a call whose caller says how long it waits.
+    /// Sends a call with the caller's time limit.
     async fn send_within(&self, call: client::Call, wait: time::Duration) -> client::Answer {
-        let call = self.as_caller(call, wait);
+        let call = self.with_caller_headers(call, wait);
         self.client.send(call).await.unwrap()
     }
 
-    /// A call with the headers of a caller.
-    fn as_caller(&self, call: client::Call, wait: time::Duration) -> client::Call {
+    /// Adds the headers of a caller to a call.
+    fn with_caller_headers(&self, call: client::Call, wait: time::Duration) -> client::Call {
         let call = call
             .header("host", HOST)
             .header(ingress::DEADLINE_HEADER, wait.as_millis());
@@ -323,7 +326,7 @@
         self.post(number, &path, &body).await
     }
 
-    /// Submits a job of one task for a caller who waits so long.
+    /// Submits a job of one task with the caller's time limit.
     pub(crate) async fn submit_within(&self, number: usize, job: u64, wait: time::Duration) -> u16 {
         let (path, body) = job_call(job, 1, "50");
         let call = client::Call::post(self.instances[number].caller, &path);
@@ -338,27 +341,31 @@
             .as_u16()
     }
 
-    /// Submits new jobs, numbered from `first` on, until one is answered so.
+    /// Submits new jobs, numbered from `first` on, until one is answered with this
+    /// status.
     pub(crate) async fn submit_until(&self, number: usize, first: u64, status: u16) {
         let begun = time::Instant::now();
         let mut job = first;
         while self.submit(number, job, 1, "50").await != status {
-            assert!(begun.elapsed() < PATIENCE, "{status} never came");
+            assert!(
+                begun.elapsed() < CONDITION_TIMEOUT,
+                "no submission was answered with {status}"
+            );
             job += 1;
         }
     }
 
-    /// Submits under the same id until the job is taken.
+    /// Submits a job under the same id until it is accepted.
     pub(crate) async fn submit_until_taken(&self, number: usize, job: u64, tasks: u32, spec: &str) {
         let begun = time::Instant::now();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < CONDITION_TIMEOUT {
             match self.submit(number, job, tasks, spec).await {
                 200 => return,
-                429 | 503 | 504 => tokio::time::sleep(POLL).await,
-                status => panic!("submitted: {status}"),
+                429 | 503 | 504 => tokio::time::sleep(POLL_INTERVAL).await,
+                status => panic!("submission answered with {status}"),
             }
         }
-        panic!("never taken");
+        panic!("the job was never accepted");
     }
 
     pub(crate) async fn cancel(&self, number: usize, job: u64) -> u16 {
@@ -369,11 +376,11 @@
 
     pub(crate) async fn wait_for_status(&self, number: usize, path: &str, status: u16) {
         let begun = time::Instant::now();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < CONDITION_TIMEOUT {
             if self.get(number, path).await.status == status {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("{path} never answered {status}");
     }
@@ -383,10 +390,10 @@
         let path = format!("/jobs/{job:016x}");
         let expected = json!({"state": state}).to_string();
         let mut last = String::new();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < CONDITION_TIMEOUT {
             let call = client::Call::get(self.instances[number].caller, path.clone());
-            let call = self.as_caller(call, time::Duration::from_secs(3));
-            // A process that is just starting does not listen yet.
+            let call = self.with_caller_headers(call, time::Duration::from_secs(3));
+            // A process that has just started does not listen yet.
             if let Ok(answer) = self.client.send(call).await {
                 assert_ne!(answer.status, 410, "job {job:x} is not known");
                 last = answer.text();
@@ -394,58 +401,59 @@
             if last == expected {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("job {job:x} is {last} and never {state}");
+        panic!("job {job:x} is {last} and did not become {state}");
     }
 
-    /// Which instance leads, once one does.
+    /// Waits until an instance leads, and returns its number.
     pub(crate) async fn leader(&self) -> usize {
         let begun = time::Instant::now();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < CONDITION_TIMEOUT {
             for number in 0..self.instances.len() {
-                if self.leads(number).await {
+                if self.is_leader(number).await {
                     return number;
                 }
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("nobody leads");
+        panic!("no instance leads");
     }
 
-    /// Waits until all the others have greeted the leader.
-    pub(crate) async fn wait_until_all_greet(&self, leader: usize) {
+    /// Waits until the leader has received heartbeats from all other instances.
+    pub(crate) async fn wait_for_all_heartbeats(&self, leader: usize) {
         let others = self.instances.len() - 1;
         let gauge = format!("figscale_fleet_state{{kind=\"members\"}} {others}");
         let begun = time::Instant::now();
         let mut shown = String::new();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < CONDITION_TIMEOUT {
             let call = client::Call::get(self.instances[leader].operator, "/metrics");
             shown = self.client.send(call).await.unwrap().text();
             if shown.lines().any(|line| line == gauge) {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("no {gauge} in {shown}");
     }
 
-    pub(crate) async fn leads(&self, number: usize) -> bool {
+    pub(crate) async fn is_leader(&self, number: usize) -> bool {
         let call = client::Call::get(self.instances[number].operator, "/v1/dump");
         let dump: serde_json::Value = self.client.send(call).await.unwrap().json().unwrap();
         dump["leading"] == true
     }
 
-    /// Nothing that must never happen was seen by a worker.
-    pub(crate) fn check(&self) {
+    /// Checks that no worker saw a violation of the guarantees, such as a task that ran
+    /// twice.
+    pub(crate) fn assert_no_violations(&self) {
         let faults = self.platform.ledger.faults();
         assert!(faults.is_empty(), "{faults:#?}");
     }
 
-    /// The store refused no records: none for their number, none for a lease.
-    /// On a busy machine it may answer too late, which refuses nothing; calls
-    /// that wait then for nobody to pass them on are such, too.
-    pub(crate) fn check_no_write_was_refused(&self) {
+    /// Checks that the store refused no write, neither for its size nor for its lease.
+    /// On a busy machine the store may answer too late, which is not a refusal; nor is
+    /// a call that then finds no peer to forward it.
+    pub(crate) fn assert_no_write_refused(&self) {
         let mut refused = self.log_lines();
         refused.retain(|line| line["name"] == "RECORDS_NOT_WRITTEN");
         refused.retain(|line| {
@@ -456,24 +464,24 @@
         assert_eq!(self.platform.store.too_large(), 0);
     }
 
-    /// Whether the store names a leader.
-    pub(crate) fn names_a_leader(&self) -> bool {
+    /// Whether the store has a leader's key.
+    pub(crate) fn has_leader_key(&self) -> bool {
         self.platform.store.get("figscale/lead").is_some()
     }
 
-    /// Waits until any instance has logged an event of a job.
+    /// Waits until any instance has logged this event for a job.
     pub(crate) async fn wait_for_event_of(&self, name: &str, job: u64) {
         let job = format!("{job:016x}");
-        let told = || {
+        let logged = || {
             let lines = self.log_lines();
             lines
                 .iter()
                 .any(|line| line["name"] == name && line["job"] == job.as_str())
         };
-        self.wait(name, told).await;
+        self.wait(name, logged).await;
     }
 
-    /// Lines of an event logged so far.
+    /// Number of lines of an event logged so far.
     pub(crate) fn count_events(&self, name: &str) -> usize {
         let lines = self.log_lines();
         lines.iter().filter(|line| line["name"] == name).count()
@@ -482,14 +490,16 @@
     /// All lines logged so far by all instances.
     pub(crate) fn log_lines(&self) -> Vec<serde_json::Value> {
         let numbers = 0..self.instances.len();
-        numbers.flat_map(|number| self.log_of(number)).collect()
+        numbers
+            .flat_map(|number| self.log_lines_of(number))
+            .collect()
     }
 
     /// All lines logged so far by an instance.
-    pub(crate) fn log_of(&self, number: usize) -> Vec<serde_json::Value> {
+    pub(crate) fn log_lines_of(&self, number: usize) -> Vec<serde_json::Value> {
         let log = fs::read_to_string(&self.instances[number].log).unwrap();
         let parse = |line: &str| serde_json::from_str(line).unwrap();
-        // The last line may be half written yet.
+        // The last line may be incomplete.
         let whole = log.rfind('\n').map_or(0, |end| end + 1);
         log[..whole].lines().map(parse).collect()
     }
@@ -504,7 +514,7 @@
     }
 }
 
-/// Path and body of a job with one step.
+/// Path and body of the submission of a job with one step.
 fn job_call(job: u64, tasks: u32, spec: &str) -> (String, String) {
     let step = json!({"count": tasks, "cpu": 1_000, "mem_mb": 64, "estimate_ms": 200});
     let body = json!({"spec": spec, "phases": [step]});
--- a/crates/figscale/tests/fleet_support/stopwatch.rs
+++ b/crates/figscale/tests/fleet_support/stopwatch.rs
@@ -1,21 +1,21 @@
-//! Time that passed while the machine let this process run.
+//! Measures elapsed time without the delays of a busy machine.
 //!
-//! A bound on real time says something about entry instances only while they
-//! get a processor when they want one. A thread that wakes every 5 ms sees by
-//! how much it is woken late; a test on the same machine is held up in the same
-//! way, at every message. That lateness is not counted. On a quiet machine none
-//! is seen, so the bounds are as sharp there as on a clock.
+//! A bound on wall-clock time says something about entry instances only while they
+//! get CPU time when they need it. A thread that wakes every 5 ms measures by how much
+//! it is woken late; a test on the same machine is delayed in the same way at every
+//! message. That lateness is subtracted. On an idle machine there is none, so the
+//! bounds are as strict as with a wall clock.
 
 use std::sync;
 use std::sync::atomic;
 use std::thread;
 use std::time;
 
-const BETWEEN_LOOKS: time::Duration = time::Duration::from_millis(5);
-/// Lateness of a timer on a quiet machine.
+const SAMPLE_INTERVAL: time::Duration = time::Duration::from_millis(5);
+/// Lateness of a timer on an idle machine.
 const USUAL_LATENESS: time::Duration = time::Duration::from_millis(1);
 
-/// A clock that stands still while the machine is busy with others.
+/// A stopwatch that excludes the time for which wake-ups are late.
 pub(crate) struct Stopwatch {
     begun: time::Instant,
     late_us: sync::Arc<atomic::AtomicU64>,
@@ -33,7 +33,7 @@
         let ended = stopwatch.ended.clone();
         thread::spawn(move || {
             while !ended.load(atomic::Ordering::Relaxed) {
-                let late = look();
+                let late = measure_lateness();
                 late_us.fetch_add(late, atomic::Ordering::Relaxed);
             }
         });
@@ -53,12 +53,12 @@
     }
 }
 
-/// Microseconds by which a wake-up came late.
-fn look() -> u64 {
+/// Sleeps once, and returns by how many microseconds the wake-up was late.
+fn measure_lateness() -> u64 {
     let begun = time::Instant::now();
-    thread::sleep(BETWEEN_LOOKS);
+    thread::sleep(SAMPLE_INTERVAL);
     let late = begun
         .elapsed()
-        .saturating_sub(BETWEEN_LOOKS + USUAL_LATENESS);
+        .saturating_sub(SAMPLE_INTERVAL + USUAL_LATENESS);
     u64::try_from(late.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/figscale/tests/fleet_unequal.rs
+++ b/crates/figscale/tests/fleet_unequal.rs
@@ -1,13 +1,13 @@
-//! Instances of unequal processor that all start anew, and which one leads.
+//! Which instance leads after a restart of instances with unequal CPU capacity.
 //!
-//! Seen: for four seconds most quick jobs were late or not served. A leader of
-//! an eighth of a core had them, beside nine instances of half a core.
+//! The failure: an instance with an eighth of a core led nine instances with half a
+//! core, and for four seconds most short jobs were late or not served.
 //!
-//! How it came about: instances were restarted, the leader was lost 0.1 s after
-//! one had come back, and that one stood at once; likewise when all came back
-//! together. What caused it: an instance learns from the leader how strong
-//! others are, so one that has not greeted a leader yet takes itself for the
-//! strongest; and a weak leader keeps its term for three seconds at least.
+//! It came about when instances were restarted and the leader was lost 0.1 s after
+//! one was back, which ran for leader at once; or when all were restarted together.
+//! An instance learns the capacity of the others from the leader, so one that has
+//! not sent a heartbeat to a leader yet takes itself for the strongest, and a weak
+//! leader keeps its term for at least three seconds.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -18,20 +18,20 @@
 const INSTANCES: usize = 4;
 const STRONG: usize = 0;
 const WEAK_SHARE: f64 = 0.12;
-/// The strong one leads by chance in one round of four.
+/// By chance the strong instance leads in one round of four.
 const ROUNDS: usize = 4;
 
-/// Whoever starts beside an instance of eight times its processor lets that one
-/// lead, also if no leader has told it so.
+/// An instance must leave leadership to one with eight times its CPU capacity, even
+/// if it has learned of it from no leader.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_strongest_leads_after_all_have_started_anew() {
+async fn the_strongest_instance_leads_after_all_have_restarted() {
     let mut fleet = Fleet::start(INSTANCES, 2, false).await;
     let weak = (0..INSTANCES).filter(|number| *number != STRONG);
     weak.for_each(|number| fleet.set_cpu_share(number, WEAK_SHARE));
     let mut leaders = Vec::new();
     for _ in 0..ROUNDS {
         (0..INSTANCES).for_each(|number| fleet.kill(number));
-        // One that was still to be killed may have followed the leader.
+        // An instance that was not killed yet may have replaced the leader.
         let terms = fleet.count_events("TERM_BEGUN");
         (0..INSTANCES).for_each(|number| fleet.launch(number));
         let begun = || fleet.count_events("TERM_BEGUN") > terms;
@@ -45,12 +45,12 @@
     );
 }
 
-/// The instance that leads the latest term told of.
+/// The instance that leads the latest term in the logs.
 fn last_leader(fleet: &Fleet) -> String {
     let mut known = fleet.log_lines();
     known.retain(|line| line["name"] == "LEADER_KNOWN");
     let epoch = |line: &serde_json::Value| line["epoch"].as_str().unwrap().parse::<u64>().unwrap();
     let last = known.iter().max_by_key(|line| epoch(line)).unwrap();
-    let life = last["leader"].as_str().unwrap();
-    life.split('#').next().unwrap().to_owned()
+    let incarnation = last["leader"].as_str().unwrap();
+    incarnation.split('#').next().unwrap().to_owned()
 }
--- a/crates/figscale/tests/fleet_workers.rs
+++ b/crates/figscale/tests/fleet_workers.rs
@@ -1,8 +1,8 @@
-//! Orders to workers that are lost, late or unanswered, by real entry instances
-//! as processes.
+//! Orders to workers that are lost, late or not answered, with real entry instances as
+//! processes.
 //!
-//! The platform is a stand-in in the test's process. What must hold is judged
-//! by what the workers saw and by what callers were told.
+//! The platform is a stand-in in the test's process. The tests check what the
+//! workers saw and what callers were answered.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -12,9 +12,10 @@
 
 use fleet_support::Fleet;
 
-/// Starts are left unanswered and carried out when they are long given up.
+/// Guards against tasks that run twice because a worker executes an unanswered start
+/// long after it was abandoned.
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_carried_out_late_run_nothing_twice() {
+async fn orders_executed_late_run_nothing_twice() {
     let fleet = Fleet::start(1, 4, false).await;
     for worker in &fleet.platform.workers {
         worker.change_faults(|faults| {
@@ -29,20 +30,23 @@
         fleet.wait_for_state(0, 0x300 + number, "completed").await;
     }
     tokio::time::sleep(time::Duration::from_secs(3)).await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tasks_of_a_silent_worker_start_elsewhere() {
+async fn tasks_of_an_unresponsive_worker_start_elsewhere() {
     let fleet = Fleet::start(1, 2, false).await;
-    fleet.silence_the_worker_of(0x401, "3000").await;
+    fleet
+        .submit_and_make_worker_unresponsive(0x401, "3000")
+        .await;
     fleet.wait_for_state(0, 0x401, "completed").await;
     assert!(fleet.platform.ledger.runs().len() >= 2);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// A start without an answer is ordered again as it was, before its own time is
-/// over, which would be told of; carried out late, the first one is refused.
+/// Guards against a lost start that is repeated only after its timeout, which would be
+/// logged: it is ordered again unchanged before that. If the first order is executed
+/// late, it is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_start_is_ordered_again() {
     let fleet = Fleet::start(1, 1, false).await;
@@ -57,23 +61,23 @@
         fleet.wait_for_state(0, 0x9300 + round, "completed").await;
     }
     tokio::time::sleep(2 * late_by).await;
-    fleet.check();
+    fleet.assert_no_violations();
     let runs = fleet.platform.ledger.runs();
     assert_eq!(runs.len(), rounds as usize, "{runs:#?}");
-    // A busy machine may let a time limit pass all the same.
+    // On a busy machine some timeouts may expire nevertheless.
     let unanswered = fleet.count_events("START_UNANSWERED");
     assert!(unanswered * 2 < rounds as usize, "{unanswered}");
 }
 
-/// A call for a report that is lost hides a worker's ends for little more than
-/// its wait of 1 s: it is sent again then, and not when its time is over, which
-/// would be told of.
+/// Guards against a lost call for a report that is repeated only after its timeout,
+/// which would be logged: ended tasks of the worker must be seen little later than
+/// the call's wait of 1 s.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_report_is_asked_for_again() {
+async fn a_lost_report_is_requested_again() {
     let fleet = Fleet::start(1, 1, false).await;
     let rounds = 4;
     for round in 0..rounds {
-        // The end of the first job brings the call that is lost.
+        // The call after the end of the first job is the one that is lost.
         fleet.platform.workers[0].change_faults(|faults| faults.lost_reports = 1);
         fleet.submit_until_taken(0, 0x9100 + round, 1, "20").await;
         fleet.wait_for_state(0, 0x9100 + round, "completed").await;
@@ -83,8 +87,8 @@
     }
     let runs = fleet.platform.ledger.runs();
     assert_eq!(runs.len(), 2 * rounds as usize, "{runs:#?}");
-    // A busy machine may let a time limit pass all the same.
+    // On a busy machine some timeouts may expire nevertheless.
     let silent = fleet.count_events("WORKER_SILENT");
     assert!(silent * 2 < rounds as usize, "{silent}");
-    fleet.check();
+    fleet.assert_no_violations();
 }
--- a/crates/figscale/tests/fleet_writes.rs
+++ b/crates/figscale/tests/fleet_writes.rs
@@ -1,9 +1,8 @@
-//! The leader's writes beside a store with faults, by real entry instances as
-//! processes.
+//! The leader's writes to a faulty store, with real entry instances as processes.
 //!
-//! The platform is a stand-in in the test's process. What must hold is judged
-//! by what the store and the workers saw and by what callers were told.
-//! Bounds on time are on time that the machine gave these processes.
+//! The platform is a stand-in in the test's process. The tests check what the store
+//! and the workers saw and what callers were answered. Time bounds apply to the time
+//! during which the machine ran these processes (see `Stopwatch`).
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -17,18 +16,19 @@
 
 use fleet_support::stopwatch::Stopwatch;
 
-/// A burst of quick jobs beside a store that takes a quarter of a second an
-/// answer: with one write at a time the records of half as many took 1.5 s. They
-/// fill nine writes, and none of these waits for another's answer.
+/// Guards against writes that wait for each other's answers. The store takes a
+/// quarter of a second for each answer. With one write at a time the records of half
+/// this number of short jobs took 1.5 s; these fill nine writes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_burst_beside_a_slow_store_is_taken_by_several_writes() {
+async fn a_burst_of_jobs_is_written_in_parallel_to_a_slow_store() {
     let fleet = Fleet::start(2, 2, false).await;
     fleet.submit_until_taken(0, 0xc50, 1, "20").await;
     fleet.wait_for_state(0, 0xc50, "completed").await;
     let store = &fleet.platform.store;
     store.change_faults(|faults| {
         faults.slow = time::Duration::from_millis(250);
-        // A busy machine may need another term, which is not what is looked at.
+        // On a busy machine there may be another term, which this test is not about;
+        // its records are then read in one page.
         faults.whole_pages = true;
     });
     store.take_most_at_once();
@@ -37,10 +37,11 @@
     futures_util::future::join_all(jobs).await;
     let at_once = store.take_most_at_once();
     assert!(at_once >= 4, "{at_once}");
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Transactions are executed without an answer, some of them later.
+/// Guards against tasks that run twice because transactions are executed late and
+/// without an answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers_of_the_store_run_nothing_twice() {
     let fleet = Fleet::start(2, 3, false).await;
@@ -58,17 +59,18 @@
     for number in 0..8 {
         fleet.wait_for_state(1, 0x200 + number, "completed").await;
     }
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// The write that names the leader anew is as full of records as any: its lease
-/// comes while all chains are busy and more records wait.
+/// Guards against a write that exceeds the size limit because it also restores the
+/// leader's key. Such a write is full: its lease is granted while all write chains
+/// are busy and more records are queued.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_full_write_names_the_leader_anew() {
+async fn a_full_write_can_restore_the_leader_key() {
     let fleet = Fleet::start(1, 2, false).await;
     let store = &fleet.platform.store;
-    // On a busy machine the lease may come too soon or too late in a round.
-    for round in 1..=MOST_ROUNDS {
+    // On a busy machine the lease may be granted too early or too late in a round.
+    for round in 1..=MAX_ROUNDS {
         let renewed_late = fleet.count_events("LEASE_RENEWED_LATE");
         store.change_faults(|faults| faults.grants_held = true);
         store.end_leases();
@@ -77,35 +79,40 @@
         store.change_faults(|faults| faults.transactions_held = true);
         let jobs = (0..400).map(|job| fleet.submit_until_taken(0, round << 16 | job, 1, "20"));
         let lease = async {
-            tokio::time::sleep(MOMENT).await;
+            tokio::time::sleep(HOLD_TIME).await;
             store.change_faults(|faults| faults.grants_held = false);
-            tokio::time::sleep(MOMENT).await;
+            tokio::time::sleep(HOLD_TIME).await;
             store.change_faults(|faults| faults.transactions_held = false);
         };
         tokio::join!(futures_util::future::join_all(jobs), lease);
         fleet
-            .wait("the leader's key", || fleet.names_a_leader())
+            .wait("the leader's key", || fleet.has_leader_key())
             .await;
-        if store.fullest_under_lease() >= FULL {
+        if store.fullest_under_lease() >= FULL_WRITE_ENTRIES {
             break;
         }
     }
-    fleet.check_no_write_was_refused();
-    assert!(store.fullest_under_lease() >= FULL, "no write was full");
+    fleet.assert_no_write_refused();
+    assert!(
+        store.fullest_under_lease() >= FULL_WRITE_ENTRIES,
+        "no write was full"
+    );
     assert_eq!(fleet.count_events("TERM_BEGUN"), 1);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// Room is kept for two records of a job, and a new one has but one.
-const FULL: usize = standin::store::MAX_ENTRIES - 1;
-const MOST_ROUNDS: u64 = 12;
-/// Eight writes begin within this time, and none is given up for its answer.
-const MOMENT: time::Duration = time::Duration::from_millis(180);
+/// Entries of a full write: space is reserved for two records of a job, and a new job
+/// has only one.
+const FULL_WRITE_ENTRIES: usize = standin::store::MAX_ENTRIES - 1;
+const MAX_ROUNDS: u64 = 12;
+/// Eight writes begin within this time, and none of them times out.
+const HOLD_TIME: time::Duration = time::Duration::from_millis(180);
 
-/// A lease that ends before it was used costs its write a second try, also
-/// where the first answer has taken longer than a failed write is tried.
+/// Guards against a write that fails for good because its lease ended before it was
+/// used: the write is tried a second time, even if the first answer has taken longer
+/// than the time in which a failed write is retried.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_outlives_the_lease_that_came_with_it() {
+async fn a_write_is_retried_when_its_new_lease_has_ended() {
     let fleet = Fleet::start(1, 2, false).await;
     let store = &fleet.platform.store;
     store.change_faults(|faults| {
@@ -116,17 +123,17 @@
     let jobs = (0..60).map(|job| fleet.submit_until_taken(0, 0x7000 + job, 1, "20"));
     futures_util::future::join_all(jobs).await;
     fleet
-        .wait("the leader's key", || fleet.names_a_leader())
+        .wait("the leader's key", || fleet.has_leader_key())
         .await;
-    fleet.check_no_write_was_refused();
+    fleet.assert_no_write_refused();
     assert_eq!(fleet.count_events("TERM_BEGUN"), 1);
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// A store that takes no transaction while the leader gets a new lease: the
-/// next write that it takes names the leader.
+/// Guards against a leader's key that is missing after the store took no transactions
+/// while the leader got a new lease: the next successful write must restore it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lease_outlives_the_write_that_failed() {
+async fn a_new_lease_is_used_after_a_failed_write() {
     let fleet = Fleet::start(1, 2, false).await;
     let store = &fleet.platform.store;
     store.change_faults(|faults| faults.no_transactions = true);
@@ -134,26 +141,29 @@
     fleet
         .wait("the lease's write", || store.leases_turned_away() > 0)
         .await;
-    // It is tried for a moment before it is given up.
+    // It is retried for a short time before it fails.
     let failed = || fleet.count_events("RECORDS_NOT_WRITTEN");
     let before = failed();
     fleet
-        .wait("the end of it and of another", || failed() >= before + 2)
+        .wait("two failed writes", || failed() >= before + 2)
         .await;
-    assert!(!fleet.names_a_leader());
+    assert!(!fleet.has_leader_key());
     let before = store.transactions();
     store.change_faults(|faults| faults.no_transactions = false);
     fleet
         .wait("a write", || store.transactions() > before)
         .await;
-    assert!(fleet.names_a_leader(), "the first write did not name it");
+    assert!(
+        fleet.has_leader_key(),
+        "the first write did not restore the leader's key"
+    );
     fleet.submit_until_taken(0, 0x901, 1, "20").await;
     fleet.wait_for_state(0, 0x901, "completed").await;
     assert_eq!(fleet.count_events("TERM_BEGUN"), 1);
 }
 
-/// A write without an answer is sent again once the store answers a later call,
-/// and not only when its timeout of 0.5 s is over, which would be told of.
+/// Guards against a write that waits for its timeout of 0.5 s, which would be logged:
+/// it is sent again once the store answers a later call.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_costs_less_than_a_timeout() {
     let fleet = Fleet::start(1, 2, false).await;
@@ -163,29 +173,29 @@
         store.change_faults(|faults| faults.lost_next = 1);
         fleet.submit_until_taken(0, 0xd00 + round, 1, "20").await;
     }
-    // A busy machine may let a timeout pass all the same.
+    // On a busy machine some timeouts may expire nevertheless.
     let timeouts = fleet.count_events("STORE_LOST");
     assert!(timeouts * 2 < rounds as usize, "{timeouts} of {rounds}");
-    fleet.check();
+    fleet.assert_no_violations();
 }
 
-/// A leader that is cut off from the store takes jobs through a peer that is
-/// not, and does not ask again and again one that is.
+/// Guards against a leader that is cut off from the store and keeps trying a path that
+/// cannot succeed: it must write through a peer that reaches the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leader_without_the_store_writes_through_a_peer() {
     let fleet = Fleet::start(5, 2, false).await;
     let leader = fleet.leader().await;
-    fleet.wait_until_all_greet(leader).await;
+    fleet.wait_for_all_heartbeats(leader).await;
     let cut = [leader, (leader + 1) % 5];
     for instance in cut {
-        fleet.doors[instance].set_shut(true);
+        fleet.store_proxies[instance].set_shut(true);
     }
-    // The first call finds out; watches that began before are answered yet.
+    // The first call detects the cut; watches that began before it are still answered.
     fleet
         .submit_until_taken((leader + 2) % 5, 0xf00, 1, "20")
         .await;
     tokio::time::sleep(2 * NEW_LEASE).await;
-    let shut_out = || cut.map(|instance| fleet.doors[instance].transactions_shut_out());
+    let shut_out = || cut.map(|instance| fleet.store_proxies[instance].transactions_shut_out());
     let before = shut_out();
     let taken = fleet.platform.store.transactions();
     for job in 1..=30 {
@@ -194,16 +204,17 @@
             .await;
     }
     assert!(fleet.platform.store.transactions() >= taken + 30);
-    assert_eq!(shut_out(), before, "tries where none can succeed");
-    assert!(fleet.leads(leader).await);
-    fleet.check();
+    assert_eq!(shut_out(), before, "attempts on a path that is cut off");
+    assert!(fleet.is_leader(leader).await);
+    fleet.assert_no_violations();
 }
 
-/// The lease ends while the write that names the leader is without an answer.
+/// Guards against a leader that stops writing because its lease ended while the write
+/// of the leader's key was not answered.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_in_doubt_outlives_its_lease() {
+async fn a_leader_recovers_from_an_unanswered_write_whose_lease_ended() {
     let fleet = Fleet::start(1, 2, false).await;
-    // Nothing else is left to write.
+    // No other writes are pending.
     fleet.submit_until_taken(0, 0xa00, 1, "20").await;
     fleet.wait_for_state(0, 0xa00, "completed").await;
     tokio::time::sleep(NEW_LEASE).await;
@@ -221,7 +232,7 @@
     assert!(begun.elapsed() < 4 * NEW_LEASE, "{:?}", begun.elapsed());
     fleet.wait_for_state(0, 0xa01, "completed").await;
     fleet
-        .wait("the leader's key", || fleet.names_a_leader())
+        .wait("the leader's key", || fleet.has_leader_key())
         .await;
-    fleet.check();
+    fleet.assert_no_violations();
 }
