--- a/crates/figscale/src/fleet/relay/link.rs
+++ b/crates/figscale/src/fleet/relay/link.rs
@@ -64,7 +64,7 @@
         answered.await.ok()
     }
 
-    /// Ejects the relay for [`super::EJECTION_TIME`].
+    /// Ejects the relay for `EJECTION_TIME`.
     pub(in crate::fleet) fn eject(&self, now: time::Instant) {
         *mutex::lock(&self.ejected_until) = Some(now + super::EJECTION_TIME);
     }
