--- a/crates/figscale-core/src/fleet/pass.rs
+++ b/crates/figscale-core/src/fleet/pass.rs
@@ -1,5 +1,5 @@
-//! What one pass of placement knows: steps that could start, in which order, and
-//! where there may be room.
+//! State of one placement pass: the steps that could start, their order, and
+//! the workers that may have room.
 
 use std::cell;
 use std::time;
@@ -11,62 +11,66 @@
 use super::maps;
 use super::reserve;
 
-/// A job that ends later than so many times its objective earns nothing.
+/// A job that ends later than this multiple of its objective earns nothing.
 const WORTHLESS_AFTER_OBJECTIVES: u32 = 3;
 
-/// What a job is still worth.
+/// What a job can still earn, by its expected end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Lateness {
     /// It can still meet its objective.
     InTime,
     /// It earns a part.
     Late,
-    /// It earns nothing, and must be done all the same.
+    /// It earns nothing, but must still be done.
     Overdue,
 }
 
-/// Order of steps; less goes first.
+/// Sort key of steps; the smallest is placed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     pub(crate) lateness: Lateness,
     pub(crate) class: u8,
-    /// Its customer uses more than its share by weight.
+    /// Whether its customer uses more than its weighted share.
     pub(crate) over_share: bool,
-    /// Time until the step must start; of late ones the time since. It goes on
-    /// falling, so that what has waited longest goes first among late work. A
-    /// short gang would otherwise stay behind every longer one for good.
+    /// Time left until the step must start; negative once that time is past. It
+    /// keeps falling while the step waits, so that of late work the step that
+    /// has waited longest comes first. If it stopped at zero, a short gang
+    /// would stay behind every longer one and starve.
     pub(crate) slack_ms: i64,
 }
 
-/// A step with tasks that could start.
+/// A step with tasks that are ready to start.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     /// First task of the step.
     pub(crate) task: fleet::TaskId,
     pub(crate) rank: Rank,
-    /// Workers were lost under some of its tasks.
+    /// Whether some of its tasks ran on workers that were lost.
     pub(crate) lost_workers: bool,
-    /// One of the few gangs that may keep workers however long they wait.
+    /// Whether this is one of the few gangs that may query for workers before
+    /// there is room for them, and for a wide choice if their wait is long.
     pub(crate) goes_first: bool,
-    /// Of a gang that waits for room.
+    /// Set for a gang that waits for free resources.
     pub(crate) reservation: Option<reserve::Reservation>,
 }
 
-/// A worker that is kept free for a gang.
+/// A reservation of one worker.
 #[derive(Clone, Copy, Debug)]
 struct Keep {
-    /// First task of the gang.
+    /// First task of the step that it is reserved for.
     owner: fleet::TaskId,
-    /// When the gang should start.
+    /// When that step should start.
     until: time::Instant,
 }
 
-/// Free room of the usable workers when a pass began: of each service that which
-/// no other worker's holds. Room only shrinks in a pass, so what none of these
-/// holds can neither start nor name a worker to ask about.
+/// Free resources of the usable workers at the start of a pass: for each
+/// service, the maximal elements, that is, those that fit in no other worker's
+/// free resources. Free resources only shrink in a pass, so a task that fits in
+/// none of them can neither start nor yield a worker to query for.
 ///
-/// So a backlog beside a fleet that is full in one way, be it memory, or beside
-/// another service with room, costs a pass nothing but its ranking.
+/// With this a backlog costs a pass nothing but its ranking where the fleet is
+/// full in one dimension, such as memory, or where only workers of another
+/// service have room.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Widest {
     services: Vec<(String, Vec<fleet::Room>)>,
@@ -87,7 +91,7 @@
         rooms.push(free);
     }
 
-    /// Whether a worker of a service may hold so much.
+    /// Whether some worker of a service may have this much free.
     pub(crate) fn holds(&self, service: &str, need: &fleet::Room) -> bool {
         let mut services = self.services.iter();
         let rooms = services.find(|(name, _)| name == service);
@@ -107,21 +111,23 @@
 /// State of one pass.
 pub(crate) struct Pass {
     pub(crate) now: time::Instant,
-    /// What customers may start.
+    /// What customers may still start.
     pub(crate) headroom: customers::Headroom,
-    /// Positions of the workers that may get new work.
+    /// Indices of the workers that may get new work.
     pub(crate) usable: Vec<usize>,
     kept: maps::WorkerMap<Keep>,
-    /// The late gang for which workers were kept before all else.
+    /// The late gang for which workers were reserved before all other steps.
     pub(crate) gang_in_turn: Option<fleet::TaskId>,
-    /// Overdue steps for which workers were kept before all else. Quick work keeps
-    /// off these like all other; a stream of it would put them off for good.
+    /// Overdue steps for which workers were reserved before all other steps.
+    /// Short work is kept off these workers too, since a stream of it would
+    /// delay such a step forever.
     pub(crate) overdue: Vec<fleet::TaskId>,
     pub(crate) widest: Widest,
     pub(crate) tried: Tried,
     pub(crate) reserving: usize,
     pub(crate) wanting: Vec<Candidate>,
-    /// Times that a worker was looked at, which is what a pass costs.
+    /// Number of times that a worker was examined; the measure of a pass's
+    /// cost.
     looks: cell::Cell<usize>,
 }
 
@@ -148,7 +154,7 @@
         }
     }
 
-    /// So many workers are looked at.
+    /// Records that this many workers are examined.
     pub(crate) fn count_looks(&self, workers: usize) {
         self.looks.set(self.looks.get() + workers);
     }
@@ -157,7 +163,8 @@
         self.looks.get()
     }
 
-    /// Keeps workers for a gang, but for those that another keeps already.
+    /// Reserves workers for a step. Workers that are already reserved for
+    /// another stay so.
     pub(crate) fn keep(&mut self, owner: fleet::TaskId, reservation: &reserve::Reservation) {
         let until = reservation.ready_at;
         for worker in &reservation.workers {
@@ -166,8 +173,8 @@
         }
     }
 
-    /// Until when a worker is kept for another step than that of a task. Work
-    /// that is over by then may use it.
+    /// The time until which a worker is reserved for a step other than that of
+    /// `task`. Work that ends by then may still use the worker.
     pub(crate) fn kept_for_others_until(
         &self,
         task: &fleet::TaskId,
@@ -178,7 +185,8 @@
         (!own).then_some(keep.until)
     }
 
-    /// Whether also quick work that would be over soon keeps off a worker.
+    /// Whether a worker is closed even to short work, which may use other
+    /// reserved workers.
     pub(crate) fn is_closed_to_quick(&self, worker: &fleet::WorkerId) -> bool {
         let keep = self.kept.get(worker);
         keep.is_some_and(|keep| self.overdue.contains(&keep.owner))
@@ -195,7 +203,7 @@
     }
 }
 
-/// Whether some task of a step could start; of a gang, all of them.
+/// Whether some task of a step is ready to start; of a gang, whether all are.
 pub(crate) fn may_start(step: &job::Step, description: &fleet::StepDescription) -> bool {
     let ready = |task: &job::Task| task.is_waiting() && !task.suspect;
     match description.gang {
@@ -217,7 +225,8 @@
     let worthless_at = since + objective * WORTHLESS_AFTER_OBJECTIVES;
     let lasts = job.description.steps.iter().any(|step| step.long_running);
     let lateness = match ends {
-        // It is of use whenever it runs, however long ago it was submitted.
+        // Long-running work is useful whenever it runs, however long ago it was
+        // submitted.
         _ if lasts => Lateness::InTime,
         ends if ends <= objective_at => Lateness::InTime,
         ends if ends <= worthless_at => Lateness::Late,
@@ -231,7 +240,7 @@
     }
 }
 
-/// Milliseconds from one time to another, below zero if that is over.
+/// Milliseconds from one time to another; negative if `to` is before `from`.
 fn signed_millis(from: time::Instant, to: time::Instant) -> i64 {
     let millis = |time| i64::try_from(super::lease::millis(time)).unwrap_or(i64::MAX);
     match to.checked_duration_since(from) {
--- a/crates/figscale-core/src/fleet/places.rs
+++ b/crates/figscale-core/src/fleet/places.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a step could go now, and which place is best.
+//! The workers that a step's tasks could run on now, and the choice among them.
 
 use std::time;
 
@@ -10,25 +10,26 @@
 use super::scheduler;
 use super::worker;
 
-/// Quick work that is over sooner may use workers that are kept free: one such
-/// task delays a gang by no more than runs miss their estimates by. A stream of
-/// them delays it for good, so it keeps off the workers of the gang that is
-/// overdue longest.
+/// Priority-0 work no longer than this may use reserved workers: one such task
+/// delays a gang by no more than runs miss their estimates by. A stream of them
+/// would delay it forever, so they are kept off the workers reserved for the
+/// step that is overdue longest.
 const SHORT_WORK_MS: u64 = 1_200;
 
-/// A worker that a task could go to; less is better.
+/// Sort key of the workers for a task; the smallest is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Fit {
     failed_here: bool,
     unproven: bool,
-    /// Runs that would be lost with the worker, if it is to be expected.
+    /// Runs that would be lost with the worker; counted only for a task in need
+    /// of quarantine, which may crash it.
     endangered: usize,
     far: bool,
     left_cpu_millis: u64,
 }
 
 impl scheduler::Scheduler {
-    /// Workers that may run a step now, with what is free there.
+    /// Workers that may run a step now, with their free resources.
     pub(crate) fn open_workers(
         &self,
         task: &fleet::TaskId,
@@ -43,7 +44,8 @@
         let ends = pass.now + time::Duration::from_millis(description.estimate_ms);
         let is_short = rank.class == 0 && description.estimate_ms <= SHORT_WORK_MS;
         let need = job::occupied(description);
-        // A gang would rarely find all its workers without young runs at once.
+        // A gang is exempt: it would rarely find all its workers without
+        // recently started runs at the same time.
         let alone = !description.gang && job.needs_quarantine(task);
         let mut places = Vec::new();
         for (id, worker) in self.allowed_workers(job, step, pass) {
@@ -76,8 +78,9 @@
         places
     }
 
-    /// Usable workers that the queue's policy allows a step to run on. Of those
-    /// with tickets there are a few dozen at most, of the others hundreds.
+    /// Usable workers that the queue's policy allows for a step. At most a few
+    /// dozen hold tickets, while a fleet has hundreds of workers, so the
+    /// tickets are iterated and not the workers.
     fn allowed_workers<'a>(
         &'a self,
         job: &job::Job,
@@ -129,19 +132,20 @@
     }
 }
 
-/// A worker with room, during the placing of a gang.
+/// A worker with room for a task of the step.
 #[derive(Clone, Debug)]
 pub(crate) struct Place<'a> {
     pub(crate) id: &'a fleet::WorkerId,
     free: fleet::Room,
-    /// Further tasks of the step that may go there.
+    /// Number of further tasks of the step that may be placed there.
     most: u64,
     pub(crate) rack: &'a str,
     proven: bool,
     runs: usize,
 }
 
-/// Puts `count` tasks on the given workers, the fullest first that holds one.
+/// Assigns `count` tasks to the given workers, to the fullest first that has
+/// room for one. `None` if they do not all fit.
 pub(crate) fn fill(
     mut places: Vec<Place<'_>>,
     description: &fleet::StepDescription,
--- a/crates/figscale-core/src/fleet/plan.rs
+++ b/crates/figscale-core/src/fleet/plan.rs
@@ -1,12 +1,15 @@
-//! One pass over everything that waits: who goes first, and where.
+//! The placement pass: ranks all steps that are ready to start and assigns
+//! their tasks to workers.
 //!
-//! Steps are ranked: jobs that can still meet their objective before those that
-//! are late, and these before those that are worth nothing any more; quick queues
-//! (priority 0) before others; then those of customers that use less than their
-//! share by weight; then by the time that is left before they must start, or since.
-//! Within a step a task goes to the fullest worker
-//! that holds it, so that large holes stay for wide gangs. A gang that finds no
-//! room has workers kept for it.
+//! Steps are ranked by these keys, in this order: jobs that can still meet
+//! their objective, then late ones, then those past the point where they earn
+//! anything; queues of priority 0 before others; customers within their
+//! weighted share before those above it; and last the time left until the step
+//! must start, which is negative once that time is past.
+//!
+//! A task goes to the fullest worker that has the resources for it (best fit),
+//! so that large free blocks remain for wide gangs. Workers are reserved for a
+//! gang that does not fit yet.
 
 use std::time;
 
@@ -23,24 +26,25 @@
 use super::scheduler;
 use super::worker;
 
-/// One gang for so many usable workers may keep workers for runs still to end, at
-/// the same time; more would leave most workers waiting. Gangs that wait for
-/// nothing but tickets are not counted: their room is idle for one answer only.
-/// While the advisory service is away there is no answer, and they count like the
-/// others.
+/// There may be one gang per this many usable workers that holds reservations
+/// on workers while their runs end; more would leave most workers idle. Gangs
+/// that wait for nothing but tickets are not counted, since their resources are
+/// idle for the time of one response only. While the advisory service is
+/// unavailable no response comes, and they are counted too.
 const WORKERS_PER_RESERVING: usize = 16;
-/// Gangs that may do so however small the fleet is.
+/// Lower bound of the number of such gangs, for small fleets.
 const MIN_RESERVING: usize = 3;
-/// One gang for so many ways to the advisory service may ask for a wide choice of
-/// workers. More of them would take these ways from gangs that could start with
-/// few tickets.
+/// One gang per this many advice channels may query the advisory service for a
+/// wide choice of workers before there is room for it. More of them would
+/// occupy the channels that gangs need which could start with a few tickets.
 const LANES_PER_FIRST: usize = 5;
-/// Gangs that may do so however few instances there are.
+/// Lower bound of the number of such gangs, for few instances.
 const MIN_FIRST: usize = 3;
-/// Attempts of one term; the next term's numbers begin above them.
+/// Attempt numbers reserved for one term; those of the next term start above
+/// them.
 const ATTEMPTS_PER_EPOCH: u64 = 1_000;
 
-/// Tasks of one step that were placed in one pass.
+/// Tasks of one step that were placed in this pass.
 #[derive(Clone, Debug, Default)]
 struct Placed {
     tasks: usize,
@@ -57,13 +61,14 @@
 }
 
 impl scheduler::Scheduler {
-    /// Places what can be placed and asks for advice.
+    /// Places whatever can be placed and queries the advisory service for the
+    /// rest.
     pub fn plan(&mut self, now: time::Instant) {
         self.plan_those(now, pass::Tried::WithRoom);
     }
 
-    /// The same, but steps for which no worker has room are tried like all
-    /// others. It decides the same at a higher price, and is there to show that.
+    /// Like [`Self::plan`], but also tries steps for which no worker has room.
+    /// The decisions are the same at a higher cost; it exists to test that.
     pub fn plan_trying_all(&mut self, now: time::Instant) {
         self.plan_those(now, pass::Tried::All);
     }
@@ -75,8 +80,8 @@
             return;
         }
         let headroom = self.headroom();
-        // What its customer's limit holds back keeps no workers, asks nothing and
-        // is in nobody's way.
+        // Steps held back by their customer's limit reserve no workers, send no
+        // queries and block no other step.
         candidates.retain(|candidate| self.may_start_of(&candidate.task, &headroom) > 0);
         let usable = (0..self.workers.len()).filter(|position| {
             let worker = self.workers.get_index(*position);
@@ -112,7 +117,8 @@
         widest
     }
 
-    /// How many tasks of a step its customer may start now; of a gang all or none.
+    /// How many tasks of a step its customer may start now. A gang may start
+    /// whole or not at all.
     fn may_start_of(&self, task: &fleet::TaskId, headroom: &customers::Headroom) -> u64 {
         let Some(job) = self.jobs.get(&task.job) else {
             return 0;
@@ -128,8 +134,8 @@
         }
     }
 
-    /// Whether some worker has room for a task of a step; gangs that find none
-    /// have workers kept for them.
+    /// Whether some worker may have room for a task of a step. Always true of
+    /// gangs, since workers are reserved for those that do not fit.
     fn may_fit(&self, candidate: &pass::Candidate, pass: &pass::Pass) -> bool {
         let Some(job) = self.jobs.get(&candidate.task.job) else {
             return false;
@@ -141,7 +147,7 @@
         step.gang || pass.tried == pass::Tried::All || room()
     }
 
-    /// Keeps the workers for which tickets are on their way.
+    /// Reserves the workers for which tickets are in flight.
     fn keep_promised(&self, candidates: &[pass::Candidate], pass: &mut pass::Pass) {
         for candidate in candidates {
             let job = self.jobs.get(&candidate.task.job);
@@ -163,7 +169,8 @@
             let customer = job.customer.as_ref();
             let over_share = customer.is_some_and(|customer| over_share.contains(customer));
             for (occurrence, round) in job.rounds.iter().enumerate() {
-                // Most jobs of a busy fleet wait for nothing but their tasks.
+                // The rank is computed on demand, since most jobs of a busy
+                // fleet have no step that is ready.
                 let mut known_rank = None;
                 for (step, progress) in round.steps.iter().enumerate() {
                     let description = &job.description.steps[step];
@@ -185,19 +192,21 @@
                 }
             }
         }
-        // What has lost its worker goes before all else: in quarantine it needs a
-        // place that a stream of other work would take first each time.
+        // Steps with tasks that lost a worker come first: a task in quarantine
+        // needs a worker to itself, which a stream of other work would
+        // otherwise always take first.
         all.sort_by_key(|candidate| (!candidate.lost_workers, candidate.rank));
         all
     }
 
-    /// A task whose losses, or whose start, would be forgotten with this leader is
-    /// not started.
+    /// A task is not started while its lost runs are not in the store: neither
+    /// they nor this start would be known to the next leader.
     fn has_unsaved_losses(&self, id: fleet::JobId, step: &job::Step) -> bool {
         !step.crashes.is_empty() && self.unsaved.contains(id)
     }
 
-    /// Places what it can of a step; true if nothing of it waits any more.
+    /// Places as many tasks of a step as possible. Returns false if some are left
+    /// that need a worker or a ticket.
     fn place_step(&mut self, candidate: &mut pass::Candidate, pass: &mut pass::Pass) -> bool {
         let Some(job) = self.jobs.get(&candidate.task.job) else {
             return true;
@@ -306,7 +315,7 @@
         true
     }
 
-    /// A worker for each member, or none if one finds no room.
+    /// One worker for each member, or `None` if any member does not fit.
     fn gang_workers(
         &self,
         candidate: &pass::Candidate,
@@ -327,11 +336,12 @@
         in_one.or_else(|| places::fill(open, description, description.count))
     }
 
-    /// Keeps the workers that become free first until a gang fits.
+    /// Reserves the workers that become free first until a gang fits.
     ///
-    /// Beside a backlog most gangs may neither keep workers nor ask, and nothing
-    /// is reckoned for these. With 150 gangs that wait and 350 workers a pass took
-    /// 10 ms, and new jobs and ends waited for it.
+    /// In a backlog most gangs may neither reserve workers nor send a query,
+    /// and nothing is computed for these. Computing it for all took a pass 10
+    /// ms with 150 waiting gangs and 350 workers, which delayed new jobs and
+    /// reports of ended tasks.
     fn keep_free(
         &self,
         candidate: &mut pass::Candidate,
--- a/crates/figscale-core/src/fleet/reserve.rs
+++ b/crates/figscale-core/src/fleet/reserve.rs
@@ -1,17 +1,17 @@
-//! Room kept free for gangs that need many workers at once.
+//! Reservations of workers for gangs that need many of them at once.
 //!
-//! A wide gang never finds room on a full fleet by waiting: whatever becomes
-//! free is taken by smaller work at once. So the slots that become free first
-//! are reckoned from the expected ends of what runs, over the workers that may
-//! run the gang, until there are enough. The workers with these slots are kept:
-//! other work may use them only if it is over by the time that the gang is
-//! expected to start. Tickets are asked for shortly before that time.
+//! On a full fleet a wide gang never fits by waiting, since smaller work takes
+//! whatever becomes free at once. So the slots that become free first on the
+//! workers that may run the gang are computed from the expected ends of current
+//! runs, until there are enough. Their workers are reserved: other work may use
+//! them only if it ends before the gang is expected to start. Tickets are
+//! queried shortly before that time.
 //!
-//! A slot is of use once there is a ticket for its worker, so a worker with a
-//! ticket, or with one on its way, comes before one that would have to be asked
-//! about. Without that the workers chosen change with each run that ends, the
-//! tickets fetched are for the last choice and not for this one, and a gang asks
-//! again and again beside free room.
+//! A slot is of use only with a ticket for its worker, so a worker with a
+//! ticket, or with one in flight, is preferred to one that is still to be
+//! queried. Without this preference the chosen workers change with each run
+//! that ends, the fetched tickets belong to the previous choice, and a gang
+//! keeps sending queries although there is room.
 
 use std::time;
 
@@ -23,26 +23,29 @@
 use super::scheduler;
 use super::worker;
 
-/// A run that is over its estimate is taken to end after this time, or after as
-/// long again as it is over. A gang that waits for one that goes on and on would
-/// otherwise seem to start soon for good, and keep its workers all the while.
+/// A run that exceeds its estimate is expected to end after this time, or after
+/// as long again as it is already over, whichever is longer. Without the latter
+/// a gang waiting for a run that never ends would seem about to start forever,
+/// and hold its reservation all that time.
 const OVERDUE: time::Duration = time::Duration::from_millis(300);
 
-/// Workers for a gang, reckoned; `pass::Pass` knows which are kept.
+/// The computed workers for a gang. Which workers are in fact reserved in a
+/// pass is recorded in [`pass::Pass`].
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
     /// In the order in which they become free.
     pub(crate) workers: Vec<fleet::WorkerId>,
-    /// When there should be room, and tickets, for all members.
+    /// When there should be room and tickets for all members.
     pub(crate) ready_at: time::Instant,
-    /// The workers are kept, so other work keeps off them and tickets are of use.
+    /// Whether the workers are reserved in this pass: other work is kept off
+    /// them, so tickets for them are of use.
     pub(crate) kept: bool,
 }
 
 impl scheduler::Scheduler {
-    /// The slots of a gang that become free first; `None` if the workers known
-    /// to be good never have enough. Slots on workers that are kept for others
-    /// count if the gang is over by the time that those start.
+    /// The slots for a gang that become free first; `None` if the workers known
+    /// to be approved can never hold it. Slots on workers reserved for others
+    /// count only if the gang would end before those start.
     pub(crate) fn reserve(
         &self,
         task: &fleet::TaskId,
@@ -83,8 +86,8 @@
         })
     }
 
-    /// Members of a gang that the empty workers known to be good could hold;
-    /// those that are kept for others are of no use to it.
+    /// Number of members that the approved workers could hold when empty.
+    /// Workers reserved for others are left out.
     pub(crate) fn good_slots(
         &self,
         task: &fleet::TaskId,
@@ -106,8 +109,8 @@
             .sum()
     }
 
-    /// Whether the workers there are could hold a gang when they are empty, if all
-    /// that were not asked about are good.
+    /// Whether all usable workers together could hold a gang when empty,
+    /// assuming that those not yet queried are approved.
     pub(crate) fn could_fit(
         &self,
         task: &fleet::TaskId,
@@ -131,7 +134,8 @@
         slots.sum::<u64>() >= u64::from(description.count)
     }
 
-    /// Workers known to be good for a step; all of a queue without advice.
+    /// Workers known to be approved for a step; all workers where the queue
+    /// needs no advice.
     fn possible_workers(
         &self,
         step: &job::Step,
@@ -153,7 +157,7 @@
 struct Tickets<'a> {
     advice: &'a job::StepAdvice,
     now: time::Instant,
-    /// For a worker that is asked about next.
+    /// For a worker that is in the next query.
     asked_next: time::Instant,
 }
 
@@ -183,7 +187,7 @@
     }
 }
 
-/// Members that an empty worker holds.
+/// Number of members that an empty worker holds.
 pub(crate) fn whole_slots(worker: &worker::Worker, description: &fleet::StepDescription) -> u64 {
     worker
         .entry
@@ -191,7 +195,7 @@
         .times(&job::occupied(description), most_per_worker(description))
 }
 
-/// Members that a worker may run at most.
+/// Maximum number of members on one worker.
 pub(crate) fn most_per_worker(description: &fleet::StepDescription) -> u64 {
     let all = description.count;
     u64::from(description.max_per_worker.map_or(all, |most| most.min(all)))
@@ -202,7 +206,7 @@
     run.expected_end.max(now + over.max(OVERDUE))
 }
 
-/// When slots of a step become free on a worker, as its runs end.
+/// When slots for a step become free on a worker, as its runs end.
 fn slot_times(
     worker: &worker::Worker,
     description: &fleet::StepDescription,
--- a/crates/figscale-core/src/fleet/turns.rs
+++ b/crates/figscale-core/src/fleet/turns.rs
@@ -1,12 +1,13 @@
-//! Turns of late work, which would otherwise wait for good.
+//! Aging of late work, so that it is not starved.
 //!
-//! Late work comes after whatever can still be in time, and there is always some
-//! of that. Small tasks find room all the same. A gang, or a task that needs over
-//! half a worker, would never run: whatever becomes free is taken by smaller work
-//! at once. So one gang has a turn, the one that is late longest, and one wide
-//! task, of those that earn nothing any more. Workers are kept for them first;
-//! others use these until they start. What the workers there are could not hold
-//! has no turn.
+//! Late work ranks after everything that can still meet its objective, and
+//! there is always some of that. Small tasks find room anyway. A gang, or a
+//! task that needs more than half a worker, would never run, since smaller work
+//! takes whatever becomes free at once. So workers are reserved, before those
+//! of all other steps, for the one gang that has been late longest and for the
+//! one wide task that is overdue longest. Other work may use these workers as
+//! long as it ends before the start of the step that they are reserved for. A
+//! step that would not fit on all workers when empty gets no such reservation.
 
 use figscale_types::fleet;
 
@@ -15,12 +16,13 @@
 use super::scheduler;
 
 impl scheduler::Scheduler {
-    /// Keeps workers for late work whose turn it is, before all else but what is
-    /// promised.
+    /// Makes the reservations of late work, which come after only those that
+    /// await tickets.
     pub(crate) fn keep_for_latest(&self, candidates: &[pass::Candidate], pass: &mut pass::Pass) {
         let gang = |step: &fleet::StepDescription| step.gang;
         pass.gang_in_turn = self.keep_for_latest_of(candidates, pass::Lateness::Late, gang, pass);
-        // On most passes nothing is overdue, and then no worker is looked at.
+        // In most passes nothing is overdue, so the scan of all workers below
+        // is skipped.
         let overdue = |step: &pass::Candidate| step.rank.lateness == pass::Lateness::Overdue;
         if !candidates.iter().any(overdue) {
             return;
@@ -32,8 +34,10 @@
         self.keep_for_latest_of(candidates, pass::Lateness::Overdue, wide, pass);
     }
 
-    /// Keeps workers for the step that is late longest of those meant and at least
-    /// so late: for all members of a gang, for one task of another step.
+    /// Reserves workers for the step that is late longest, among those that
+    /// `meant` selects and that are at least as late as `least`. The
+    /// reservation is for all members of a gang, and for one task of another
+    /// step.
     fn keep_for_latest_of(
         &self,
         candidates: &[pass::Candidate],
@@ -71,7 +75,7 @@
         Some(candidate.task)
     }
 
-    /// The most that some usable worker has of each kind of room.
+    /// For each kind of resource, the most that any usable worker has in total.
     fn largest_room(&self, pass: &pass::Pass) -> fleet::Room {
         let workers = pass
             .usable
