--- a/crates/figscale-core/src/fleet/advice.rs
+++ b/crates/figscale-core/src/fleet/advice.rs
@@ -1,10 +1,11 @@
-//! Questions to the advisory service, spread over the entry instances.
+//! Queries to the advisory service, distributed over the entry instances.
 //!
-//! The service answers one question at a time for each entry instance that
-//! asks, and a long question takes forty times as long as a short one. So each
-//! instance is a lane of its own, and some lanes are kept for short questions,
-//! which would otherwise wait behind long ones for longer than their jobs
-//! take. Nothing queues in a lane: the best question is chosen when one is free.
+//! The service answers one query at a time for each entry instance that sends
+//! one, and a long query takes forty times as long as a short one. So each
+//! instance is a channel of its own, and some channels are reserved for short
+//! queries, which would otherwise wait behind long ones for longer than their
+//! jobs take. Channels have no queues: the best query is chosen when a channel
+//! is free.
 
 use std::time;
 
@@ -20,27 +21,28 @@
 use super::pass;
 use super::scheduler;
 
-/// A longer question may not use the lanes kept for short ones. Quick jobs'
-/// questions take about 20 ms, the next longer kind's over 100 ms.
+/// Longer queries may not use the channels reserved for short ones. Queries for
+/// short jobs take about 20 ms, the next longer kind over 100 ms.
 const LONG_QUESTION: time::Duration = time::Duration::from_millis(60);
-/// Part of a ticket's life left unused, for the way to the worker.
+/// Part of a ticket's lifetime that is left unused, to cover its transmission
+/// to the worker.
 const TICKET_MARGIN: time::Duration = time::Duration::from_millis(200);
-/// How much later than expected an answer may be, and its gang placed, before
-/// the workers kept for it are given up.
+/// A gang's reservation is dropped if its tickets are later than expected by
+/// more than this, which also covers the time to place the gang.
 const ANSWER_SLACK: time::Duration = time::Duration::from_millis(300);
-/// An overdue step in turn waits for a lane for so many times the length of its
-/// question at most.
+/// An overdue step waits for the only channel for at most this many times the
+/// expected duration of its query.
 const MAX_LANE_WAIT: u32 = 4;
-/// Pause after a question that was not answered.
+/// Pause of a step after its query got no response.
 const RETRY_PAUSE: time::Duration = time::Duration::from_millis(150);
 
 impl scheduler::Scheduler {
-    /// An entry instance can ask the advisory service.
+    /// Adds an entry instance that can query the advisory service.
     pub fn member_joined(&mut self, member: &ids::MemberId) {
         self.lanes.lanes.entry(member.clone()).or_default();
     }
 
-    /// An entry instance is gone, with what it was asking.
+    /// Removes an entry instance, and with it the query that it had in flight.
     pub fn member_left(&mut self, member: &ids::MemberId) {
         let lane = self.lanes.lanes.shift_remove(member);
         if let Some(task) = lane.and_then(|lane| lane.asked)
@@ -54,7 +56,7 @@
         self.jobs.get_mut(&task.job)?.step_mut(task)
     }
 
-    /// A question was answered, or not (`None`).
+    /// Applies the response to a query; `None` if there was no response.
     pub fn advice_answered(
         &mut self,
         question: &Question,
@@ -73,7 +75,8 @@
         let Some(step) = job.step_mut(&question.task) else {
             return;
         };
-        // The instance that was asked may have left, and another have been asked.
+        // The queried instance may have left since, and the step may have sent
+        // another query through another one.
         let current = step.advice.asking.as_ref();
         if current.is_some_and(|asking| asking.member == question.member) {
             step.advice.asking = None;
@@ -118,17 +121,19 @@
         }
     }
 
-    /// Asks for the best of the steps that need tickets, while lanes are free.
-    /// What only widens the choice of gangs that keep no workers comes last.
+    /// Sends queries for the best of the steps that need tickets, while
+    /// channels are free. Queries that only widen the choice of gangs without
+    /// reservations come last.
     pub(crate) fn ask_for(&mut self, pass: &pass::Pass) {
         self.ask_for_overdue(pass);
         self.ask_round(pass, Breadth::Needed);
         self.ask_round(pass, Breadth::Wide);
     }
 
-    /// Asks for overdue steps in turn that have waited long for the only lane, before
-    /// all others; a stream of other work would always take it first otherwise.
-    /// Beside several lanes they come to their turn by themselves.
+    /// With a single channel, sends the queries of overdue steps that have
+    /// waited long for it before all others, since a stream of other work would
+    /// otherwise always take it first. With several channels such steps get one
+    /// without this.
     fn ask_for_overdue(&mut self, pass: &pass::Pass) {
         if self.lanes.long_lanes() > 1 {
             return;
@@ -151,7 +156,8 @@
         }
     }
 
-    /// Sends the question that a step needs, if it may and a lane is free for it.
+    /// Sends the query that a step needs, if it may send one and a channel is
+    /// free for it.
     fn ask_now(&mut self, candidate: &pass::Candidate, breadth: Breadth, pass: &pass::Pass) {
         if self.may_ask(&candidate.task)
             && let Some(draft) = self.draft(candidate, breadth, pass)
@@ -166,7 +172,7 @@
             if self.lanes.free(false).is_none() {
                 return;
             }
-            // What is not a gang asks alike in both rounds.
+            // Steps other than gangs need the same query in both rounds.
             let again = breadth == Breadth::Wide && !self.is_gang(&candidate.task);
             if again && pass.tried == pass::Tried::WithRoom {
                 continue;
@@ -212,8 +218,8 @@
         }));
     }
 
-    /// Whether a step has no question on its way, and a lane is free that the
-    /// shortest one may use.
+    /// Whether a step has no query in flight and a channel is free that its
+    /// shortest query could use.
     pub(crate) fn may_ask(&self, task: &fleet::TaskId) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -228,7 +234,8 @@
     }
 }
 
-/// How long the advisory service thinks about so many workers.
+/// How long the advisory service takes to answer a query about this many
+/// workers.
 pub(crate) fn duration(policy: &fleet::AdvicePolicy, workers: usize) -> time::Duration {
     let micros = policy.duration_ms(workers) * 1_000.0;
     time::Duration::from_micros(micros.max(0.0) as u64)
--- a/crates/figscale-core/src/fleet/draft.rs
+++ b/crates/figscale-core/src/fleet/draft.rs
@@ -1,9 +1,8 @@
-//! What a question to the advisory service names: the workers that a step needs
-//! to know of now.
+//! Choice of the workers that a query to the advisory service names.
 //!
-//! A step of single tasks asks about the workers with most room. A gang first
-//! asks who may run it at all, and then for tickets of the workers that are kept
-//! for it.
+//! A step of single tasks queries for the workers with most free resources. A
+//! gang first queries which workers are approved for it at all, and then for
+//! tickets of the workers reserved for it.
 
 use std::time;
 
@@ -16,57 +15,63 @@
 use super::scheduler;
 use super::worker;
 
-/// Workers that one question names at most.
+/// Maximum number of workers in one query.
 const MAX_ASKED: usize = 30;
-/// The same of a question that fetches tickets for a gang, as many as the service
-/// takes: in several questions the first tickets would be over before the last
-/// are there, and a gang on 61 workers would never start.
+/// Maximum number of workers in a query for a gang's tickets, which is also the
+/// most that the service accepts. Spread over several queries the first tickets
+/// would expire before the last arrive, and a gang on 61 workers would never
+/// start.
 const MAX_TICKETS: usize = 100;
-/// Workers that one question names at least, if there are so many.
+/// Minimum number of workers in one query, if there are that many.
 const MIN_ASKED: usize = 4;
-/// A question names more than it needs while that adds no more than this part
-/// to its time. Room is often gone when the answer comes; a question about few
-/// workers is then asked again, up to 400 times a second on a busy day.
+/// A query names more workers than needed while that adds no more than this
+/// fraction to its duration. Often the free resources are taken by the time the
+/// response arrives; queries about few workers then had to be repeated, up to
+/// 400 times a second on a busy day.
 const CHEAP_PART: f64 = 1.0 / 3.0;
-/// Slots asked about for each slot needed, over the part expected good.
+/// Slots queried for each slot needed, in units of the expected number of
+/// approved slots.
 const ASK_FACTOR: f64 = 1.6;
-/// Slots wanted on good workers for each member of a gang, so that there is a
-/// choice of the ones that become free first.
+/// Slots wanted on approved workers for each member of a gang, so that it can
+/// choose those that become free first.
 const GANG_CHOICE: f64 = 1.5;
-/// The same for a gang that would wait longer than this for those known.
+/// The same for a gang that would wait longer than [`GANG_PATIENCE`] for the
+/// approved workers it knows.
 const GANG_CHOICE_WAITING: f64 = 4.0;
-/// Wait for room that is not worth another question.
+/// Waiting for room up to this long is better than another query.
 const GANG_PATIENCE: time::Duration = time::Duration::from_millis(600);
-/// Tickets for a gang are asked for so long before they are needed.
+/// Tickets for a gang are queried this long before they are needed.
 const TICKET_LEAD: time::Duration = time::Duration::from_millis(100);
 
-/// How wide a choice of workers is asked for.
+/// How wide a choice of workers is queried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Breadth {
-    /// What a step needs to start.
+    /// As many as a step needs to start.
     Needed,
-    /// More, with lanes that nobody needs.
+    /// More, on advice channels that no other query needs.
     Wide,
 }
 
-/// A question without the lane that it will take.
+/// A query that is not yet assigned to an advice channel.
 pub(crate) struct Draft {
     pub(crate) workers: Vec<fleet::WorkerId>,
-    /// Of a question for tickets: its workers stay kept until the answer is there.
+    /// Set for a query for a gang's tickets: these workers stay reserved until
+    /// the response arrives.
     pub(crate) reservation: Option<reserve::Reservation>,
     pub(crate) expected: time::Duration,
 }
 
 impl scheduler::Scheduler {
-    /// Whether a gang that has workers kept could start as soon as it has tickets.
+    /// Whether a gang with reserved workers could start as soon as it has
+    /// tickets.
     fn awaits_tickets(&self, candidate: &pass::Candidate, now: time::Instant) -> bool {
         let reservation = candidate.reservation.as_ref();
         let kept = reservation.filter(|reservation| reservation.kept);
         kept.is_some_and(|kept| self.starts_soon(&candidate.task, kept, now))
     }
 
-    /// Whether there is room for a gang by the time that its tickets could be
-    /// there.
+    /// Whether there is room for a gang by the time that its tickets could
+    /// arrive.
     pub(crate) fn starts_soon(
         &self,
         task: &fleet::TaskId,
@@ -78,7 +83,7 @@
         reservation.ready_at <= now + answer.unwrap_or_default() + TICKET_LEAD
     }
 
-    /// The question that a step needs now, if any.
+    /// The query that a step needs now, if any.
     pub(crate) fn draft(
         &self,
         candidate: &pass::Candidate,
@@ -121,8 +126,8 @@
         })
     }
 
-    /// The workers with most room, enough to make tickets for all waiting tasks
-    /// likely.
+    /// The workers with most free resources, as many as make tickets for all
+    /// waiting tasks likely.
     fn workers_to_ask(
         &self,
         candidate: &pass::Candidate,
@@ -146,8 +151,8 @@
         self.enough(workers, step.waiting() as f64 * ASK_FACTOR, &job.queue)
     }
 
-    /// Who may run a gang at all, by the room that workers have, until there is
-    /// a choice among those that are good.
+    /// Workers to query for their approval for a gang, those with most
+    /// free resources first, until there is a choice among approved ones.
     fn choice_to_ask(
         &self,
         candidate: &pass::Candidate,
@@ -193,8 +198,8 @@
         self.enough(workers, missing, &job.queue)
     }
 
-    /// Whether a gang would find room now on workers that nobody keeps, if as
-    /// many of the unknown ones are good as usual.
+    /// Whether a gang would fit now on workers that are not reserved for
+    /// others, if the usual fraction of those not yet queried is approved.
     fn may_start_now(
         &self,
         candidate: &pass::Candidate,
@@ -226,7 +231,8 @@
         expected.sum::<f64>() >= f64::from(description.count)
     }
 
-    /// Usable workers that may be good for a step and hold no ticket for it.
+    /// Usable workers that may be approved for a step and hold no valid ticket
+    /// for it.
     fn askable<'a>(
         &'a self,
         job: &'a job::Job,
@@ -245,8 +251,9 @@
         })
     }
 
-    /// So many of the workers, in order, that the slots wanted are likely; a
-    /// worker that is known to be good counts whole.
+    /// The first of the given workers, as many as make the wanted number of
+    /// approved slots likely. A worker known to be approved counts fully, others
+    /// by the fraction learned for the queue.
     fn enough(
         &self,
         workers: Vec<(u64, bool, &fleet::WorkerId)>,
@@ -269,7 +276,8 @@
     }
 }
 
-/// Workers kept for a gang for which it has no lasting ticket.
+/// Workers reserved for a gang for which it has no ticket that stays valid
+/// until it can start.
 fn tickets_to_ask(
     candidate: &pass::Candidate,
     step: &job::Step,
@@ -290,7 +298,8 @@
     workers.take(MAX_TICKETS).cloned().collect()
 }
 
-/// Workers that a question may name for little more than its base time.
+/// Number of workers that a query may name at little more than its base
+/// duration.
 fn cheap_workers(policy: &fleet::AdvicePolicy) -> usize {
     let workers = policy.base_ms * CHEAP_PART / policy.per_worker_ms.max(f64::MIN_POSITIVE);
     (workers as usize).clamp(MIN_ASKED, MAX_ASKED)
--- a/crates/figscale-core/src/fleet/lanes.rs
+++ b/crates/figscale-core/src/fleet/lanes.rs
@@ -1,40 +1,43 @@
-//! The entry instances as ways to the advisory service.
+//! Advice channels: each entry instance as a path to the advisory service.
 //!
-//! Each instance has one question on its way at a time. Some of them are kept
-//! for short questions. What part of the workers may run the steps of a queue is
-//! learned from the answers.
+//! Each channel has one query in flight at a time. Some of them are reserved for
+//! short queries. The service approves some workers for a step (they are "good"
+//! in the log) and not others; the fraction approved is learned for each queue
+//! from the responses.
 
 use figscale_types::fleet;
 use figscale_types::ids;
 use indexmap::IndexMap;
 
-/// One lane in so many is kept for short questions.
+/// One channel out of this many is reserved for short queries.
 const LANES_PER_SHORT_LANE: usize = 3;
-/// Lanes kept for short questions at most. One answers some 50 a second, so six
-/// answer the quick jobs of 350 workers at their busiest, some 300 a second.
+/// Maximum number of channels reserved for short queries. One serves about 50
+/// queries a second, so six serve the short jobs of 350 workers at their peak,
+/// about 300 a second.
 const MAX_SHORT_LANES: usize = 6;
-/// Part of workers assumed good before any answer came.
+/// Fraction of workers assumed to be approved before the first response.
 const FIRST_GOOD_PART: f64 = 0.5;
-/// Weight of the newest answer in the part learned.
+/// Weight of the newest response in the learned fraction (exponential moving
+/// average).
 const LEARNING_WEIGHT: f64 = 0.1;
 
-/// Questions in a row without an answer after which the service counts as away;
-/// one or two are lost with an instance that leaves.
+/// Number of consecutive queries without a response after which the service
+/// counts as unavailable. One or two are lost with an instance that leaves.
 const AWAY_AFTER: usize = 3;
 
-/// One entry instance's way to the service.
+/// One entry instance as a path to the service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Lane {
     pub(crate) asked: Option<fleet::TaskId>,
 }
 
-/// All ways to the service.
+/// All channels to the service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Lanes {
     pub(crate) lanes: IndexMap<ids::MemberId, Lane>,
-    /// Part of the workers that may run a step, by queue.
+    /// Fraction of the workers that may run a step, by queue.
     good_parts: IndexMap<String, f64>,
-    /// Questions without an answer since the last answer.
+    /// Number of queries without a response since the last response.
     unanswered: usize,
 }
 
@@ -52,7 +55,7 @@
         self.good_parts.insert(queue.to_owned(), learned.max(0.05));
     }
 
-    /// A question was answered, or not.
+    /// Records whether a query got a response.
     pub(crate) fn note_answer(&mut self, answered: bool) {
         self.unanswered = match answered {
             true => 0,
@@ -60,12 +63,12 @@
         };
     }
 
-    /// Whether the service answers nobody.
+    /// Whether the service appears to be unavailable.
     pub(crate) fn service_is_away(&self) -> bool {
         self.unanswered >= AWAY_AFTER
     }
 
-    /// Lanes that a long question may take.
+    /// Number of channels that a long query may use.
     pub(crate) fn long_lanes(&self) -> usize {
         let kept = match self.lanes.len() {
             0 | 1 => 0,
@@ -74,10 +77,10 @@
         self.lanes.len() - kept
     }
 
-    /// A free lane for a question, if there is one that it may use.
+    /// A free channel that a query may use, if any.
     pub(crate) fn free(&self, long: bool) -> Option<ids::MemberId> {
-        // The first lanes are for long questions; short ones take the last
-        // first, and any when those are busy.
+        // Long queries use the first channels. Short ones prefer the last,
+        // which are reserved for them, and use any other when those are busy.
         let free = |lane: &&(usize, (&ids::MemberId, &Lane))| lane.1.1.asked.is_none();
         let lanes: Vec<_> = self.lanes.iter().enumerate().collect();
         let found = match long {
