--- a/crates/figscale-core/src/fleet/customers.rs
+++ b/crates/figscale-core/src/fleet/customers.rs
@@ -1,17 +1,19 @@
-//! What customers may start: their limits against what they have in use.
+//! What customers may start: their limits, compared with the resources that
+//! they have in use.
 //!
-//! A customer's use is all that may run for it on any worker: what was ordered,
-//! what runs, what is being stopped and has not ended, and what is on a worker out
-//! of reach until its lease is surely over. That is what the books hold as runs.
-//! After a change of leaders there is more that no report has shown yet; it is
-//! bounded from above by what the records say may run, and by the room of the
-//! workers that were not heard.
+//! A customer's use is everything that may be running for it on any worker:
+//! runs that were ordered, that are in progress, that are being stopped and
+//! have not ended, and those on unreachable workers until their lease is surely
+//! over. All these are recorded as runs. After a change of leaders there may be
+//! more runs that no report has shown yet. They are bounded from above by what
+//! the job records say may run, and by the total resources of the workers that
+//! have not reported.
 //!
-//! When all is full they share by weight: work of a customer that uses more than its
-//! part comes after that of the others, as late and as urgent.
+//! On a full fleet customers share by weight: work of a customer above its
+//! share comes after equally late and urgent work of the others.
 //!
-//! Where the terms of customers are not known, or not proven to be in force, no
-//! customer may start anything.
+//! While the limits and weights of customers are unknown, or not proven to be
+//! current, no customer may start anything.
 
 use figscale_types::fleet;
 use figscale_types::fleet::CustomerName;
@@ -21,25 +23,25 @@
 use super::job;
 use super::scheduler;
 
-/// A customer is over its share with so many percent of it.
+/// A customer is over its share when it uses more than this percentage of it.
 const OVER_SHARE_PERCENT: u32 = 125;
 
-/// What the operators say of customers, as far as known.
+/// The operators' limits and weights of customers, as far as known.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) enum Terms {
-    /// Nothing was read yet, or it may be out of date.
+    /// Not read yet, or possibly out of date.
     #[default]
     Unknown,
-    /// Nobody is limited.
+    /// No customer is limited.
     Unlimited,
-    /// Each customer's own.
+    /// Each customer has limits of its own.
     Limited(fleet::Customers),
 }
 
-/// Room in use by customer, and what is left to each during one pass.
+/// What each customer may still start during one pass.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Headroom {
-    /// Of customers with a limit.
+    /// Limit and use of the customers that have a limit.
     left: IndexMap<CustomerName, Left>,
     closed: bool,
 }
@@ -51,9 +53,10 @@
 }
 
 impl Headroom {
-    /// How many tasks of a size a customer may start now, `most` at most.
+    /// How many tasks that need `need` each a customer may start now, at most
+    /// `most`.
     ///
-    /// One that alone is more than the limit may run by itself.
+    /// A task that alone exceeds the limit may run as the customer's only one.
     pub(crate) fn times(
         &self,
         customer: Option<&CustomerName>,
@@ -79,7 +82,7 @@
         }
     }
 
-    /// A customer starts a task of that size.
+    /// Records that a customer starts a task with these resources.
     pub(crate) fn take(&mut self, customer: Option<&CustomerName>, room: &fleet::Room) {
         let left = customer.and_then(|customer| self.left.get_mut(customer));
         if let Some(left) = left {
@@ -89,7 +92,8 @@
 }
 
 impl scheduler::Scheduler {
-    /// The terms of customers are these; `None` where nobody is limited.
+    /// Sets the limits and weights of customers; `None` if no customer is
+    /// limited.
     pub fn set_customers(&mut self, customers: Option<&fleet::Customers>) {
         self.terms = match customers {
             Some(customers) => Terms::Limited(customers.clone()),
@@ -97,20 +101,21 @@
         };
     }
 
-    /// The terms of customers are not known any more: no customer may start
-    /// anything until they are.
+    /// Discards the limits and weights of customers. Until they are set again
+    /// no customer may start anything.
     pub fn forget_customers(&mut self) {
         self.terms = Terms::Unknown;
     }
 
-    /// Whether a job may be shown to a customer, or cancelled by it.
+    /// Whether a customer may see and cancel a job.
     pub fn is_open_to(&self, id: fleet::JobId, customer: Option<&CustomerName>) -> bool {
         let owner = self.jobs.get(&id).and_then(|job| job.customer.as_ref());
         owner.is_none() || owner == customer
     }
 
-    /// Customers that use clearly more of the processors than their part by weight
-    /// among those that have work. Beside free room it changes nothing who goes first.
+    /// Customers that use clearly more processor time than their weighted share
+    /// among the customers with open jobs. This affects the order of steps
+    /// only, so it changes nothing while there is room for all.
     pub(crate) fn customers_over_share(&self) -> IndexSet<CustomerName> {
         let Terms::Limited(customers) = &self.terms else {
             return IndexSet::new();
@@ -182,7 +187,7 @@
         }
     }
 
-    /// Adds what may run on workers that were not heard in this term.
+    /// Adds what may be running on workers that have not reported in this term.
     fn add_unheard(&self, left: &mut IndexMap<CustomerName, Left>) {
         let unheard = self.unheard_room();
         let mut recorded: IndexMap<&CustomerName, fleet::Room> = IndexMap::new();
@@ -199,8 +204,8 @@
         }
     }
 
-    /// All room of the workers that were not heard; one without an entry may be as
-    /// large as any.
+    /// Total resources of the workers that have not reported. One without an
+    /// entry is counted as large as the largest known worker.
     fn unheard_room(&self) -> fleet::Room {
         let rooms = self.workers.values().map(|worker| worker.entry.room);
         let largest = rooms.fold(fleet::Room::default(), |largest, room| largest.most(&room));
@@ -211,7 +216,7 @@
         unheard.fold(fleet::Room::default(), |sum, room| sum.plus(&room))
     }
 
-    /// Whether a gang of a job needs more than its customer may ever have running.
+    /// Whether a gang of a job needs more than its customer's limit.
     pub(crate) fn is_beyond_limit(&self, job: &job::Job) -> bool {
         let Terms::Limited(customers) = &self.terms else {
             return false;
@@ -228,14 +233,15 @@
     }
 }
 
-/// The limit of a customer that has none.
+/// Marks a customer without a limit.
 const NO_LIMIT: fleet::Room = fleet::Room {
     cpu_millis: u64::MAX,
     memory_mb: u64::MAX,
     accelerators: u64::MAX,
 };
 
-/// What may run of a loaded job without having been found on a worker.
+/// Resources of the tasks of a loaded job that may be running but were not
+/// found on a worker.
 fn room_unheard_of(job: &job::Job) -> fleet::Room {
     let mut room = job.left_running;
     for round in &job.rounds {
--- a/crates/figscale-core/src/fleet/health.rs
+++ b/crates/figscale-core/src/fleet/health.rs
@@ -1,44 +1,46 @@
-//! Whether a worker can be trusted with work.
+//! Outlier ejection of workers.
 //!
-//! A worker that fails several jobs in a row, or on which tasks stand still,
-//! is set aside and then tried with one task at a time. Jobs can fail by their
-//! own fault, so one failure says little; the failures of different jobs do.
+//! A worker on which several jobs in a row fail, or on which tasks make no
+//! progress, is ejected and then tried with one task at a time. A job may fail
+//! through its own fault, so one failure says little; failures of different
+//! jobs do.
 
 use std::time;
 
 use figscale_types::fleet;
 
-/// Failures of different jobs in a row after which a worker is set aside. One
-/// task in twenty fails by its own fault, so three in a row by chance are rare.
+/// Consecutive failures of different jobs after which a worker is ejected. One
+/// task in twenty fails through its own fault, so three in a row by chance are
+/// rare.
 const MAX_FAILURES_IN_A_ROW: usize = 3;
-/// First time out of use; doubled with each relapse. Faulty workers recover
-/// within 5 to 7 s.
+/// First duration of an ejection, doubled with each relapse. Faulty workers
+/// recover within 5 to 7 s.
 const SET_ASIDE: time::Duration = time::Duration::from_secs(3);
-/// Longest time out of use.
+/// Maximum duration of an ejection.
 const MAX_SET_ASIDE: time::Duration = time::Duration::from_secs(12);
 
-/// How often the pause after a refusal is doubled at most, from 0.25 s to 1 s
-/// without room. Of a gang that one worker refuses the other members are free
-/// again 0.9 s after their stops were ordered; by then a shorter pause is over and
-/// the gang goes to the same worker again.
+/// Maximum number of doublings of the pause after a refusal; for lack of room
+/// it grows from 0.25 s to 1 s. When one worker refuses a member of a gang, the
+/// other members are free again 0.9 s after their stops were ordered. A shorter
+/// pause is over by then, and the gang would go to the same worker again.
 const MAX_DOUBLINGS: u32 = 2;
 
-/// Record of a worker's results.
+/// The recent results of a worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
     failed_jobs: Vec<fleet::JobId>,
     set_aside_until: Option<time::Instant>,
-    /// On trial: one task at a time until one ends well.
+    /// On probation: one task at a time until one succeeds.
     on_trial: bool,
     relapses: u32,
-    /// Pauses since a start was last taken.
+    /// Consecutive pauses since a start was last accepted.
     pauses: u32,
-    /// Some task has ended well here.
+    /// Whether a task has succeeded here since the last ejection.
     proven: bool,
 }
 
 impl Health {
-    /// A task ended well.
+    /// Records that a task succeeded.
     pub(crate) fn succeeded(&mut self) {
         self.failed_jobs.clear();
         self.set_aside_until = None;
@@ -47,7 +49,8 @@
         self.proven = true;
     }
 
-    /// A task failed; true if the worker is set aside for it.
+    /// Records that a task failed. Returns true if the worker is ejected for
+    /// it.
     pub(crate) fn failed(&mut self, job: fleet::JobId, now: time::Instant) -> bool {
         if !self.failed_jobs.contains(&job) {
             self.failed_jobs.push(job);
@@ -64,7 +67,7 @@
         true
     }
 
-    /// Takes the worker out of use for a while.
+    /// Ejects the worker for a while.
     pub(crate) fn set_aside(&mut self, now: time::Instant) {
         let time = SET_ASIDE * 2_u32.saturating_pow(self.relapses.min(4));
         self.set_aside_until = Some(now + time.min(MAX_SET_ASIDE));
@@ -74,12 +77,13 @@
         self.failed_jobs.clear();
     }
 
-    /// A start was taken.
+    /// Records that a start was accepted.
     pub(crate) fn started(&mut self) {
         self.pauses = 0;
     }
 
-    /// No orders for a moment, without a judgement; longer with each in a row.
+    /// Pauses new orders for a short time, without an ejection; longer with
+    /// each consecutive pause.
     pub(crate) fn pause(&mut self, time: time::Duration, now: time::Instant) {
         // Starts refused at the same time count as one.
         if !self.is_set_aside(now) {
@@ -101,7 +105,7 @@
         !self.is_set_aside(now) && (!self.on_trial || running == 0)
     }
 
-    /// Whether tasks have ended well here lately.
+    /// Whether tasks have succeeded here lately and none has failed since.
     pub(crate) fn is_proven(&self) -> bool {
         self.proven && self.failed_jobs.is_empty()
     }
--- a/crates/figscale-core/src/fleet/maps.rs
+++ b/crates/figscale-core/src/fleet/maps.rs
@@ -1,15 +1,13 @@
-//! Tables by worker.
+//! Maps and sets keyed by worker.
 //!
-//! A pass of placement looks workers up thousands of times, and their ids come
-//! from the platform and not from callers, so these tables hash quickly and not
-//! against collisions that somebody makes on purpose.
+//! A placement pass looks up workers thousands of times. Worker ids come from
+//! the platform and not from callers, so these tables use a fast hash function
+//! that does not protect against deliberate collisions.
 
 use figscale_types::fleet;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 use rustc_hash::FxBuildHasher;
 
-/// A table by worker.
 pub(crate) type WorkerMap<T> = IndexMap<fleet::WorkerId, T, FxBuildHasher>;
-/// A set of workers.
 pub(crate) type WorkerSet = IndexSet<fleet::WorkerId, FxBuildHasher>;
--- a/crates/figscale-core/src/fleet/starts.rs
+++ b/crates/figscale-core/src/fleet/starts.rs
@@ -1,7 +1,8 @@
-//! What workers answer to starts.
+//! Responses of workers to start orders.
 //!
-//! A start without an answer may have been executed, so the run stays in the
-//! books, with its room, until a report tells.
+//! A start without a response may have been executed, so its run stays
+//! recorded, with its resources, until a report of the worker shows whether it
+//! was.
 
 use std::time;
 
@@ -12,13 +13,14 @@
 use super::scheduler;
 use super::worker;
 
-/// First pause after a worker had no room although it should have had.
+/// First pause after a worker refused a start for lack of room that it should
+/// have had.
 const NO_ROOM_PAUSE: time::Duration = time::Duration::from_millis(250);
-/// First pause after a worker refused as unhealthy.
+/// First pause after a worker refused a start as unhealthy.
 const UNHEALTHY_PAUSE: time::Duration = time::Duration::from_millis(1_000);
 
 impl scheduler::Scheduler {
-    /// A start was answered, or not.
+    /// Applies the response to a start order, or the lack of one.
     pub fn start_answered(
         &mut self,
         id: &fleet::WorkerId,
@@ -34,7 +36,8 @@
             fleet::StartOutcome::Refused(refusal) => {
                 self.start_refused(id, (task, attempt), refusal, now);
             }
-            // Its room stays taken until a report tells what became of it.
+            // Its resources stay occupied until a report shows what became of
+            // it.
             fleet::StartOutcome::Unknown => (),
         }
     }
--- a/crates/figscale-core/src/fleet/waits.rs
+++ b/crates/figscale-core/src/fleet/waits.rs
@@ -1,12 +1,12 @@
-//! Steps that could run and do not, for the log.
+//! Starvation reports: ready steps that have nothing running, for the log.
 //!
-//! What is placed, asked or given up is told as it happens; a step that merely
-//! waits does nothing that could be told. So now and then all open jobs are
-//! looked through for steps that are ready and have nothing running. All of
-//! them are counted, and of those that wait the longest it is told what they
-//! could have: room, workers known to be good, tickets. A step of an old job
-//! may have become ready just now; only one that the look before found waiting
-//! as well is meant.
+//! Placements, queries and abandoned runs are logged as they happen, but a step
+//! that merely waits causes no event. So all open jobs are scanned at intervals
+//! for steps that are ready and have nothing running. All of them are counted.
+//! For those that have waited longest the log also says what is available to
+//! them: free resources, approved workers and tickets. A step of an old job may
+//! have become ready just now, so only steps that the previous scan also found
+//! idle are reported.
 
 use std::time;
 
@@ -21,44 +21,46 @@
 use super::scheduler;
 use super::worker;
 
-/// Least time between two looks. With `MAX_TOLD` it bounds the log to three
-/// lines in 2 s. A look takes some 25 us with 350 workers and 40 steps that
-/// wait, by `fleet_cost`, where one of the 80 ticks in that time takes 20 us.
+/// Minimum time between two scans. With [`MAX_TOLD`] it limits the log to three
+/// lines in 2 s. A scan takes about 25 us with 350 workers and 40 waiting steps
+/// (measured by the example `fleet_cost`), where each of the 80 ticks in that
+/// time takes 20 us.
 const LOOK_PAUSE: time::Duration = time::Duration::from_secs(2);
-/// A step is told of when its job was submitted longer ago. The lease of a lost
-/// worker and the stop after it take 4.9 s by the defaults, so a first step is
-/// not told of for a wait that ends by itself.
+/// Only steps of jobs submitted longer ago than this are reported. The lease of
+/// a lost worker and the stop after it take 4.9 s by default, so a first step
+/// is not reported for a wait that ends by itself.
 const LONG_WAIT: time::Duration = time::Duration::from_secs(5);
-/// Steps that one look tells of at most; what holds these up mostly holds up
-/// the others.
+/// Maximum number of steps reported by one scan. Whatever blocks these mostly
+/// blocks the others too.
 const MAX_TOLD: usize = 3;
 
-/// What the last look found.
+/// Result of the last scan.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Waits {
     looked: Option<time::Instant>,
-    /// First tasks of the steps that could run and had nothing running.
+    /// First tasks of the steps that were ready and had nothing running.
     idle: IndexSet<fleet::TaskId>,
-    /// Of these the steps that had waited long.
+    /// Number of these steps that had waited long.
     pub(crate) steps: usize,
 }
 
 /// A worker that may get new work.
 type Usable<'a> = (&'a fleet::WorkerId, &'a worker::Worker);
 
-/// Tasks of a step that workers could hold.
+/// Number of tasks of a step that workers could hold.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slots {
-    /// On empty workers known to be good.
+    /// On approved workers, when empty.
     good: u64,
-    /// Free now, on workers with a valid ticket.
+    /// In the free resources of workers with a valid ticket.
     ticket: u64,
-    /// Free now, on all workers that suit.
+    /// In the free resources of all suitable workers.
     free: u64,
 }
 
 impl scheduler::Scheduler {
-    /// Counts the steps that wait, and tells of the oldest, if a look is due.
+    /// Counts the starved steps and reports the oldest of them, if a scan is
+    /// due.
     pub(crate) fn look_at_waits(&mut self, now: time::Instant) {
         let recent = |looked| now < looked + LOOK_PAUSE;
         if self.waits.looked.is_some_and(recent) {
@@ -93,7 +95,7 @@
             .collect()
     }
 
-    /// Steps of stored jobs that could run and have nothing running.
+    /// Steps of stored jobs that are ready and have nothing running.
     fn idle_steps(&self) -> IndexSet<fleet::TaskId> {
         let mut idle = IndexSet::new();
         let jobs = self.open.iter().filter_map(|id| self.jobs.get(id));
@@ -109,8 +111,8 @@
         idle
     }
 
-    /// Those of the idle steps that were idle at the last look too and whose
-    /// jobs are old, with the times of submission.
+    /// The idle steps that were also idle at the last scan and whose jobs are
+    /// old, with the times of submission.
     fn waiting_long(
         &self,
         idle: &IndexSet<fleet::TaskId>,
@@ -149,7 +151,8 @@
     }
 }
 
-/// Without advice every worker that suits is good and needs no ticket.
+/// Where a queue needs no advice, every suitable worker is approved and needs no
+/// ticket.
 fn slots_for(
     job: &job::Job,
     step: &job::Step,
@@ -177,7 +180,7 @@
     slots
 }
 
-/// Whether tasks of a step wait and none is on a worker.
+/// Whether some tasks of a step wait and none is on a worker.
 fn is_idle(step: &job::Step) -> bool {
     let on_worker = |task: &job::Task| !task.is_waiting() && !task.is_done();
     step.tasks.iter().any(job::Task::is_waiting) && !step.tasks.iter().any(on_worker)
--- a/crates/figscale-core/src/fleet/worker.rs
+++ b/crates/figscale-core/src/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the leader knows it: room, runs, lease and health.
+//! A worker as the leader knows it: resources, runs, lease and health.
 
 use std::collections::VecDeque;
 use std::mem;
@@ -10,38 +10,39 @@
 use super::health;
 use super::lease;
 
-/// How long a worker that is listed no more, and still answers, gets work:
-/// entries that lapse while the store is away are back within two seconds.
+/// How long a worker that is no longer listed, but still responds, gets new
+/// work. Entries that lapse while the store is unavailable are back within two
+/// seconds.
 const UNLISTED_GRACE: time::Duration = time::Duration::from_millis(2_500);
 
-/// A run that was ordered, or found, on a worker.
+/// A run that was ordered, or reported by the worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) room: fleet::Room,
-    /// For whom it runs.
+    /// The customer that it runs for.
     pub(crate) customer: Option<fleet::CustomerName>,
     /// The worker refuses the start after this reading of its clock.
     pub(crate) expires_clock_ms: u64,
-    /// Reading at which it was known to have started.
+    /// Reading of the worker's clock at which it was known to have started.
     pub(crate) confirmed_clock_ms: Option<u64>,
     pub(crate) ordered_at: time::Instant,
-    /// By its estimate.
+    /// From the time of its order and its step's estimate.
     pub(crate) expected_end: time::Instant,
     /// When a stop was last ordered.
     pub(crate) stop_ordered: Option<time::Instant>,
-    /// Since when it has used no processor.
+    /// Since when it has used no processor time.
     pub(crate) idle_since: Option<time::Instant>,
-    /// Nothing else is started on its worker.
+    /// Whether nothing else may be started on its worker.
     pub(crate) quarantined: bool,
 }
 
 impl Run {
-    /// Whether its worker has said that it had begun.
+    /// Whether its worker has confirmed that it started.
     pub(crate) fn is_confirmed(&self) -> bool {
         self.confirmed_clock_ms.is_some()
     }
 
-    /// Time from its order to a moment, zero if that is earlier or unknown.
+    /// Time from its order to `at`; zero if that is earlier or unknown.
     pub(crate) fn age_at(&self, at: Option<time::Instant>) -> time::Duration {
         at.map_or(time::Duration::ZERO, |at| {
             at.saturating_duration_since(self.ordered_at)
@@ -49,47 +50,48 @@
     }
 }
 
-/// One start of one task.
+/// One attempt of one task.
 pub(crate) type RunKey = (fleet::TaskId, u32);
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub(crate) entry: fleet::WorkerEntry,
-    /// When the reading of its entry was begun last.
+    /// When the last read of its entry began.
     pub(crate) entry_read_at: Option<time::Instant>,
-    /// A draining worker goes on at least until then.
+    /// A draining worker stays at least until this time.
     pub(crate) leaves_at: Option<time::Instant>,
-    /// Since when the platform lists it no more.
+    /// Since when the platform no longer lists it.
     pub(crate) unlisted_at: Option<time::Instant>,
-    /// Another life of it has come; this one never returns.
+    /// Whether another incarnation has taken its place; this one never returns.
     pub(crate) replaced: bool,
-    /// The store names it among those that may run something.
+    /// Whether the store's record names it among the workers that may run
+    /// something.
     pub(crate) recorded: bool,
-    /// It has reported in this term.
+    /// Whether it has reported in this term.
     pub(crate) reported: bool,
-    /// Since when a call has failed or is overdue, and nothing was heard.
+    /// Since when a call has failed or is overdue, without a report since.
     pub(crate) silent_since: Option<time::Instant>,
     pub(crate) lease: lease::Lease,
     pub(crate) health: health::Health,
     pub(crate) runs: IndexMap<RunKey, Run>,
-    /// Highest number of an end that was taken in.
+    /// Highest number of a task's end that was applied.
     pub(crate) taken_in: u64,
-    /// Highest number of an end whose effects are in the store.
+    /// Highest number of a task's end whose effects are in the store.
     pub(crate) acknowledged: u64,
     /// Numbers and jobs of the ends in between.
     unacknowledged: VecDeque<(u64, fleet::JobId)>,
     used: fleet::Room,
-    /// Of the runs.
+    /// Number of its runs in quarantine.
     quarantined: usize,
 }
 
-/// What the next call for a worker's report should carry.
+/// What the next request for a worker's report should carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportDue {
-    /// Ends up to this number need not be told again.
+    /// Ends up to this number need not be reported again.
     pub acknowledged: u64,
-    /// Reading of the worker's clock up to which everything may go on.
+    /// Reading of the worker's clock until which all its runs may continue.
     pub lease_until_clock_ms: Option<u64>,
 }
 
@@ -115,31 +117,31 @@
         }
     }
 
-    /// An end of a job is taken in.
+    /// Records the end of a task of this job as applied.
     pub(crate) fn take_in(&mut self, number: u64, job: fleet::JobId) {
         self.taken_in = number;
         self.unacknowledged.push_back((number, job));
     }
 
-    /// The effects of ends up to this number are in the store.
+    /// Records that the effects of ends up to this number are in the store.
     pub(crate) fn acknowledge(&mut self, number: u64) {
         self.acknowledged = self.acknowledged.max(number);
         let known = self.acknowledged;
         self.unacknowledged.retain(|(number, _)| *number > known);
     }
 
-    /// Jobs with ends here that are not acknowledged.
+    /// Jobs with ends on this worker that are not acknowledged yet.
     pub(crate) fn unacknowledged_jobs(&self) -> impl Iterator<Item = fleet::JobId> {
         self.unacknowledged.iter().map(|(_, job)| *job)
     }
 
-    /// Room that nothing uses; what is being stopped still counts.
+    /// Resources not in use. Runs that are being stopped still count as use.
     pub(crate) fn free(&self) -> fleet::Room {
         self.free_beside(&self.used)
     }
 
-    /// Room beside what is used; none at all where that is more than there is of
-    /// any kind, as after the room has shrunk.
+    /// Resources left beside `used`. None at all if `used` exceeds the worker
+    /// in any kind of resource, as happens when the worker has shrunk.
     pub(crate) fn free_beside(&self, used: &fleet::Room) -> fleet::Room {
         match self.entry.room.holds(used) {
             true => self.entry.room.minus(used),
@@ -167,19 +169,19 @@
         Some(run)
     }
 
-    /// Removes all runs.
+    /// Removes and returns all runs.
     pub(crate) fn take_runs(&mut self) -> IndexMap<RunKey, Run> {
         self.used = fleet::Room::default();
         self.quarantined = 0;
         mem::take(&mut self.runs)
     }
 
-    /// Whether a run here is to be alone.
+    /// Whether one of its runs is in quarantine.
     pub(crate) fn is_quarantined(&self) -> bool {
         self.quarantined > 0
     }
 
-    /// Ends the quarantine of these runs.
+    /// Ends the quarantine of the runs that `these` selects.
     pub(crate) fn end_quarantine(&mut self, these: impl Fn(&RunKey) -> bool) {
         for (key, run) in &mut self.runs {
             if run.quarantined && these(key) {
@@ -189,20 +191,20 @@
         }
     }
 
-    /// Whether some run here is not known to be older than this.
+    /// Whether some run here may be no older than `age`, as of the last report.
     pub(crate) fn has_younger(&self, age: time::Duration) -> bool {
         let heard_at = self.lease.read_at();
         self.runs.values().any(|run| run.age_at(heard_at) <= age)
     }
 
-    /// Something was heard of it.
+    /// Records a report or response of the worker.
     pub(crate) fn heard(&mut self, clock_ms: u64, now: time::Instant) {
         self.lease.read(clock_ms, now);
         self.silent_since = None;
     }
 
-    /// Whether new work may be sent; `max_silence` is how old the last report may
-    /// be, `max_entry_age` the last reading of its entry.
+    /// Whether new work may be sent. `max_silence` bounds the time since the
+    /// last report, `max_entry_age` that since the last read of its entry.
     pub(crate) fn is_usable(
         &self,
         max_silence: time::Duration,
@@ -223,28 +225,29 @@
         heard && open && self.health.admits(self.runs.len(), now)
     }
 
-    /// Whether the worker could ever run a step of a queue.
+    /// Whether the worker could run a step of a queue at all, when empty.
     pub(crate) fn suits(&self, queue: &fleet::Queue, step: &fleet::StepDescription) -> bool {
         let label = step.required_label.as_ref();
         self.entry.service == queue.service
             && label.is_none_or(|label| self.entry.labels.contains(label))
     }
 
-    /// Whether nothing runs here and nothing ever will, in this life of it.
+    /// Whether nothing runs on this incarnation of the worker and nothing ever
+    /// will.
     ///
-    /// An order without an answer is among the runs until a report later than
-    /// its expiry lacks it.
+    /// An order without a response stays among the runs until a report that is
+    /// later than its expiry does not list it.
     pub(crate) fn is_retired(&self) -> bool {
         self.entry.draining && self.reported && self.is_settled()
     }
 
-    /// Whether nothing is known to run here, and the store knows how all that
-    /// is known to have ended did.
+    /// Whether nothing is known to run here, and every end known is in the
+    /// store.
     pub(crate) fn is_settled(&self) -> bool {
         self.runs.is_empty() && self.taken_in == self.acknowledged
     }
 
-    /// Runs of one step of one occurrence here.
+    /// Number of runs of the same step and occurrence as `task` here.
     pub(crate) fn runs_of_step(&self, task: &fleet::TaskId) -> usize {
         let same = |key: &&RunKey| key.0.is_of_same_step(task);
         self.runs.keys().filter(same).count()
