--- a/crates/figscale-core/src/fleet/carriers.rs
+++ b/crates/figscale-core/src/fleet/carriers.rs
@@ -1,24 +1,25 @@
-//! Which instance carries the calls of a worker.
+//! Choice of the relay that forwards the calls of a worker.
 //!
-//! A leader that falls behind takes the answers of its relays in late, so that
-//! its own second calls are answered first and one relay after the other seems to
-//! be slow. Were their workers called directly meanwhile, the leader would make
-//! more calls the later it is, and never catch up. So in a large fleet the workers
-//! of a relay that is set aside go to the next one, and second calls have a budget.
+//! A leader that falls behind processes the responses of its relays late. Its
+//! own hedged calls are then answered first, and one relay after another
+//! appears to be slow. If the workers of such relays were called directly, the
+//! leader would make more calls the further it fell behind, and never catch up.
+//! So in a large fleet the workers of an ejected relay move to the next relay,
+//! and hedged calls have a budget.
 
-/// A relay that could carry the calls of a worker.
+/// A relay that could forward the calls of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Carrier {
-    /// It stands in the worker's failure domain.
+    /// It is in the worker's failure domain.
     pub near: bool,
-    /// It was slow or silent a moment ago.
+    /// It was recently slow or unresponsive.
     pub set_aside: bool,
-    /// Hash of both names, by which workers are spread.
+    /// Hash of the names of relay and worker; spreads workers over relays.
     pub hash: u64,
 }
 
-/// Position of the relay that carries the calls of a worker; `None` if there is
-/// none. One that is set aside does only where all are.
+/// Position of the relay that forwards the calls of a worker; `None` if there
+/// is none. An ejected relay is chosen only if all are ejected.
 pub fn choose_carrier(carriers: impl IntoIterator<Item = Carrier>) -> Option<usize> {
     let carriers = carriers.into_iter().enumerate();
     let best = carriers.max_by_key(|(_, carrier)| (!carrier.set_aside, carrier.near, carrier.hash));
--- a/crates/figscale-core/src/fleet/fitness.rs
+++ b/crates/figscale-core/src/fleet/fitness.rs
@@ -1,109 +1,117 @@
-//! Whether an instance's machine has turned slow, and whether that is reason to
-//! hand leadership over.
+//! Detection of a machine that has become slow, and of the need to hand over
+//! leadership for it.
 //!
-//! Late timers alone do not tell: a leader of half a core with 350 workers has
-//! them 9 ms late on a sound machine, and an instance that does not lead has
-//! them on time on a machine that runs five times slower. So at each beat an
-//! instance also times a small fixed piece of computing. Its pace, against the
-//! instance's own usual one, tells that the machine is the cause and not the
-//! load; the lag tells that it hurts.
+//! Late timers alone are no evidence. A leader with half a core and 350 workers
+//! has its timers 9 ms late on a healthy machine, and an instance that does not
+//! lead has them on time on a machine that is five times slower. So with each
+//! sample an instance also times a small fixed computation. Its duration,
+//! relative to the instance's own usual one, shows that the machine is the
+//! cause and not the load; the lag of the timers shows that the slowness has an
+//! effect.
 //!
-//! A slow instance counts with the processor that is left to it, so that the
-//! rules for unequal instances hold: it stands a moment later, and it hands over
-//! if another has clearly more. If all are slow, or the others are weaker still,
-//! it leads on.
+//! A slow instance counts with the processor capacity that is left to it, so
+//! the rules for unequal instances apply: it runs for leader a little later,
+//! and hands over if another instance has clearly more. If all are slow, or the
+//! others are weaker still, it keeps leading.
 //!
-//! The best of a span counts for its pace and the middle for its lag, so a
-//! freeze that is over, or a stall, changes one beat and neither of these. What
-//! waits for the store or for peers delays no beat at all.
+//! Of each span, the minimum of the durations and the median of the lags are
+//! used. A short freeze or stall therefore disturbs one sample and neither of
+//! these. Waiting for the store or for peers delays no sample at all.
 //!
-//! Figures, from logs of calm days on which the leader's machine ran five times
-//! slower for six seconds, on instances of a quarter and of half a core:
+//! Measurements, from logs of quiet days on which the leader's machine was
+//! slowed down five times for six seconds, on instances of a quarter and of
+//! half a core:
 //!
 //! | | usual | slow |
 //! | --- | --- | --- |
-//! | pace, best of 0.25 s, against the usual | 0.8 to 2 times as long | 4 to 6 times |
-//! | lag of a leader of 48 workers, middle of 0.25 s | 1.0 to 1.7 ms | 1 to 33 ms, mostly over 6 |
+//! | duration, minimum in 0.25 s, relative to the usual | 0.8 to 2 | 4 to 6 |
+//! | lag of a leader of 48 workers, median in 0.25 s | 1.0 to 1.7 ms | 1 to 33 ms, mostly over 6 |
 //! | lag of a leader of 350 workers | 1.0 to 9 ms | 59 to 210 ms |
 //! | lag of the others | 0.9 to 1.5 ms | 1.0 to 2.3 ms |
 
 use std::collections;
 use std::time;
 
-/// Time between beats; three to a span. With 25 beats a second an instance took
-/// 0.0012 of a core more on calm days, of 0.0074.
+/// Time between samples, three of which make a span. At 25 samples a second an
+/// instance used 0.0012 of a core more on quiet days, out of 0.0074.
 pub const BEAT: time::Duration = time::Duration::from_millis(66);
 
-/// Beats are judged together over so long, since some are disturbed.
+/// Samples are evaluated together over this time, since single ones may be
+/// disturbed.
 const SPAN: time::Duration = time::Duration::from_millis(200);
-/// The usual pace is judged from so many spans, 100 s of them.
+/// Number of spans that the usual duration is computed from, 100 s of them.
 const KNOWN_SPANS: usize = 500;
-/// Spans before anything is judged; a process's first second is not its usual.
+/// Number of spans before the first evaluation; the first second of a process
+/// is not typical.
 const FIRST_SPANS: usize = 10;
-/// A machine is slow that takes so many times the usual. Sound ones took up to
-/// twice as long, slowed ones four times and more.
+/// A machine is slow if the computation takes this multiple of its usual
+/// duration. Healthy machines took up to twice as long, slowed ones four times
+/// and more.
 const SLOW_TIMES: u64 = 3;
-/// Spans in a row after which a machine is held for slow, 0.4 s. Standing 0.35 s
-/// later is all that a mistake costs.
+/// Number of consecutive slow spans, 0.4 s, after which the machine is taken to
+/// be slow. The only cost of a false positive is a candidacy 0.35 s later.
 const SLOW_SPANS: usize = 2;
-/// Spans in a row after which a slow one is held for well again, 1 s.
+/// Number of consecutive normal spans, 1 s, after which a slow machine is taken
+/// to be normal again.
 const WELL_SPANS: usize = 5;
-/// A leader hands over after so long on a slow machine; a takeover costs 0.1 to
-/// 1 s without placement.
+/// A leader hands over after this time on a slow machine, since a takeover
+/// costs 0.1 to 1 s without placement.
 const LASTING: time::Duration = time::Duration::from_millis(800);
-/// Lag with which it does, in the mean of the latest spans. Timers are 1 ms late
-/// as a rule, by their grain.
+/// Minimum lag for a handover, as the mean over the latest spans. Timers are
+/// usually 1 ms late, due to their resolution.
 const LAG: time::Duration = time::Duration::from_millis(4);
-/// With so much lag it hands over as soon as its machine is held for slow, after
-/// the time for which peers bear its silence: each call of a caller, a worker or
-/// a peer waits for it several times. Seen: 59 to 210 ms, and 1.4 s to decide.
+/// With this lag a leader hands over as soon as its machine is taken to be
+/// slow, after the time that peers wait for an unresponsive leader: each call
+/// of a caller, a worker or a peer waits for this lag several times. Lags of 59
+/// to 210 ms were seen, and 1.4 s for a decision.
 const HEAVY_LAG: time::Duration = time::Duration::from_millis(50);
-/// How many spans the mean is taken of.
+/// Number of spans that the mean is computed over.
 const LAG_SPANS: usize = 4;
 
-/// What a leader on a slow machine hands over for.
+/// Why a leader on a slow machine hands over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lag {
-    /// How late its timers are, in the middle.
+    /// Mean of the median lags of the latest spans.
     pub late: time::Duration,
     /// How long the machine has been slow.
     pub age: time::Duration,
 }
 
-/// A change of what is held of this machine.
+/// A change of the state of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// It takes so many times as long as usual.
+    /// It became slow; the computation takes this multiple of its usual
+    /// duration.
     Slow(u64),
-    /// It is well again, after so long.
+    /// It is normal again, after it was slow for this time.
     Well(time::Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Span {
-    /// Best time of the piece of computing.
+    /// Minimum duration of the computation.
     pace: time::Duration,
-    /// Middle of the lateness of timers.
+    /// Median lag of the timers.
     late: time::Duration,
-    /// How many times the usual the pace was.
+    /// The minimum duration as a multiple of the usual one.
     times: u64,
 }
 
-/// What an instance has measured of itself.
+/// What an instance has measured of its own machine.
 #[derive(Clone, Debug, Default)]
 pub struct Fitness {
-    /// Beats of the span in progress: lateness and pace.
+    /// Samples of the current span: lag and duration.
     beats: Vec<(time::Duration, time::Duration)>,
     span_begun: Option<time::Instant>,
     spans: collections::VecDeque<Span>,
-    /// Since when each span has been slow.
+    /// Start of the current sequence of slow spans.
     run_since: Option<time::Instant>,
-    /// Since when the machine is held for slow.
+    /// Since when the machine is taken to be slow.
     slow_since: Option<time::Instant>,
 }
 
 impl Fitness {
-    /// Takes in a beat: how late it came, and how long the piece of computing
+    /// Adds a sample: how late its timer fired, and how long the computation
     /// took.
     pub fn beat(
         &mut self,
@@ -125,7 +133,7 @@
         self.turn(times, now)
     }
 
-    /// Ends the span; how many times the usual its pace was.
+    /// Ends the span. Returns its duration as a multiple of the usual one.
     fn end_span(&mut self) -> u64 {
         let pace = self.beats.iter().map(|(_, took)| *took).min();
         let pace = pace.unwrap_or_default();
@@ -143,9 +151,9 @@
         times
     }
 
-    /// The quicker quarter: an idle instance takes up to 2.6 times as long as a
-    /// busy one, and a slow time does not become the usual before it is most of
-    /// what is known.
+    /// The lower quartile: an idle instance takes up to 2.6 times as long as a
+    /// busy one, and a slow phase does not become the usual until it makes up
+    /// most of the known spans.
     fn usual_pace(&self) -> time::Duration {
         let mut paces: Vec<_> = self.spans.iter().map(|span| span.pace).collect();
         middle(&mut paces, 4)
@@ -169,14 +177,14 @@
         self.spans.len() >= count && self.spans.iter().rev().take(count).all(holds)
     }
 
-    /// What is left of so many thousandths of a core.
+    /// What is left of a processor capacity, in thousandths of a core.
     pub fn left_of(&self, millis: u64) -> u64 {
         let last = self.spans.back().filter(|_| self.slow_since.is_some());
         last.map_or(millis, |span| millis / span.times.max(SLOW_TIMES))
     }
 
-    /// The lag for which a leader should hand over to whoever has clearly more
-    /// left.
+    /// The lag that is reason for a leader to hand over to an instance with
+    /// clearly more capacity left, if there is such a lag.
     pub fn lasting_lag(&self, now: time::Instant) -> Option<Lag> {
         let age = now.saturating_duration_since(self.slow_since?);
         let recent = self.spans.iter().rev().take(LAG_SPANS);
@@ -194,7 +202,7 @@
     }
 }
 
-/// The value below which one part in `parts` lies.
+/// The value below which one part in `parts` of the values lies.
 fn middle(values: &mut [time::Duration], parts: usize) -> time::Duration {
     if values.is_empty() {
         return time::Duration::ZERO;
--- a/crates/figscale-core/src/fleet/proof.rs
+++ b/crates/figscale-core/src/fleet/proof.rs
@@ -1,43 +1,45 @@
-//! How old the proof is that a configuration is still the operators' newest.
+//! Age of the proof that a configuration is still the operators' newest.
 //!
-//! A key that the operators take away must not be good for longer than a bound,
-//! at any instance: also at one that the store turns away, whose watch is silent,
-//! or whose machine stood still. So what counts is not what was heard last but
-//! when the store was last asked and named this revision. A proof is as old as
-//! the moment at which its question began.
+//! A key that the operators revoke must be invalid at every instance within a
+//! bounded time, including an instance that the store refuses, whose watch
+//! delivers nothing, or whose machine was suspended. So what counts is not when
+//! the last update was received, but when a read of the store that named this
+//! revision was started: a proof is as old as the start of that read.
 //!
-//! An instance that has such a proof can pass it on: the one that asks for it
-//! reckons it as older by the time since its own question. Times are those since
-//! the machine started, which go on while it is suspended.
+//! An instance that has such a proof can forward it to others. The receiver
+//! adds the time since its own request to the age. All times are those since
+//! the machine started, from a clock that also runs while the machine is
+//! suspended.
 
 use std::time;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Part of the bound, in percent, that is used; the clocks of the two machines
-/// that a proof passes may each be 2% slow.
+/// Percentage of the bound that is used: the clocks of the two machines that a
+/// proof passes through may each be 2% slow.
 const USED_PERCENT: u32 = 94;
 
-/// A proof on its way to another instance.
+/// A proof as sent to another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofStamp {
     /// Revision that the store named.
     pub revision: u64,
-    /// Time since the store was asked, milliseconds.
+    /// Time since the read of the store was started, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a stamp says of the configuration known here.
+/// What a stamp shows about the configuration known here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// There is no newer one, as of the stamp.
+    /// It was still the newest, as of the stamp.
     Confirmed,
     /// There is a newer one.
     Outdated,
 }
 
-/// Revision of the configuration known here, and since when it is proven.
+/// Revision of the configuration known here, and the time as of which it is
+/// proven.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigProof {
     revision: u64,
@@ -45,23 +47,26 @@
 }
 
 impl ConfigProof {
-    /// Revision that is known; 0 for none.
+    /// Known revision; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The store named a revision after it was asked at `asked_at`.
+    /// Records that a read of the store, started at `asked_at`, returned this
+    /// revision.
     pub fn read(&mut self, revision: u64, asked_at: time::Duration) {
         self.revision = self.revision.max(revision);
         self.confirm(asked_at);
     }
 
-    /// A watch brought a revision. That it is newer proves nothing about now.
+    /// Records a revision delivered by a watch. That says which revision is
+    /// known, but not that it is still the newest now.
     pub fn seen(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Another instance, asked at `asked_at`, passed its proof on.
+    /// Applies a stamp that another instance returned for a request sent at
+    /// `asked_at`.
     pub fn told(&mut self, stamp: ProofStamp, asked_at: time::Duration) -> Told {
         if stamp.revision > self.revision {
             return Told::Outdated;
@@ -73,7 +78,7 @@
         Told::Confirmed
     }
 
-    /// The proof, to be passed on; `None` where there is none.
+    /// The proof to forward to another instance; `None` if there is none.
     pub fn stamp(&self, now: time::Duration) -> Option<ProofStamp> {
         let age = self.age(now)?;
         Some(ProofStamp {
@@ -82,13 +87,14 @@
         })
     }
 
-    /// Age of the proof.
+    /// Age of the proof; `None` if there is none.
     pub fn age(&self, now: time::Duration) -> Option<time::Duration> {
         let proven_at = self.proven_at?;
         Some(now.saturating_sub(proven_at))
     }
 
-    /// Whether the proof is young enough where it must be younger than a bound.
+    /// Whether the proof is young enough, where `bound` is the maximum age of a
+    /// proof if there is one.
     pub fn holds(&self, bound: Option<time::Duration>, now: time::Duration) -> bool {
         bound.is_none_or(|bound| {
             let age = self.age(now);
