--- a/crates/figscale-core/src/fleet/customers.rs
+++ b/crates/figscale-core/src/fleet/customers.rs
@@ -42,12 +42,12 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Headroom {
     /// Limit and use of the customers that have a limit.
-    left: IndexMap<CustomerName, Left>,
-    closed: bool,
+    left: IndexMap<CustomerName, LimitAndUse>,
+    limits_unknown: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Left {
+struct LimitAndUse {
     limit: fleet::Room,
     used: fleet::Room,
 }
@@ -57,7 +57,7 @@
     /// `most`.
     ///
     /// A task that alone exceeds the limit may run as the customer's only one.
-    pub(crate) fn times(
+    pub(crate) fn startable(
         &self,
         customer: Option<&CustomerName>,
         need: &fleet::Room,
@@ -66,7 +66,7 @@
         let Some(customer) = customer else {
             return most;
         };
-        if self.closed {
+        if self.limits_unknown {
             return 0;
         }
         let Some(left) = self.left.get(customer) else {
@@ -83,7 +83,7 @@
     }
 
     /// Records that a customer starts a task with these resources.
-    pub(crate) fn take(&mut self, customer: Option<&CustomerName>, room: &fleet::Room) {
+    pub(crate) fn record_start(&mut self, customer: Option<&CustomerName>, room: &fleet::Room) {
         let left = customer.and_then(|customer| self.left.get_mut(customer));
         if let Some(left) = left {
             left.used = left.used.plus(room);
@@ -153,7 +153,7 @@
             Terms::Unlimited => return Headroom::default(),
             Terms::Unknown => {
                 return Headroom {
-                    closed: true,
+                    limits_unknown: true,
                     ..Headroom::default()
                 };
             }
@@ -161,11 +161,11 @@
         };
         let unlimited = |terms: &fleet::CustomerTerms| terms.limit == NO_LIMIT;
         let limited = customers.iter().filter(|(_, terms)| !unlimited(terms));
-        let mut left: IndexMap<CustomerName, Left> = limited
+        let mut left: IndexMap<CustomerName, LimitAndUse> = limited
             .map(|(name, terms)| {
                 let used = fleet::Room::default();
                 let limit = terms.limit;
-                (name.clone(), Left { limit, used })
+                (name.clone(), LimitAndUse { limit, used })
             })
             .collect();
         let runs = self
@@ -179,22 +179,22 @@
             }
         }
         if !self.unheard.is_empty() {
-            self.add_unheard(&mut left);
+            self.add_unreported(&mut left);
         }
         Headroom {
             left,
-            closed: false,
+            limits_unknown: false,
         }
     }
 
     /// Adds what may be running on workers that have not reported in this term.
-    fn add_unheard(&self, left: &mut IndexMap<CustomerName, Left>) {
-        let unheard = self.unheard_room();
+    fn add_unreported(&self, left: &mut IndexMap<CustomerName, LimitAndUse>) {
+        let unheard = self.unreported_room();
         let mut recorded: IndexMap<&CustomerName, fleet::Room> = IndexMap::new();
         for job in self.jobs.values().filter(|job| job.loaded) {
             if let Some(customer) = &job.customer {
                 let room = recorded.entry(customer).or_default();
-                *room = room.plus(&room_unheard_of(job));
+                *room = room.plus(&unfound_room(job));
             }
         }
         for (customer, room) in recorded {
@@ -206,7 +206,7 @@
 
     /// Total resources of the workers that have not reported. One without an
     /// entry is counted as large as the largest known worker.
-    fn unheard_room(&self) -> fleet::Room {
+    fn unreported_room(&self) -> fleet::Room {
         let rooms = self.workers.values().map(|worker| worker.entry.room);
         let largest = rooms.fold(fleet::Room::default(), |largest, room| largest.most(&room));
         let unheard = self.unheard.keys().map(|id| {
@@ -242,7 +242,7 @@
 
 /// Resources of the tasks of a loaded job that may be running but were not
 /// found on a worker.
-fn room_unheard_of(job: &job::Job) -> fleet::Room {
+fn unfound_room(job: &job::Job) -> fleet::Room {
     let mut room = job.left_running;
     for round in &job.rounds {
         for (step, occupied) in round.steps.iter().zip(&job.rooms) {
--- a/crates/figscale-core/src/fleet/draft.rs
+++ b/crates/figscale-core/src/fleet/draft.rs
@@ -16,32 +16,32 @@
 use super::worker;
 
 /// Maximum number of workers in one query.
-const MAX_ASKED: usize = 30;
+const MAX_QUERIED: usize = 30;
 /// Maximum number of workers in a query for a gang's tickets, which is also the
 /// most that the service accepts. Spread over several queries the first tickets
 /// would expire before the last arrive, and a gang on 61 workers would never
 /// start.
-const MAX_TICKETS: usize = 100;
+const MAX_QUERIED_FOR_TICKETS: usize = 100;
 /// Minimum number of workers in one query, if there are that many.
-const MIN_ASKED: usize = 4;
+const MIN_QUERIED: usize = 4;
 /// A query names more workers than needed while that adds no more than this
 /// fraction to its duration. Often the free resources are taken by the time the
 /// response arrives; queries about few workers then had to be repeated, up to
 /// 400 times a second on a busy day.
-const CHEAP_PART: f64 = 1.0 / 3.0;
+const CHEAP_FRACTION: f64 = 1.0 / 3.0;
 /// Slots queried for each slot needed, in units of the expected number of
 /// approved slots.
-const ASK_FACTOR: f64 = 1.6;
+const QUERY_FACTOR: f64 = 1.6;
 /// Slots wanted on approved workers for each member of a gang, so that it can
 /// choose those that become free first.
-const GANG_CHOICE: f64 = 1.5;
-/// The same for a gang that would wait longer than [`GANG_PATIENCE`] for the
+const GANG_CHOICE_FACTOR: f64 = 1.5;
+/// The same for a gang that would wait longer than [`MAX_GANG_WAIT`] for the
 /// approved workers it knows.
-const GANG_CHOICE_WAITING: f64 = 4.0;
+const GANG_WIDE_CHOICE_FACTOR: f64 = 4.0;
 /// Waiting for room up to this long is better than another query.
-const GANG_PATIENCE: time::Duration = time::Duration::from_millis(600);
+const MAX_GANG_WAIT: time::Duration = time::Duration::from_millis(600);
 /// Tickets for a gang are queried this long before they are needed.
-const TICKET_LEAD: time::Duration = time::Duration::from_millis(100);
+const TICKET_LEAD_TIME: time::Duration = time::Duration::from_millis(100);
 
 /// How wide a choice of workers is queried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 }
 
 /// A query that is not yet assigned to an advice channel.
-pub(crate) struct Draft {
+pub(crate) struct UnassignedQuery {
     pub(crate) workers: Vec<fleet::WorkerId>,
     /// Set for a query for a gang's tickets: these workers stay reserved until
     /// the response arrives.
@@ -64,10 +64,10 @@
 impl scheduler::Scheduler {
     /// Whether a gang with reserved workers could start as soon as it has
     /// tickets.
-    fn awaits_tickets(&self, candidate: &pass::Candidate, now: time::Instant) -> bool {
+    fn needs_only_tickets(&self, candidate: &pass::Candidate, now: time::Instant) -> bool {
         let reservation = candidate.reservation.as_ref();
-        let kept = reservation.filter(|reservation| reservation.kept);
-        kept.is_some_and(|kept| self.starts_soon(&candidate.task, kept, now))
+        let reservation = reservation.filter(|reservation| reservation.active);
+        reservation.is_some_and(|reservation| self.starts_soon(&candidate.task, reservation, now))
     }
 
     /// Whether there is room for a gang by the time that its tickets could
@@ -79,17 +79,17 @@
         now: time::Instant,
     ) -> bool {
         let policy = self.jobs.get(&task.job).and_then(|job| job.queue.advice);
-        let answer = policy.map(|policy| advice::duration(&policy, reservation.workers.len()));
-        reservation.ready_at <= now + answer.unwrap_or_default() + TICKET_LEAD
+        let response = policy.map(|policy| advice::duration(&policy, reservation.workers.len()));
+        reservation.ready_at <= now + response.unwrap_or_default() + TICKET_LEAD_TIME
     }
 
     /// The query that a step needs now, if any.
-    pub(crate) fn draft(
+    pub(crate) fn next_query(
         &self,
         candidate: &pass::Candidate,
         breadth: Breadth,
         pass: &pass::Pass,
-    ) -> Option<Draft> {
+    ) -> Option<UnassignedQuery> {
         let now = pass.now;
         let job = self.jobs.get(&candidate.task.job)?;
         let policy = job.queue.advice?;
@@ -101,25 +101,25 @@
         let mut reservation = None;
         let workers = match description.gang {
             true => {
-                let tickets = match self.awaits_tickets(candidate, now) {
-                    true => tickets_to_ask(candidate, step, &policy, now),
+                let tickets = match self.needs_only_tickets(candidate, now) {
+                    true => tickets_to_query(candidate, step, &policy, now),
                     false => Vec::new(),
                 };
                 match tickets.is_empty() {
-                    true => self.choice_to_ask(candidate, job, description, breadth, pass),
+                    true => self.choice_to_query(candidate, job, description, breadth, pass),
                     false => {
                         reservation = candidate.reservation.clone();
                         tickets
                     }
                 }
             }
-            false => self.workers_to_ask(candidate, job, description, pass),
+            false => self.workers_to_query(candidate, job, description, pass),
         };
         if workers.is_empty() {
             return None;
         }
         let expected = advice::duration(&policy, workers.len());
-        Some(Draft {
+        Some(UnassignedQuery {
             workers,
             reservation,
             expected,
@@ -128,7 +128,7 @@
 
     /// The workers with most free resources, as many as make tickets for all
     /// waiting tasks likely.
-    fn workers_to_ask(
+    fn workers_to_query(
         &self,
         candidate: &pass::Candidate,
         job: &job::Job,
@@ -138,22 +138,25 @@
         let Some(step) = job.step(&candidate.task) else {
             return Vec::new();
         };
-        let most = reserve::most_per_worker(description);
+        let max_members = reserve::max_members_per_worker(description);
         let mut workers: Vec<(u64, bool, &fleet::WorkerId)> = Vec::new();
-        for (id, worker) in self.askable(job, step, description, pass) {
-            let slots = worker.free().times(&job::occupied(description), most);
+        for (id, worker) in self.queryable_workers(job, step, description, pass) {
+            let slots = worker
+                .free()
+                .times(&job::occupied(description), max_members);
             workers.push((slots, step.advice.verdicts.contains_key(id), id));
         }
         if workers.iter().all(|(slots, ..)| *slots == 0) {
             return Vec::new();
         }
-        workers.sort_by_key(|(slots, good, _)| std::cmp::Reverse((*slots > 0, *good, *slots)));
-        self.enough(workers, step.waiting() as f64 * ASK_FACTOR, &job.queue)
+        workers
+            .sort_by_key(|(slots, approved, _)| std::cmp::Reverse((*slots > 0, *approved, *slots)));
+        self.take_enough(workers, step.waiting() as f64 * QUERY_FACTOR, &job.queue)
     }
 
     /// Workers to query for their approval for a gang, those with most
     /// free resources first, until there is a choice among approved ones.
-    fn choice_to_ask(
+    fn choice_to_query(
         &self,
         candidate: &pass::Candidate,
         job: &job::Job,
@@ -165,29 +168,34 @@
         let Some(step) = job.step(&candidate.task) else {
             return Vec::new();
         };
-        let first = candidate.goes_first;
+        let first = candidate.may_query_early;
         let count = u64::from(description.count);
-        let good_slots = self.good_slots(&candidate.task, description, pass);
-        let ready_at = candidate.reservation.as_ref().map(|kept| kept.ready_at);
-        let waits_long = ready_at.is_none_or(|at| at > now + GANG_PATIENCE);
+        let approved_slots = self.approved_slots(&candidate.task, description, pass);
+        let ready_at = candidate
+            .reservation
+            .as_ref()
+            .map(|reservation| reservation.ready_at);
+        let waits_long = ready_at.is_none_or(|at| at > now + MAX_GANG_WAIT);
         let choice = match breadth == Breadth::Wide || first && waits_long {
-            true => GANG_CHOICE_WAITING,
-            false => GANG_CHOICE,
+            true => GANG_WIDE_CHOICE_FACTOR,
+            false => GANG_CHOICE_FACTOR,
         };
-        let missing = count as f64 * choice - good_slots as f64;
+        let missing = count as f64 * choice - approved_slots as f64;
         let speculative = breadth == Breadth::Needed && !first;
-        if missing <= 0.0 || speculative && !self.may_start_now(candidate, job, description, pass) {
+        if missing <= 0.0 || speculative && !self.may_fit_now(candidate, job, description, pass) {
             return Vec::new();
         }
         let need = job::occupied(description);
         let unknown = self
-            .askable(job, step, description, pass)
+            .queryable_workers(job, step, description, pass)
             .filter(|(id, _)| {
-                let open = pass.kept_for_others_until(&candidate.task, id).is_none();
+                let open = pass
+                    .reserved_for_others_until(&candidate.task, id)
+                    .is_none();
                 open && !step.advice.verdicts.contains_key(*id)
             });
         let mut workers: Vec<(u64, bool, &fleet::WorkerId)> = unknown
-            .map(|(id, worker)| (reserve::whole_slots(worker, description), false, id))
+            .map(|(id, worker)| (reserve::empty_slots(worker, description), false, id))
             .filter(|(slots, ..)| *slots > 0)
             .collect();
         let free = |id: &fleet::WorkerId| {
@@ -195,12 +203,12 @@
             worker.map(|worker| (worker.free().times(&need, count), worker.free().cpu_millis))
         };
         workers.sort_by_key(|(slots, _, id)| std::cmp::Reverse((free(id), *slots)));
-        self.enough(workers, missing, &job.queue)
+        self.take_enough(workers, missing, &job.queue)
     }
 
     /// Whether a gang would fit now on workers that are not reserved for
     /// others, if the usual fraction of those not yet queried is approved.
-    fn may_start_now(
+    fn may_fit_now(
         &self,
         candidate: &pass::Candidate,
         job: &job::Job,
@@ -211,36 +219,38 @@
             return false;
         };
         let need = job::occupied(description);
-        let most = reserve::most_per_worker(description);
-        let good_part = self.lanes.good_part(&job.queue.name);
-        pass.count_looks(pass.usable.len());
+        let max_members = reserve::max_members_per_worker(description);
+        let approved_fraction = self.lanes.approved_fraction(&job.queue.name);
+        pass.count_scans(pass.usable.len());
         let usable = pass.usable.iter();
         let usable = usable.filter_map(|position| self.workers.get_index(*position));
         let open = usable.filter(|(id, worker)| {
             worker.suits(&job.queue, description)
-                && pass.kept_for_others_until(&candidate.task, id).is_none()
+                && pass
+                    .reserved_for_others_until(&candidate.task, id)
+                    .is_none()
         });
         let expected = open.map(|(id, worker)| {
-            let part = match step.advice.verdicts.get(id) {
+            let fraction = match step.advice.verdicts.get(id) {
                 Some(true) => 1.0,
                 Some(false) => 0.0,
-                None => good_part,
+                None => approved_fraction,
             };
-            part * worker.free().times(&need, most) as f64
+            fraction * worker.free().times(&need, max_members) as f64
         });
         expected.sum::<f64>() >= f64::from(description.count)
     }
 
     /// Usable workers that may be approved for a step and hold no valid ticket
     /// for it.
-    fn askable<'a>(
+    fn queryable_workers<'a>(
         &'a self,
         job: &'a job::Job,
         step: &'a job::Step,
         description: &'a fleet::StepDescription,
         pass: &pass::Pass,
     ) -> impl Iterator<Item = (&'a fleet::WorkerId, &'a worker::Worker)> {
-        pass.count_looks(self.workers.len());
+        pass.count_scans(self.workers.len());
         let now = pass.now;
         self.workers.iter().filter(move |(id, worker)| {
             let bad = step.advice.verdicts.get(*id) == Some(&false);
@@ -254,31 +264,31 @@
     /// The first of the given workers, as many as make the wanted number of
     /// approved slots likely. A worker known to be approved counts fully, others
     /// by the fraction learned for the queue.
-    fn enough(
+    fn take_enough(
         &self,
         workers: Vec<(u64, bool, &fleet::WorkerId)>,
         wanted_slots: f64,
         queue: &fleet::Queue,
     ) -> Vec<fleet::WorkerId> {
-        let good_part = self.lanes.good_part(&queue.name);
-        let at_least = queue.advice.as_ref().map_or(MIN_ASKED, cheap_workers);
-        let mut asked = Vec::new();
+        let approved_fraction = self.lanes.approved_fraction(&queue.name);
+        let at_least = queue.advice.as_ref().map_or(MIN_QUERIED, cheap_workers);
+        let mut queried = Vec::new();
         let mut expected_slots = 0.0;
-        for (slots, good, id) in workers {
-            let enough = expected_slots >= wanted_slots && asked.len() >= at_least;
-            if enough || asked.len() >= MAX_ASKED {
+        for (slots, approved, id) in workers {
+            let enough = expected_slots >= wanted_slots && queried.len() >= at_least;
+            if enough || queried.len() >= MAX_QUERIED {
                 break;
             }
-            expected_slots += slots as f64 * if good { 1.0 } else { good_part };
-            asked.push(id.clone());
+            expected_slots += slots as f64 * if approved { 1.0 } else { approved_fraction };
+            queried.push(id.clone());
         }
-        asked
+        queried
     }
 }
 
 /// Workers reserved for a gang for which it has no ticket that stays valid
 /// until it can start.
-fn tickets_to_ask(
+fn tickets_to_query(
     candidate: &pass::Candidate,
     step: &job::Step,
     policy: &fleet::AdvicePolicy,
@@ -287,20 +297,20 @@
     let Some(reservation) = &candidate.reservation else {
         return Vec::new();
     };
-    let asked = reservation.workers.len().min(MAX_TICKETS);
-    let answered_at = now + advice::duration(policy, asked);
-    let needed_until = reservation.ready_at.max(answered_at);
+    let queried = reservation.workers.len().min(MAX_QUERIED_FOR_TICKETS);
+    let response_at = now + advice::duration(policy, queried);
+    let needed_until = reservation.ready_at.max(response_at);
     let covered = |id: &fleet::WorkerId| {
         let ticket = step.advice.tickets.get(id);
         ticket.is_some_and(|ticket| ticket.valid_until > needed_until)
     };
     let workers = reservation.workers.iter().filter(|id| !covered(id));
-    workers.take(MAX_TICKETS).cloned().collect()
+    workers.take(MAX_QUERIED_FOR_TICKETS).cloned().collect()
 }
 
 /// Number of workers that a query may name at little more than its base
 /// duration.
 fn cheap_workers(policy: &fleet::AdvicePolicy) -> usize {
-    let workers = policy.base_ms * CHEAP_PART / policy.per_worker_ms.max(f64::MIN_POSITIVE);
-    (workers as usize).clamp(MIN_ASKED, MAX_ASKED)
+    let workers = policy.base_ms * CHEAP_FRACTION / policy.per_worker_ms.max(f64::MIN_POSITIVE);
+    (workers as usize).clamp(MIN_QUERIED, MAX_QUERIED)
 }
--- a/crates/figscale-core/src/fleet/health.rs
+++ b/crates/figscale-core/src/fleet/health.rs
@@ -15,9 +15,9 @@
 const MAX_FAILURES_IN_A_ROW: usize = 3;
 /// First duration of an ejection, doubled with each relapse. Faulty workers
 /// recover within 5 to 7 s.
-const SET_ASIDE: time::Duration = time::Duration::from_secs(3);
+const FIRST_EJECTION: time::Duration = time::Duration::from_secs(3);
 /// Maximum duration of an ejection.
-const MAX_SET_ASIDE: time::Duration = time::Duration::from_secs(12);
+const MAX_EJECTION: time::Duration = time::Duration::from_secs(12);
 
 /// Maximum number of doublings of the pause after a refusal; for lack of room
 /// it grows from 0.25 s to 1 s. When one worker refuses a member of a gang, the
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
     failed_jobs: Vec<fleet::JobId>,
-    set_aside_until: Option<time::Instant>,
+    out_of_use_until: Option<time::Instant>,
     /// On probation: one task at a time until one succeeds.
-    on_trial: bool,
+    on_probation: bool,
     relapses: u32,
     /// Consecutive pauses since a start was last accepted.
     pauses: u32,
@@ -43,8 +43,8 @@
     /// Records that a task succeeded.
     pub(crate) fn succeeded(&mut self) {
         self.failed_jobs.clear();
-        self.set_aside_until = None;
-        self.on_trial = false;
+        self.out_of_use_until = None;
+        self.on_probation = false;
         self.relapses = 0;
         self.proven = true;
     }
@@ -55,12 +55,12 @@
         if !self.failed_jobs.contains(&job) {
             self.failed_jobs.push(job);
         }
-        let enough = if self.on_trial {
+        let needed = if self.on_probation {
             1
         } else {
             MAX_FAILURES_IN_A_ROW
         };
-        if self.failed_jobs.len() < enough || self.is_set_aside(now) {
+        if self.failed_jobs.len() < needed || self.is_set_aside(now) {
             return false;
         }
         self.set_aside(now);
@@ -69,10 +69,10 @@
 
     /// Ejects the worker for a while.
     pub(crate) fn set_aside(&mut self, now: time::Instant) {
-        let time = SET_ASIDE * 2_u32.saturating_pow(self.relapses.min(4));
-        self.set_aside_until = Some(now + time.min(MAX_SET_ASIDE));
+        let time = FIRST_EJECTION * 2_u32.saturating_pow(self.relapses.min(4));
+        self.out_of_use_until = Some(now + time.min(MAX_EJECTION));
         self.relapses += 1;
-        self.on_trial = true;
+        self.on_probation = true;
         self.proven = false;
         self.failed_jobs.clear();
     }
@@ -91,18 +91,18 @@
         }
         let doublings = self.pauses.saturating_sub(1).min(MAX_DOUBLINGS);
         let until = now + time * 2_u32.pow(doublings);
-        if self.set_aside_until.is_none_or(|known| known < until) {
-            self.set_aside_until = Some(until);
+        if self.out_of_use_until.is_none_or(|known| known < until) {
+            self.out_of_use_until = Some(until);
         }
     }
 
     pub(crate) fn is_set_aside(&self, now: time::Instant) -> bool {
-        self.set_aside_until.is_some_and(|until| now < until)
+        self.out_of_use_until.is_some_and(|until| now < until)
     }
 
     /// Whether another task may be sent beside `running` others.
     pub(crate) fn admits(&self, running: usize, now: time::Instant) -> bool {
-        !self.is_set_aside(now) && (!self.on_trial || running == 0)
+        !self.is_set_aside(now) && (!self.on_probation || running == 0)
     }
 
     /// Whether tasks have succeeded here lately and none has failed since.
--- a/crates/figscale-core/src/fleet/lanes.rs
+++ b/crates/figscale-core/src/fleet/lanes.rs
@@ -10,82 +10,86 @@
 use indexmap::IndexMap;
 
 /// One channel out of this many is reserved for short queries.
-const LANES_PER_SHORT_LANE: usize = 3;
+const CHANNELS_PER_SHORT_CHANNEL: usize = 3;
 /// Maximum number of channels reserved for short queries. One serves about 50
 /// queries a second, so six serve the short jobs of 350 workers at their peak,
 /// about 300 a second.
-const MAX_SHORT_LANES: usize = 6;
+const MAX_SHORT_CHANNELS: usize = 6;
 /// Fraction of workers assumed to be approved before the first response.
-const FIRST_GOOD_PART: f64 = 0.5;
+const INITIAL_APPROVED_FRACTION: f64 = 0.5;
 /// Weight of the newest response in the learned fraction (exponential moving
 /// average).
 const LEARNING_WEIGHT: f64 = 0.1;
 
 /// Number of consecutive queries without a response after which the service
 /// counts as unavailable. One or two are lost with an instance that leaves.
-const AWAY_AFTER: usize = 3;
+const UNAVAILABLE_AFTER: usize = 3;
 
 /// One entry instance as a path to the service.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Lane {
-    pub(crate) asked: Option<fleet::TaskId>,
+pub(crate) struct AdviceChannel {
+    pub(crate) in_flight: Option<fleet::TaskId>,
 }
 
 /// All channels to the service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Lanes {
-    pub(crate) lanes: IndexMap<ids::MemberId, Lane>,
+    pub(crate) by_member: IndexMap<ids::MemberId, AdviceChannel>,
     /// Fraction of the workers that may run a step, by queue.
-    good_parts: IndexMap<String, f64>,
+    approved_fractions: IndexMap<String, f64>,
     /// Number of queries without a response since the last response.
-    unanswered: usize,
+    without_response: usize,
 }
 
 impl Lanes {
-    pub(crate) fn good_part(&self, queue: &str) -> f64 {
-        self.good_parts
+    pub(crate) fn approved_fraction(&self, queue: &str) -> f64 {
+        self.approved_fractions
             .get(queue)
             .copied()
-            .unwrap_or(FIRST_GOOD_PART)
+            .unwrap_or(INITIAL_APPROVED_FRACTION)
     }
 
-    pub(crate) fn learn(&mut self, queue: &str, part: f64) {
-        let known = self.good_part(queue);
-        let learned = known + (part - known) * LEARNING_WEIGHT;
-        self.good_parts.insert(queue.to_owned(), learned.max(0.05));
+    pub(crate) fn learn(&mut self, queue: &str, fraction: f64) {
+        let known = self.approved_fraction(queue);
+        let learned = known + (fraction - known) * LEARNING_WEIGHT;
+        self.approved_fractions
+            .insert(queue.to_owned(), learned.max(0.05));
     }
 
     /// Records whether a query got a response.
-    pub(crate) fn note_answer(&mut self, answered: bool) {
-        self.unanswered = match answered {
+    pub(crate) fn record_response(&mut self, answered: bool) {
+        self.without_response = match answered {
             true => 0,
-            false => self.unanswered.saturating_add(1),
+            false => self.without_response.saturating_add(1),
         };
     }
 
     /// Whether the service appears to be unavailable.
-    pub(crate) fn service_is_away(&self) -> bool {
-        self.unanswered >= AWAY_AFTER
+    pub(crate) fn service_is_unavailable(&self) -> bool {
+        self.without_response >= UNAVAILABLE_AFTER
     }
 
     /// Number of channels that a long query may use.
-    pub(crate) fn long_lanes(&self) -> usize {
-        let kept = match self.lanes.len() {
+    pub(crate) fn long_query_channels(&self) -> usize {
+        let reserved = match self.by_member.len() {
             0 | 1 => 0,
-            all => all.div_ceil(LANES_PER_SHORT_LANE).min(MAX_SHORT_LANES),
+            all => all
+                .div_ceil(CHANNELS_PER_SHORT_CHANNEL)
+                .min(MAX_SHORT_CHANNELS),
         };
-        self.lanes.len() - kept
+        self.by_member.len() - reserved
     }
 
     /// A free channel that a query may use, if any.
     pub(crate) fn free(&self, long: bool) -> Option<ids::MemberId> {
         // Long queries use the first channels. Short ones prefer the last,
         // which are reserved for them, and use any other when those are busy.
-        let free = |lane: &&(usize, (&ids::MemberId, &Lane))| lane.1.1.asked.is_none();
-        let lanes: Vec<_> = self.lanes.iter().enumerate().collect();
+        let free =
+            |channel: &&(usize, (&ids::MemberId, &AdviceChannel))| channel.1.1.in_flight.is_none();
+        let indexed: Vec<_> = self.by_member.iter().enumerate().collect();
         let found = match long {
-            true => lanes[..self.long_lanes()].iter().find(free),
-            false => lanes.iter().rev().find(free),
+            true => indexed[..self.long_query_channels()].iter().find(free),
+            false => indexed.iter().rev().find(free),
         };
         found.map(|(_, (member, _))| (*member).clone())
     }
--- a/crates/figscale-core/src/fleet/pass.rs
+++ b/crates/figscale-core/src/fleet/pass.rs
@@ -12,7 +12,7 @@
 use super::reserve;
 
 /// A job that ends later than this multiple of its objective earns nothing.
-const WORTHLESS_AFTER_OBJECTIVES: u32 = 3;
+const EARNS_NOTHING_AFTER_OBJECTIVES: u32 = 3;
 
 /// What a job can still earn, by its expected end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -49,14 +49,14 @@
     pub(crate) lost_workers: bool,
     /// Whether this is one of the few gangs that may query for workers before
     /// there is room for them, and for a wide choice if their wait is long.
-    pub(crate) goes_first: bool,
+    pub(crate) may_query_early: bool,
     /// Set for a gang that waits for free resources.
     pub(crate) reservation: Option<reserve::Reservation>,
 }
 
 /// A reservation of one worker.
 #[derive(Clone, Copy, Debug)]
-struct Keep {
+struct WorkerReservation {
     /// First task of the step that it is reserved for.
     owner: fleet::TaskId,
     /// When that step should start.
@@ -72,11 +72,11 @@
 /// full in one dimension, such as memory, or where only workers of another
 /// service have room.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Widest {
+pub(crate) struct FreeCapacity {
     services: Vec<(String, Vec<fleet::Room>)>,
 }
 
-impl Widest {
+impl FreeCapacity {
     pub(crate) fn add(&mut self, service: &str, free: fleet::Room) {
         let known = self.services.iter().position(|(name, _)| name == service);
         let Some(known) = known else {
@@ -101,7 +101,7 @@
 
 /// Which steps a pass tries to place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Tried {
+pub(crate) enum StepFilter {
     /// Those for which a worker may have room, and gangs.
     WithRoom,
     /// All of them.
@@ -115,20 +115,20 @@
     pub(crate) headroom: customers::Headroom,
     /// Indices of the workers that may get new work.
     pub(crate) usable: Vec<usize>,
-    kept: maps::WorkerMap<Keep>,
+    reserved: maps::WorkerMap<WorkerReservation>,
     /// The late gang for which workers were reserved before all other steps.
-    pub(crate) gang_in_turn: Option<fleet::TaskId>,
+    pub(crate) aging_gang: Option<fleet::TaskId>,
     /// Overdue steps for which workers were reserved before all other steps.
     /// Short work is kept off these workers too, since a stream of it would
     /// delay such a step forever.
-    pub(crate) overdue: Vec<fleet::TaskId>,
-    pub(crate) widest: Widest,
-    pub(crate) tried: Tried,
-    pub(crate) reserving: usize,
-    pub(crate) wanting: Vec<Candidate>,
+    pub(crate) reserved_overdue: Vec<fleet::TaskId>,
+    pub(crate) free_capacity: FreeCapacity,
+    pub(crate) step_filter: StepFilter,
+    pub(crate) reserving_gangs: usize,
+    pub(crate) unplaced: Vec<Candidate>,
     /// Number of times that a worker was examined; the measure of a pass's
     /// cost.
-    looks: cell::Cell<usize>,
+    scans: cell::Cell<usize>,
 }
 
 impl Pass {
@@ -136,60 +136,60 @@
         now: time::Instant,
         headroom: customers::Headroom,
         usable: Vec<usize>,
-        widest: Widest,
-        tried: Tried,
+        free_capacity: FreeCapacity,
+        step_filter: StepFilter,
     ) -> Self {
         Self {
             now,
             headroom,
             usable,
-            kept: maps::WorkerMap::default(),
-            gang_in_turn: None,
-            overdue: Vec::new(),
-            widest,
-            tried,
-            reserving: 0,
-            wanting: Vec::new(),
-            looks: cell::Cell::new(0),
+            reserved: maps::WorkerMap::default(),
+            aging_gang: None,
+            reserved_overdue: Vec::new(),
+            free_capacity,
+            step_filter,
+            reserving_gangs: 0,
+            unplaced: Vec::new(),
+            scans: cell::Cell::new(0),
         }
     }
 
     /// Records that this many workers are examined.
-    pub(crate) fn count_looks(&self, workers: usize) {
-        self.looks.set(self.looks.get() + workers);
+    pub(crate) fn count_scans(&self, workers: usize) {
+        self.scans.set(self.scans.get() + workers);
     }
 
-    pub(crate) fn looks(&self) -> usize {
-        self.looks.get()
+    pub(crate) fn scans(&self) -> usize {
+        self.scans.get()
     }
 
     /// Reserves workers for a step. Workers that are already reserved for
     /// another stay so.
-    pub(crate) fn keep(&mut self, owner: fleet::TaskId, reservation: &reserve::Reservation) {
+    pub(crate) fn reserve(&mut self, owner: fleet::TaskId, reservation: &reserve::Reservation) {
         let until = reservation.ready_at;
         for worker in &reservation.workers {
-            let keep = Keep { owner, until };
-            self.kept.entry(worker.clone()).or_insert(keep);
+            let reservation = WorkerReservation { owner, until };
+            self.reserved.entry(worker.clone()).or_insert(reservation);
         }
     }
 
     /// The time until which a worker is reserved for a step other than that of
     /// `task`. Work that ends by then may still use the worker.
-    pub(crate) fn kept_for_others_until(
+    pub(crate) fn reserved_for_others_until(
         &self,
         task: &fleet::TaskId,
         worker: &fleet::WorkerId,
     ) -> Option<time::Instant> {
-        let keep = self.kept.get(worker)?;
-        let own = keep.owner == fleet::TaskId { index: 0, ..*task };
-        (!own).then_some(keep.until)
+        let reservation = self.reserved.get(worker)?;
+        let own = reservation.owner == fleet::TaskId { index: 0, ..*task };
+        (!own).then_some(reservation.until)
     }
 
     /// Whether a worker is closed even to short work, which may use other
     /// reserved workers.
-    pub(crate) fn is_closed_to_quick(&self, worker: &fleet::WorkerId) -> bool {
-        let keep = self.kept.get(worker);
-        keep.is_some_and(|keep| self.overdue.contains(&keep.owner))
+    pub(crate) fn is_closed_to_short_work(&self, worker: &fleet::WorkerId) -> bool {
+        let reservation = self.reserved.get(worker);
+        reservation.is_some_and(|reservation| self.reserved_overdue.contains(&reservation.owner))
     }
 }
 
@@ -222,14 +222,14 @@
     let ends = now + time::Duration::from_millis(round.remaining_ms(&job.description));
     let objective = job.objective_at.saturating_duration_since(job.submitted);
     let objective_at = since + objective;
-    let worthless_at = since + objective * WORTHLESS_AFTER_OBJECTIVES;
-    let lasts = job.description.steps.iter().any(|step| step.long_running);
+    let earns_nothing_at = since + objective * EARNS_NOTHING_AFTER_OBJECTIVES;
+    let has_long_running = job.description.steps.iter().any(|step| step.long_running);
     let lateness = match ends {
         // Long-running work is useful whenever it runs, however long ago it was
         // submitted.
-        _ if lasts => Lateness::InTime,
+        _ if has_long_running => Lateness::InTime,
         ends if ends <= objective_at => Lateness::InTime,
-        ends if ends <= worthless_at => Lateness::Late,
+        ends if ends <= earns_nothing_at => Lateness::Late,
         _ => Lateness::Overdue,
     };
     Rank {
--- a/crates/figscale-core/src/fleet/places.rs
+++ b/crates/figscale-core/src/fleet/places.rs
@@ -23,8 +23,8 @@
     unproven: bool,
     /// Runs that would be lost with the worker; counted only for a task in need
     /// of quarantine, which may crash it.
-    endangered: usize,
-    far: bool,
+    runs_at_risk: usize,
+    outside_data_rack: bool,
     left_cpu_millis: u64,
 }
 
@@ -36,7 +36,7 @@
         description: &fleet::StepDescription,
         rank: pass::Rank,
         pass: &pass::Pass,
-    ) -> Vec<Place<'_>> {
+    ) -> Vec<OpenWorker<'_>> {
         let Some(job) = self.jobs.get(&task.job) else {
             return Vec::new();
         };
@@ -46,19 +46,21 @@
         let need = job::occupied(description);
         // A gang is exempt: it would rarely find all its workers without
         // recently started runs at the same time.
-        let alone = !description.gang && job.needs_quarantine(task);
+        let quarantined = !description.gang && job.needs_quarantine(task);
         let mut places = Vec::new();
         for (id, worker) in self.allowed_workers(job, step, pass) {
-            if worker.is_quarantined() || alone && worker.has_younger(crashes::CRASH_WINDOW) {
+            if worker.is_quarantined()
+                || quarantined && worker.has_run_younger_than(crashes::CRASH_WINDOW)
+            {
                 continue;
             }
             if !worker.suits(&job.queue, description) || !worker.free().holds(&need) {
                 continue;
             }
-            let may_use_kept = is_short && !pass.is_closed_to_quick(id);
-            let kept_until = pass.kept_for_others_until(task, id);
-            let kept_until = kept_until.filter(|_| !may_use_kept);
-            if kept_until.is_some_and(|until| ends > until) {
+            let may_use_reserved = is_short && !pass.is_closed_to_short_work(id);
+            let reserved_until = pass.reserved_for_others_until(task, id);
+            let reserved_until = reserved_until.filter(|_| !may_use_reserved);
+            if reserved_until.is_some_and(|until| ends > until) {
                 continue;
             }
             let most = description.max_per_worker.map_or(u64::MAX, u64::from);
@@ -66,10 +68,10 @@
             if here >= most || !worker.health.admits(worker.runs.len(), pass.now) {
                 continue;
             }
-            places.push(Place {
+            places.push(OpenWorker {
                 id,
                 free: worker.free(),
-                most: most - here,
+                tasks_left: most - here,
                 rack: &worker.entry.rack,
                 proven: worker.health.is_proven(),
                 runs: worker.runs.len(),
@@ -88,13 +90,13 @@
         pass: &pass::Pass,
     ) -> Vec<(&'a fleet::WorkerId, &'a worker::Worker)> {
         if job.queue.advice.is_none() {
-            pass.count_looks(pass.usable.len());
+            pass.count_scans(pass.usable.len());
             let usable = pass.usable.iter();
             return usable
                 .filter_map(|position| self.workers.get_index(*position))
                 .collect();
         }
-        pass.count_looks(step.advice.tickets.len());
+        pass.count_scans(step.advice.tickets.len());
         let tickets = step.advice.tickets.iter();
         let valid = tickets.filter(|(_, ticket)| ticket.valid_until > pass.now);
         let known = valid.filter_map(|(id, _)| self.workers.get_key_value(id));
@@ -112,14 +114,14 @@
     ) -> Option<fleet::WorkerId> {
         let job = self.jobs.get(&id.job)?;
         let task = job.task(id)?;
-        let alone = job.needs_quarantine(id);
+        let quarantined = job.needs_quarantine(id);
         let places = self.open_workers(id, description, rank, pass);
         let need = job::occupied(description);
-        let fit = |place: &Place| Fit {
+        let fit = |place: &OpenWorker| Fit {
             failed_here: task.failed_on.as_ref() == Some(place.id),
             unproven: !task.failed_attempts.is_empty() && !place.proven,
-            endangered: if alone { place.runs } else { 0 },
-            far: description
+            runs_at_risk: if quarantined { place.runs } else { 0 },
+            outside_data_rack: description
                 .data_rack
                 .as_ref()
                 .is_some_and(|rack| *rack != place.rack),
@@ -134,11 +136,11 @@
 
 /// A worker with room for a task of the step.
 #[derive(Clone, Debug)]
-pub(crate) struct Place<'a> {
+pub(crate) struct OpenWorker<'a> {
     pub(crate) id: &'a fleet::WorkerId,
     free: fleet::Room,
     /// Number of further tasks of the step that may be placed there.
-    most: u64,
+    tasks_left: u64,
     pub(crate) rack: &'a str,
     proven: bool,
     runs: usize,
@@ -146,8 +148,8 @@
 
 /// Assigns `count` tasks to the given workers, to the fullest first that has
 /// room for one. `None` if they do not all fit.
-pub(crate) fn fill(
-    mut places: Vec<Place<'_>>,
+pub(crate) fn assign_fullest_first(
+    mut places: Vec<OpenWorker<'_>>,
     description: &fleet::StepDescription,
     count: u32,
 ) -> Option<Vec<fleet::WorkerId>> {
@@ -155,9 +157,9 @@
     places.sort_by_key(|place| place.free.cpu_millis);
     let mut chosen = Vec::new();
     for place in &mut places {
-        while chosen.len() < count as usize && place.most > 0 && place.free.holds(&need) {
+        while chosen.len() < count as usize && place.tasks_left > 0 && place.free.holds(&need) {
             place.free = place.free.minus(&need);
-            place.most -= 1;
+            place.tasks_left -= 1;
             chosen.push(place.id.clone());
         }
     }
--- a/crates/figscale-core/src/fleet/plan.rs
+++ b/crates/figscale-core/src/fleet/plan.rs
@@ -31,15 +31,15 @@
 /// that wait for nothing but tickets are not counted, since their resources are
 /// idle for the time of one response only. While the advisory service is
 /// unavailable no response comes, and they are counted too.
-const WORKERS_PER_RESERVING: usize = 16;
+const WORKERS_PER_RESERVING_GANG: usize = 16;
 /// Lower bound of the number of such gangs, for small fleets.
-const MIN_RESERVING: usize = 3;
+const MIN_RESERVING_GANGS: usize = 3;
 /// One gang per this many advice channels may query the advisory service for a
 /// wide choice of workers before there is room for it. More of them would
 /// occupy the channels that gangs need which could start with a few tickets.
-const LANES_PER_FIRST: usize = 5;
+const CHANNELS_PER_EARLY_GANG: usize = 5;
 /// Lower bound of the number of such gangs, for few instances.
-const MIN_FIRST: usize = 3;
+const MIN_EARLY_GANGS: usize = 3;
 /// Attempt numbers reserved for one term; those of the next term start above
 /// them.
 const ATTEMPTS_PER_EPOCH: u64 = 1_000;
@@ -64,16 +64,16 @@
     /// Places whatever can be placed and queries the advisory service for the
     /// rest.
     pub fn plan(&mut self, now: time::Instant) {
-        self.plan_those(now, pass::Tried::WithRoom);
+        self.run_pass(now, pass::StepFilter::WithRoom);
     }
 
     /// Like [`Self::plan`], but also tries steps for which no worker has room.
     /// The decisions are the same at a higher cost; it exists to test that.
     pub fn plan_trying_all(&mut self, now: time::Instant) {
-        self.plan_those(now, pass::Tried::All);
+        self.run_pass(now, pass::StepFilter::All);
     }
 
-    fn plan_those(&mut self, now: time::Instant, tried: pass::Tried) {
+    fn run_pass(&mut self, now: time::Instant, step_filter: pass::StepFilter) {
         let mut candidates = self.candidates(now);
         if candidates.is_empty() {
             self.pass_looks = 0;
@@ -82,44 +82,44 @@
         let headroom = self.headroom();
         // Steps held back by their customer's limit reserve no workers, send no
         // queries and block no other step.
-        candidates.retain(|candidate| self.may_start_of(&candidate.task, &headroom) > 0);
+        candidates.retain(|candidate| self.startable_tasks(&candidate.task, &headroom) > 0);
         let usable = (0..self.workers.len()).filter(|position| {
             let worker = self.workers.get_index(*position);
             worker.is_some_and(|(_, worker)| self.is_usable(worker, now))
         });
         let usable: Vec<usize> = usable.collect();
-        let widest = self.widest(&usable);
-        let mut pass = pass::Pass::new(now, headroom, usable, widest, tried);
-        pass.count_looks(self.workers.len());
-        self.keep_promised(&candidates, &mut pass);
-        self.keep_for_latest(&candidates, &mut pass);
+        let free_capacity = self.free_capacity(&usable);
+        let mut pass = pass::Pass::new(now, headroom, usable, free_capacity, step_filter);
+        pass.count_scans(self.workers.len());
+        self.reserve_awaiting_tickets(&candidates, &mut pass);
+        self.reserve_for_aging(&candidates, &mut pass);
         for mut candidate in candidates {
-            let held = self.may_start_of(&candidate.task, &pass.headroom) == 0;
-            if held || !self.may_fit(&candidate, &pass) {
+            let held = self.startable_tasks(&candidate.task, &pass.headroom) == 0;
+            if held || !self.may_have_room(&candidate, &pass) {
                 continue;
             }
             let whole = self.place_step(&mut candidate, &mut pass);
             if !whole {
-                pass.wanting.push(candidate);
+                pass.unplaced.push(candidate);
             }
         }
-        self.ask_for(&pass);
-        self.pass_looks = pass.looks();
+        self.send_queries(&pass);
+        self.pass_looks = pass.scans();
     }
 
-    fn widest(&self, usable: &[usize]) -> pass::Widest {
-        let mut widest = pass::Widest::default();
+    fn free_capacity(&self, usable: &[usize]) -> pass::FreeCapacity {
+        let mut free_capacity = pass::FreeCapacity::default();
         for position in usable {
             if let Some((_, worker)) = self.workers.get_index(*position) {
-                widest.add(&worker.entry.service, worker.free());
+                free_capacity.add(&worker.entry.service, worker.free());
             }
         }
-        widest
+        free_capacity
     }
 
     /// How many tasks of a step its customer may start now. A gang may start
     /// whole or not at all.
-    fn may_start_of(&self, task: &fleet::TaskId, headroom: &customers::Headroom) -> u64 {
+    fn startable_tasks(&self, task: &fleet::TaskId, headroom: &customers::Headroom) -> u64 {
         let Some(job) = self.jobs.get(&task.job) else {
             return 0;
         };
@@ -127,7 +127,7 @@
             return 0;
         };
         let count = u64::from(step.count);
-        let allowed = headroom.times(job.customer.as_ref(), &job::occupied(step), count);
+        let allowed = headroom.startable(job.customer.as_ref(), &job::occupied(step), count);
         match step.gang && allowed < count {
             true => 0,
             false => allowed,
@@ -136,25 +136,28 @@
 
     /// Whether some worker may have room for a task of a step. Always true of
     /// gangs, since workers are reserved for those that do not fit.
-    fn may_fit(&self, candidate: &pass::Candidate, pass: &pass::Pass) -> bool {
+    fn may_have_room(&self, candidate: &pass::Candidate, pass: &pass::Pass) -> bool {
         let Some(job) = self.jobs.get(&candidate.task.job) else {
             return false;
         };
         let Some(step) = job.step_description(&candidate.task) else {
             return false;
         };
-        let room = || pass.widest.holds(&job.queue.service, &job::occupied(step));
-        step.gang || pass.tried == pass::Tried::All || room()
+        let room = || {
+            pass.free_capacity
+                .holds(&job.queue.service, &job::occupied(step))
+        };
+        step.gang || pass.step_filter == pass::StepFilter::All || room()
     }
 
     /// Reserves the workers for which tickets are in flight.
-    fn keep_promised(&self, candidates: &[pass::Candidate], pass: &mut pass::Pass) {
+    fn reserve_awaiting_tickets(&self, candidates: &[pass::Candidate], pass: &mut pass::Pass) {
         for candidate in candidates {
             let job = self.jobs.get(&candidate.task.job);
             let step = job.and_then(|job| job.step(&candidate.task));
             let promise = step.and_then(|step| step.advice.promise.as_ref());
             if let Some(promise) = promise.filter(|promise| promise.until > pass.now) {
-                pass.keep(candidate.task, &promise.reservation);
+                pass.reserve(candidate.task, &promise.reservation);
             }
         }
     }
@@ -185,7 +188,7 @@
                             task,
                             rank,
                             lost_workers: !progress.crashes.is_empty(),
-                            goes_first: false,
+                            may_query_early: false,
                             reservation: None,
                         });
                     }
@@ -242,11 +245,11 @@
             if !ready {
                 continue;
             }
-            if pass.headroom.times(customer.as_ref(), &room, 1) == 0 {
+            if pass.headroom.startable(customer.as_ref(), &room, 1) == 0 {
                 break;
             }
             let Some(worker) = self.best_worker(&id, description, candidate.rank, pass) else {
-                self.tell_placed(&candidate.task, &placed, pass.now);
+                self.report_placed(&candidate.task, &placed, pass.now);
                 return false;
             };
             let attempt = self.next_attempt(&id);
@@ -254,10 +257,10 @@
                 continue;
             }
             self.start(&id, &worker, attempt, pass.now);
-            pass.headroom.take(customer.as_ref(), &room);
+            pass.headroom.record_start(customer.as_ref(), &room);
             placed.add(worker, attempt);
         }
-        self.tell_placed(&candidate.task, &placed, pass.now);
+        self.report_placed(&candidate.task, &placed, pass.now);
         true
     }
 
@@ -265,7 +268,7 @@
         self.jobs.get(&task.job)?.customer.clone()
     }
 
-    fn tell_placed(&mut self, task: &fleet::TaskId, placed: &Placed, now: time::Instant) {
+    fn report_placed(&mut self, task: &fleet::TaskId, placed: &Placed, now: time::Instant) {
         let Some(job) = self.jobs.get(&task.job).filter(|_| placed.tasks > 0) else {
             return;
         };
@@ -287,7 +290,7 @@
         pass: &mut pass::Pass,
     ) -> bool {
         let Some(workers) = self.gang_workers(candidate, description, pass) else {
-            self.keep_free(candidate, description, pass);
+            self.reserve_for_gang(candidate, description, pass);
             return false;
         };
         let members = (0..description.count).map(|index| fleet::TaskId {
@@ -308,10 +311,10 @@
         let mut placed = Placed::default();
         for (id, worker) in members.iter().zip(workers) {
             self.start(id, &worker, attempt, pass.now);
-            pass.headroom.take(customer.as_ref(), &room);
+            pass.headroom.record_start(customer.as_ref(), &room);
             placed.add(worker, attempt);
         }
-        self.tell_placed(&candidate.task, &placed, pass.now);
+        self.report_placed(&candidate.task, &placed, pass.now);
         true
     }
 
@@ -324,16 +327,16 @@
     ) -> Option<Vec<fleet::WorkerId>> {
         let open = self.open_workers(&candidate.task, description, candidate.rank, pass);
         if !description.same_rack {
-            return places::fill(open, description, description.count);
+            return places::assign_fullest_first(open, description, description.count);
         }
-        let mut by_rack: IndexMap<&str, Vec<places::Place<'_>>> = IndexMap::new();
+        let mut by_rack: IndexMap<&str, Vec<places::OpenWorker<'_>>> = IndexMap::new();
         for place in &open {
             by_rack.entry(place.rack).or_default().push(place.clone());
         }
         let in_one = by_rack
             .into_values()
-            .find_map(|rack| places::fill(rack, description, description.count));
-        in_one.or_else(|| places::fill(open, description, description.count))
+            .find_map(|rack| places::assign_fullest_first(rack, description, description.count));
+        in_one.or_else(|| places::assign_fullest_first(open, description, description.count))
     }
 
     /// Reserves the workers that become free first until a gang fits.
@@ -342,33 +345,37 @@
     /// and nothing is computed for these. Computing it for all took a pass 10
     /// ms with 150 waiting gangs and 350 workers, which delayed new jobs and
     /// reports of ended tasks.
-    fn keep_free(
+    fn reserve_for_gang(
         &self,
         candidate: &mut pass::Candidate,
         description: &fleet::StepDescription,
         pass: &mut pass::Pass,
     ) {
-        let most_reserving = (pass.usable.len() / WORKERS_PER_RESERVING).max(MIN_RESERVING);
-        let may_wait = pass.reserving < most_reserving;
-        if !may_wait && !self.may_ask(&candidate.task) {
+        let max_reserving =
+            (pass.usable.len() / WORKERS_PER_RESERVING_GANG).max(MIN_RESERVING_GANGS);
+        let may_reserve = pass.reserving_gangs < max_reserving;
+        if !may_reserve && !self.may_query(&candidate.task) {
             return;
         }
-        let kept_for_it = pass.gang_in_turn == Some(candidate.task);
+        let is_aging = pass.aging_gang == Some(candidate.task);
         let reservation = self.reserve(&candidate.task, description, pass);
-        if may_wait && reservation.is_none() && !self.could_fit(&candidate.task, description, pass)
+        if may_reserve
+            && reservation.is_none()
+            && !self.could_fit(&candidate.task, description, pass)
         {
             return;
         }
-        let most_first = (self.lanes.lanes.len() / LANES_PER_FIRST).max(MIN_FIRST);
-        candidate.goes_first = pass.reserving < most_first || kept_for_it;
-        pass.reserving += usize::from(reservation.is_none());
+        let max_early_queries =
+            (self.lanes.by_member.len() / CHANNELS_PER_EARLY_GANG).max(MIN_EARLY_GANGS);
+        candidate.may_query_early = pass.reserving_gangs < max_early_queries || is_aging;
+        pass.reserving_gangs += usize::from(reservation.is_none());
         candidate.reservation = reservation.map(|mut reservation| {
-            let soon = !self.lanes.service_is_away()
+            let soon = !self.lanes.service_is_unavailable()
                 && self.starts_soon(&candidate.task, &reservation, pass.now);
-            if soon || kept_for_it || may_wait {
-                pass.keep(candidate.task, &reservation);
-                pass.reserving += usize::from(!soon);
-                reservation.kept = true;
+            if soon || is_aging || may_reserve {
+                pass.reserve(candidate.task, &reservation);
+                pass.reserving_gangs += usize::from(!soon);
+                reservation.active = true;
             }
             reservation
         });
--- a/crates/figscale-core/src/fleet/reserve.rs
+++ b/crates/figscale-core/src/fleet/reserve.rs
@@ -27,7 +27,7 @@
 /// as long again as it is already over, whichever is longer. Without the latter
 /// a gang waiting for a run that never ends would seem about to start forever,
 /// and hold its reservation all that time.
-const OVERDUE: time::Duration = time::Duration::from_millis(300);
+const MIN_OVERRUN: time::Duration = time::Duration::from_millis(300);
 
 /// The computed workers for a gang. Which workers are in fact reserved in a
 /// pass is recorded in [`pass::Pass`].
@@ -39,7 +39,7 @@
     pub(crate) ready_at: time::Instant,
     /// Whether the workers are reserved in this pass: other work is kept off
     /// them, so tickets for them are of use.
-    pub(crate) kept: bool,
+    pub(crate) active: bool,
 }
 
 impl scheduler::Scheduler {
@@ -57,16 +57,17 @@
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task)?;
         let advised = job.queue.advice.is_some();
-        let tickets = Tickets::of(job, step, now);
+        let tickets = TicketTimes::of(job, step, now);
         let mut slots: Vec<(time::Instant, &fleet::WorkerId)> = Vec::new();
-        for (id, worker) in self.possible_workers(step, advised, pass) {
+        for (id, worker) in self.approved_workers(step, advised, pass) {
             let usable = self.is_usable(worker, now);
             if usable && worker.suits(&job.queue, description) {
                 let ticket_at = tickets.ready_at(id);
-                let kept_until = pass.kept_for_others_until(task, id);
+                let reserved_until = pass.reserved_for_others_until(task, id);
                 let times = slot_times(worker, description, now).into_iter();
                 let times = times.map(|time| time.max(ticket_at));
-                let open = times.filter(|at| kept_until.is_none_or(|until| *at + length <= until));
+                let open =
+                    times.filter(|at| reserved_until.is_none_or(|until| *at + length <= until));
                 slots.extend(open.map(|time| (time, id)));
             }
         }
@@ -82,13 +83,13 @@
         Some(Reservation {
             workers,
             ready_at,
-            kept: false,
+            active: false,
         })
     }
 
     /// Number of members that the approved workers could hold when empty.
     /// Workers reserved for others are left out.
-    pub(crate) fn good_slots(
+    pub(crate) fn approved_slots(
         &self,
         task: &fleet::TaskId,
         description: &fleet::StepDescription,
@@ -101,11 +102,11 @@
             return 0;
         };
         let usable = |worker: &worker::Worker| self.is_usable(worker, pass.now);
-        let open = |id: &fleet::WorkerId| pass.kept_for_others_until(task, id).is_none();
-        let workers = self.possible_workers(step, true, pass).into_iter();
+        let open = |id: &fleet::WorkerId| pass.reserved_for_others_until(task, id).is_none();
+        let workers = self.approved_workers(step, true, pass).into_iter();
         workers
             .filter(|(id, worker)| usable(worker) && open(id))
-            .map(|(_, worker)| whole_slots(worker, description))
+            .map(|(_, worker)| empty_slots(worker, description))
             .sum()
     }
 
@@ -123,54 +124,59 @@
         let Some(step) = job.step(task) else {
             return false;
         };
-        pass.count_looks(pass.usable.len());
+        pass.count_scans(pass.usable.len());
         let usable = pass.usable.iter();
         let workers = usable.filter_map(|position| self.workers.get_index(*position));
         let suitable = workers.filter(|(id, worker)| {
             let bad = step.advice.verdicts.get(*id) == Some(&false);
             !bad && worker.suits(&job.queue, description)
         });
-        let slots = suitable.map(|(_, worker)| whole_slots(worker, description));
+        let slots = suitable.map(|(_, worker)| empty_slots(worker, description));
         slots.sum::<u64>() >= u64::from(description.count)
     }
 
     /// Workers known to be approved for a step; all workers where the queue
     /// needs no advice.
-    fn possible_workers(
+    fn approved_workers(
         &self,
         step: &job::Step,
         advised: bool,
         pass: &pass::Pass,
     ) -> Vec<(&fleet::WorkerId, &worker::Worker)> {
         if !advised {
-            pass.count_looks(self.workers.len());
+            pass.count_scans(self.workers.len());
             return self.workers.iter().collect();
         }
-        pass.count_looks(step.advice.verdicts.len());
-        let good = step.advice.verdicts.iter().filter(|(_, good)| **good);
-        good.filter_map(|(id, _)| self.workers.get_key_value(id))
+        pass.count_scans(step.advice.verdicts.len());
+        let approved = step
+            .advice
+            .verdicts
+            .iter()
+            .filter(|(_, approved)| **approved);
+        approved
+            .filter_map(|(id, _)| self.workers.get_key_value(id))
             .collect()
     }
 }
 
 /// When a step could have tickets for workers.
-struct Tickets<'a> {
+struct TicketTimes<'a> {
     advice: &'a job::StepAdvice,
     now: time::Instant,
     /// For a worker that is in the next query.
-    asked_next: time::Instant,
+    next_query_at: time::Instant,
 }
 
-impl<'a> Tickets<'a> {
+impl<'a> TicketTimes<'a> {
     fn of(job: &job::Job, step: &'a job::Step, now: time::Instant) -> Self {
-        let asking = step.advice.asking.as_ref();
-        let free_at = asking.map_or(now, |asking| asking.answered_at.max(now));
+        let in_flight = step.advice.asking.as_ref();
+        let free_at = in_flight.map_or(now, |in_flight| in_flight.answered_at.max(now));
         let policy = job.queue.advice.as_ref();
-        let answer = policy.map(|policy| advice::duration(policy, 1));
+        let response = policy.map(|policy| advice::duration(policy, 1));
         Self {
             advice: &step.advice,
             now,
-            asked_next: free_at + answer.unwrap_or_default(),
+            next_query_at: free_at + response.unwrap_or_default(),
         }
     }
 
@@ -179,31 +185,35 @@
         if ticket.is_some_and(|ticket| ticket.valid_until > self.now) {
             return self.now;
         }
-        let asking = self.advice.asking.as_ref();
-        match asking.filter(|asking| asking.workers.contains(worker)) {
-            Some(asking) => asking.answered_at.max(self.now),
-            None => self.asked_next,
+        let in_flight = self.advice.asking.as_ref();
+        match in_flight.filter(|in_flight| in_flight.workers.contains(worker)) {
+            Some(in_flight) => in_flight.answered_at.max(self.now),
+            None => self.next_query_at,
         }
     }
 }
 
 /// Number of members that an empty worker holds.
-pub(crate) fn whole_slots(worker: &worker::Worker, description: &fleet::StepDescription) -> u64 {
-    worker
-        .entry
-        .room
-        .times(&job::occupied(description), most_per_worker(description))
+pub(crate) fn empty_slots(worker: &worker::Worker, description: &fleet::StepDescription) -> u64 {
+    worker.entry.room.times(
+        &job::occupied(description),
+        max_members_per_worker(description),
+    )
 }
 
 /// Maximum number of members on one worker.
-pub(crate) fn most_per_worker(description: &fleet::StepDescription) -> u64 {
+pub(crate) fn max_members_per_worker(description: &fleet::StepDescription) -> u64 {
     let all = description.count;
-    u64::from(description.max_per_worker.map_or(all, |most| most.min(all)))
+    u64::from(
+        description
+            .max_per_worker
+            .map_or(all, |max_members| max_members.min(all)),
+    )
 }
 
 fn probable_end(run: &worker::Run, now: time::Instant) -> time::Instant {
     let over = now.saturating_duration_since(run.expected_end);
-    run.expected_end.max(now + over.max(OVERDUE))
+    run.expected_end.max(now + over.max(MIN_OVERRUN))
 }
 
 /// When slots for a step become free on a worker, as its runs end.
@@ -213,7 +223,7 @@
     now: time::Instant,
 ) -> Vec<time::Instant> {
     let need = job::occupied(description);
-    let most = most_per_worker(description);
+    let max_members = max_members_per_worker(description);
     let mut ends: Vec<(time::Instant, fleet::Room)> = worker
         .runs
         .values()
@@ -221,7 +231,7 @@
         .collect();
     ends.sort_by_key(|(end, _)| *end);
     let mut used = worker.used();
-    let slots = |used: &fleet::Room| worker.free_beside(used).times(&need, most) as usize;
+    let slots = |used: &fleet::Room| worker.free_beside(used).times(&need, max_members) as usize;
     let mut times = vec![now; slots(&used)];
     for (end, room) in ends {
         used = used.minus(&room);
--- a/crates/figscale-core/src/fleet/turns.rs
+++ b/crates/figscale-core/src/fleet/turns.rs
@@ -18,9 +18,9 @@
 impl scheduler::Scheduler {
     /// Makes the reservations of late work, which come after only those that
     /// await tickets.
-    pub(crate) fn keep_for_latest(&self, candidates: &[pass::Candidate], pass: &mut pass::Pass) {
+    pub(crate) fn reserve_for_aging(&self, candidates: &[pass::Candidate], pass: &mut pass::Pass) {
         let gang = |step: &fleet::StepDescription| step.gang;
-        pass.gang_in_turn = self.keep_for_latest_of(candidates, pass::Lateness::Late, gang, pass);
+        pass.aging_gang = self.reserve_for_latest(candidates, pass::Lateness::Late, gang, pass);
         // In most passes nothing is overdue, so the scan of all workers below
         // is skipped.
         let overdue = |step: &pass::Candidate| step.rank.lateness == pass::Lateness::Overdue;
@@ -31,18 +31,18 @@
         let wide = |step: &fleet::StepDescription| {
             !step.gang && largest.times(&job::occupied(step), 2) < 2
         };
-        self.keep_for_latest_of(candidates, pass::Lateness::Overdue, wide, pass);
+        self.reserve_for_latest(candidates, pass::Lateness::Overdue, wide, pass);
     }
 
     /// Reserves workers for the step that is late longest, among those that
-    /// `meant` selects and that are at least as late as `least`. The
+    /// `selects` selects and that are at least as late as `least`. The
     /// reservation is for all members of a gang, and for one task of another
     /// step.
-    fn keep_for_latest_of(
+    fn reserve_for_latest(
         &self,
         candidates: &[pass::Candidate],
         least: pass::Lateness,
-        meant: impl Fn(&fleet::StepDescription) -> bool,
+        selects: impl Fn(&fleet::StepDescription) -> bool,
         pass: &mut pass::Pass,
     ) -> Option<fleet::TaskId> {
         let late = candidates
@@ -54,23 +54,23 @@
                 .get(&candidate.task.job)
                 .filter(|job| job.stored)?;
             let step = job.step_description(&candidate.task)?;
-            meant(step).then_some((candidate, step))
+            selects(step).then_some((candidate, step))
         });
         let mut steps: Vec<_> = steps.collect();
         steps.sort_by_key(|(candidate, _)| candidate.rank.slack_ms);
-        let (candidate, together) = steps.into_iter().find_map(|(candidate, step)| {
-            let together = fleet::StepDescription {
+        let (candidate, reserved_part) = steps.into_iter().find_map(|(candidate, step)| {
+            let reserved_part = fleet::StepDescription {
                 count: if step.gang { step.count } else { 1 },
                 ..step.clone()
             };
-            let fits = self.could_fit(&candidate.task, &together, pass);
-            fits.then_some((candidate, together))
+            let fits = self.could_fit(&candidate.task, &reserved_part, pass);
+            fits.then_some((candidate, reserved_part))
         })?;
-        if let Some(reservation) = self.reserve(&candidate.task, &together, pass) {
-            pass.keep(candidate.task, &reservation);
+        if let Some(reservation) = self.reserve(&candidate.task, &reserved_part, pass) {
+            pass.reserve(candidate.task, &reservation);
         }
         if candidate.rank.lateness == pass::Lateness::Overdue {
-            pass.overdue.push(candidate.task);
+            pass.reserved_overdue.push(candidate.task);
         }
         Some(candidate.task)
     }
--- a/crates/figscale-core/src/fleet/waits.rs
+++ b/crates/figscale-core/src/fleet/waits.rs
@@ -21,23 +21,23 @@
 use super::scheduler;
 use super::worker;
 
-/// Minimum time between two scans. With [`MAX_TOLD`] it limits the log to three
-/// lines in 2 s. A scan takes about 25 us with 350 workers and 40 waiting steps
-/// (measured by the example `fleet_cost`), where each of the 80 ticks in that
-/// time takes 20 us.
-const LOOK_PAUSE: time::Duration = time::Duration::from_secs(2);
+/// Minimum time between two scans. With [`MAX_REPORTED`] it limits the log to
+/// three lines in 2 s. A scan takes about 25 us with 350 workers and 40 waiting
+/// steps (measured by the example `fleet_cost`), where each of the 80 ticks in
+/// that time takes 20 us.
+const SCAN_INTERVAL: time::Duration = time::Duration::from_secs(2);
 /// Only steps of jobs submitted longer ago than this are reported. The lease of
 /// a lost worker and the stop after it take 4.9 s by default, so a first step
 /// is not reported for a wait that ends by itself.
 const LONG_WAIT: time::Duration = time::Duration::from_secs(5);
 /// Maximum number of steps reported by one scan. Whatever blocks these mostly
 /// blocks the others too.
-const MAX_TOLD: usize = 3;
+const MAX_REPORTED: usize = 3;
 
 /// Result of the last scan.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Waits {
-    looked: Option<time::Instant>,
+    scanned_at: Option<time::Instant>,
     /// First tasks of the steps that were ready and had nothing running.
     idle: IndexSet<fleet::TaskId>,
     /// Number of these steps that had waited long.
@@ -62,24 +62,24 @@
     /// Counts the starved steps and reports the oldest of them, if a scan is
     /// due.
     pub(crate) fn look_at_waits(&mut self, now: time::Instant) {
-        let recent = |looked| now < looked + LOOK_PAUSE;
-        if self.waits.looked.is_some_and(recent) {
+        let recent = |scanned_at| now < scanned_at + SCAN_INTERVAL;
+        if self.waits.scanned_at.is_some_and(recent) {
             return;
         }
         let idle = self.idle_steps();
         let mut waiting = self.waiting_long(&idle, now);
         self.waits = Waits {
-            looked: Some(now),
+            scanned_at: Some(now),
             idle,
             steps: waiting.len(),
         };
         waiting.sort_unstable();
-        waiting.truncate(MAX_TOLD);
-        let notes = self.notes_of_waits(&waiting, now);
+        waiting.truncate(MAX_REPORTED);
+        let notes = self.starvation_notes(&waiting, now);
         self.actions.extend(notes.into_iter().map(Action::Tell));
     }
 
-    fn notes_of_waits(
+    fn starvation_notes(
         &self,
         waiting: &[(time::Instant, fleet::TaskId)],
         now: time::Instant,
@@ -91,7 +91,7 @@
         let usable: Vec<_> = self.workers.iter().filter(usable).collect();
         let notes = waiting.iter();
         notes
-            .filter_map(|(_, task)| self.note_of_wait(task, &usable, now))
+            .filter_map(|(_, task)| self.starvation_note(task, &usable, now))
             .collect()
     }
 
@@ -128,7 +128,7 @@
             .collect()
     }
 
-    fn note_of_wait(
+    fn starvation_note(
         &self,
         task: &fleet::TaskId,
         usable: &[Usable<'_>],
@@ -162,7 +162,7 @@
 ) -> Slots {
     let advised = job.queue.advice.is_some();
     let need = job::occupied(description);
-    let most = reserve::most_per_worker(description);
+    let most = reserve::max_members_per_worker(description);
     let mut slots = Slots::default();
     let suits = |(_, worker): &&Usable<'_>| worker.suits(&job.queue, description);
     for (id, worker) in usable.iter().filter(suits) {
@@ -171,7 +171,7 @@
         if advised && step.advice.verdicts.get(*id) != Some(&true) {
             continue;
         }
-        slots.good += reserve::whole_slots(worker, description);
+        slots.good += reserve::empty_slots(worker, description);
         let ticket = step.advice.tickets.get(*id);
         if !advised || ticket.is_some_and(|ticket| ticket.valid_until > now) {
             slots.ticket += free;
--- a/crates/figscale-core/src/fleet/worker.rs
+++ b/crates/figscale-core/src/fleet/worker.rs
@@ -181,10 +181,10 @@
         self.quarantined > 0
     }
 
-    /// Ends the quarantine of the runs that `these` selects.
-    pub(crate) fn end_quarantine(&mut self, these: impl Fn(&RunKey) -> bool) {
+    /// Ends the quarantine of the runs that `selects` selects.
+    pub(crate) fn end_quarantine(&mut self, selects: impl Fn(&RunKey) -> bool) {
         for (key, run) in &mut self.runs {
-            if run.quarantined && these(key) {
+            if run.quarantined && selects(key) {
                 run.quarantined = false;
                 self.quarantined -= 1;
             }
@@ -192,9 +192,9 @@
     }
 
     /// Whether some run here may be no older than `age`, as of the last report.
-    pub(crate) fn has_younger(&self, age: time::Duration) -> bool {
-        let heard_at = self.lease.read_at();
-        self.runs.values().any(|run| run.age_at(heard_at) <= age)
+    pub(crate) fn has_run_younger_than(&self, age: time::Duration) -> bool {
+        let read_at = self.lease.read_at();
+        self.runs.values().any(|run| run.age_at(read_at) <= age)
     }
 
     /// Records a report or response of the worker.
@@ -211,18 +211,18 @@
         max_entry_age: time::Duration,
         now: time::Instant,
     ) -> bool {
-        let heard = self
+        let up_to_date = self
             .lease
             .silent_for(now)
-            .is_some_and(|silent| silent <= max_silence);
-        let heard = heard
+            .is_some_and(|elapsed| elapsed <= max_silence);
+        let up_to_date = up_to_date
             && self
                 .entry_read_at
                 .is_some_and(|at| now <= at + max_entry_age);
         let listed = self.unlisted_at.is_none_or(|at| now < at + UNLISTED_GRACE);
         let known = listed && self.reported && self.silent_since.is_none();
         let open = known && !self.entry.draining && !self.replaced && !self.is_quarantined();
-        heard && open && self.health.admits(self.runs.len(), now)
+        up_to_date && open && self.health.admits(self.runs.len(), now)
     }
 
     /// Whether the worker could run a step of a queue at all, when empty.
