--- a/crates/figscale-core/src/fleet/fitness.rs
+++ b/crates/figscale-core/src/fleet/fitness.rs
@@ -40,26 +40,26 @@
 /// disturbed.
 const SPAN: time::Duration = time::Duration::from_millis(200);
 /// Number of spans that the usual duration is computed from, 100 s of them.
-const KNOWN_SPANS: usize = 500;
+const HISTORY_SPANS: usize = 500;
 /// Number of spans before the first evaluation; the first second of a process
 /// is not typical.
-const FIRST_SPANS: usize = 10;
+const WARMUP_SPANS: usize = 10;
 /// A machine is slow if the computation takes this multiple of its usual
 /// duration. Healthy machines took up to twice as long, slowed ones four times
 /// and more.
-const SLOW_TIMES: u64 = 3;
+const SLOW_RATIO: u64 = 3;
 /// Number of consecutive slow spans, 0.4 s, after which the machine is taken to
 /// be slow. The only cost of a false positive is a candidacy 0.35 s later.
 const SLOW_SPANS: usize = 2;
 /// Number of consecutive normal spans, 1 s, after which a slow machine is taken
 /// to be normal again.
-const WELL_SPANS: usize = 5;
+const NORMAL_SPANS: usize = 5;
 /// A leader hands over after this time on a slow machine, since a takeover
 /// costs 0.1 to 1 s without placement.
-const LASTING: time::Duration = time::Duration::from_millis(800);
+const HANDOVER_AFTER: time::Duration = time::Duration::from_millis(800);
 /// Minimum lag for a handover, as the mean over the latest spans. Timers are
 /// usually 1 ms late, due to their resolution.
-const LAG: time::Duration = time::Duration::from_millis(4);
+const MIN_HANDOVER_LAG: time::Duration = time::Duration::from_millis(4);
 /// With this lag a leader hands over as soon as its machine is taken to be
 /// slow, after the time that peers wait for an unresponsive leader: each call
 /// of a caller, a worker or a peer waits for this lag several times. Lags of 59
@@ -90,22 +90,22 @@
 #[derive(Clone, Copy, Debug)]
 struct Span {
     /// Minimum duration of the computation.
-    pace: time::Duration,
+    duration: time::Duration,
     /// Median lag of the timers.
     late: time::Duration,
     /// The minimum duration as a multiple of the usual one.
-    times: u64,
+    ratio: u64,
 }
 
 /// What an instance has measured of its own machine.
 #[derive(Clone, Debug, Default)]
 pub struct Fitness {
     /// Samples of the current span: lag and duration.
-    beats: Vec<(time::Duration, time::Duration)>,
-    span_begun: Option<time::Instant>,
+    samples: Vec<(time::Duration, time::Duration)>,
+    span_started: Option<time::Instant>,
     spans: collections::VecDeque<Span>,
     /// Start of the current sequence of slow spans.
-    run_since: Option<time::Instant>,
+    slow_run_since: Option<time::Instant>,
     /// Since when the machine is taken to be slow.
     slow_since: Option<time::Instant>,
 }
@@ -119,53 +119,57 @@
         took: time::Duration,
         now: time::Instant,
     ) -> Option<Turn> {
-        let begun = *self.span_begun.get_or_insert(now);
-        self.beats.push((late, took));
+        let begun = *self.span_started.get_or_insert(now);
+        self.samples.push((late, took));
         if now < begun + SPAN {
             return None;
         }
-        self.span_begun = Some(now);
-        let times = self.end_span();
-        self.run_since = match times >= SLOW_TIMES {
-            true => self.run_since.or(Some(begun)),
+        self.span_started = Some(now);
+        let ratio = self.end_span();
+        self.slow_run_since = match ratio >= SLOW_RATIO {
+            true => self.slow_run_since.or(Some(begun)),
             false => None,
         };
-        self.turn(times, now)
+        self.state_change(ratio, now)
     }
 
     /// Ends the span. Returns its duration as a multiple of the usual one.
     fn end_span(&mut self) -> u64 {
-        let pace = self.beats.iter().map(|(_, took)| *took).min();
-        let pace = pace.unwrap_or_default();
-        let mut late: Vec<_> = self.beats.iter().map(|(late, _)| *late).collect();
-        let late = middle(&mut late, 2);
-        self.beats.clear();
-        let times = match self.spans.len() >= FIRST_SPANS {
-            true => (pace.as_nanos() / self.usual_pace().as_nanos().max(1)) as u64,
+        let duration = self.samples.iter().map(|(_, took)| *took).min();
+        let duration = duration.unwrap_or_default();
+        let mut late: Vec<_> = self.samples.iter().map(|(late, _)| *late).collect();
+        let late = quantile(&mut late, 2);
+        self.samples.clear();
+        let ratio = match self.spans.len() >= WARMUP_SPANS {
+            true => (duration.as_nanos() / self.usual_duration().as_nanos().max(1)) as u64,
             false => 1,
         };
-        if self.spans.len() == KNOWN_SPANS {
+        if self.spans.len() == HISTORY_SPANS {
             self.spans.pop_front();
         }
-        self.spans.push_back(Span { pace, late, times });
-        times
+        self.spans.push_back(Span {
+            duration,
+            late,
+            ratio,
+        });
+        ratio
     }
 
     /// The lower quartile: an idle instance takes up to 2.6 times as long as a
     /// busy one, and a slow phase does not become the usual until it makes up
     /// most of the known spans.
-    fn usual_pace(&self) -> time::Duration {
-        let mut paces: Vec<_> = self.spans.iter().map(|span| span.pace).collect();
-        middle(&mut paces, 4)
+    fn usual_duration(&self) -> time::Duration {
+        let mut durations: Vec<_> = self.spans.iter().map(|span| span.duration).collect();
+        quantile(&mut durations, 4)
     }
 
-    fn turn(&mut self, times: u64, now: time::Instant) -> Option<Turn> {
+    fn state_change(&mut self, ratio: u64, now: time::Instant) -> Option<Turn> {
         match self.slow_since {
-            None if self.last_are(SLOW_SPANS, |span| span.times >= SLOW_TIMES) => {
-                self.slow_since = self.run_since;
-                Some(Turn::Slow(times))
+            None if self.last_spans_are(SLOW_SPANS, |span| span.ratio >= SLOW_RATIO) => {
+                self.slow_since = self.slow_run_since;
+                Some(Turn::Slow(ratio))
             }
-            Some(since) if self.last_are(WELL_SPANS, |span| span.times < SLOW_TIMES) => {
+            Some(since) if self.last_spans_are(NORMAL_SPANS, |span| span.ratio < SLOW_RATIO) => {
                 self.slow_since = None;
                 Some(Turn::Well(now.saturating_duration_since(since)))
             }
@@ -173,14 +177,14 @@
         }
     }
 
-    fn last_are(&self, count: usize, holds: impl Fn(&Span) -> bool) -> bool {
+    fn last_spans_are(&self, count: usize, holds: impl Fn(&Span) -> bool) -> bool {
         self.spans.len() >= count && self.spans.iter().rev().take(count).all(holds)
     }
 
     /// What is left of a processor capacity, in thousandths of a core.
     pub fn left_of(&self, millis: u64) -> u64 {
         let last = self.spans.back().filter(|_| self.slow_since.is_some());
-        last.map_or(millis, |span| millis / span.times.max(SLOW_TIMES))
+        last.map_or(millis, |span| millis / span.ratio.max(SLOW_RATIO))
     }
 
     /// The lag that is reason for a leader to hand over to an instance with
@@ -188,7 +192,7 @@
     pub fn lasting_lag(&self, now: time::Instant) -> Option<Lag> {
         let age = now.saturating_duration_since(self.slow_since?);
         let recent = self.spans.iter().rev().take(LAG_SPANS);
-        let slow = recent.take_while(|span| span.times >= SLOW_TIMES);
+        let slow = recent.take_while(|span| span.ratio >= SLOW_RATIO);
         let late: Vec<_> = slow.map(|span| span.late).collect();
         if late.len() < SLOW_SPANS {
             return None;
@@ -196,14 +200,14 @@
         let late = late.iter().sum::<time::Duration>() / late.len() as u32;
         let needed = match late >= HEAVY_LAG {
             true => time::Duration::ZERO,
-            false => LASTING,
+            false => HANDOVER_AFTER,
         };
-        (late >= LAG && age >= needed).then_some(Lag { late, age })
+        (late >= MIN_HANDOVER_LAG && age >= needed).then_some(Lag { late, age })
     }
 }
 
 /// The value below which one part in `parts` of the values lies.
-fn middle(values: &mut [time::Duration], parts: usize) -> time::Duration {
+fn quantile(values: &mut [time::Duration], parts: usize) -> time::Duration {
     if values.is_empty() {
         return time::Duration::ZERO;
     }
--- a/crates/figscale-core/src/fleet/proof.rs
+++ b/crates/figscale-core/src/fleet/proof.rs
@@ -18,7 +18,7 @@
 
 /// Percentage of the bound that is used: the clocks of the two machines that a
 /// proof passes through may each be 2% slow.
-const USED_PERCENT: u32 = 94;
+const USABLE_PERCENT: u32 = 94;
 
 /// A proof as sent to another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -98,7 +98,7 @@
     pub fn holds(&self, bound: Option<time::Duration>, now: time::Duration) -> bool {
         bound.is_none_or(|bound| {
             let age = self.age(now);
-            age.is_some_and(|age| age < bound * USED_PERCENT / 100)
+            age.is_some_and(|age| age < bound * USABLE_PERCENT / 100)
         })
     }
 
--- a/crates/figscale-core/src/fleet/silence.rs
+++ b/crates/figscale-core/src/fleet/silence.rs
@@ -22,10 +22,10 @@
 
 /// A leader whose last response was slow is allowed this multiple of that
 /// response time in addition.
-const SLOW_TIMES: u32 = 4;
+const SLOW_RESPONSE_FACTOR: u32 = 4;
 /// Time without a response after which any leader may be lost, however slow it
 /// was.
-const MAX_SILENCE: time::Duration = time::Duration::from_millis(3_000);
+const MAX_TIME_WITHOUT_RESPONSE: time::Duration = time::Duration::from_millis(3_000);
 
 /// Time between heartbeats. Together with [`SILENCE`] it determines how soon a
 /// leader without power is replaced: within 0.45 to 0.7 s, instead of the 1.1
@@ -46,8 +46,8 @@
 const INSTANCES_AT_FULL_RATE: usize = 128;
 /// An instance is gone that has sent no heartbeat for this time, and for the
 /// time of this many heartbeats.
-const MIN_MEMBER_SILENCE: time::Duration = time::Duration::from_millis(1_600);
-const GREETINGS_MISSED: u32 = 4;
+const MIN_MEMBER_TIMEOUT: time::Duration = time::Duration::from_millis(1_600);
+const MISSED_HEARTBEATS: u32 = 4;
 
 /// Maximum number of peers that are queried for what they know of the leader.
 /// Each of a thousand instances sends such queries when it misses a response,
@@ -68,12 +68,12 @@
 
 /// Time without a heartbeat after which one of this many instances is gone.
 pub fn member_silence(instances: usize) -> time::Duration {
-    MIN_MEMBER_SILENCE.max(hello_pause(instances) * GREETINGS_MISSED)
+    MIN_MEMBER_TIMEOUT.max(hello_pause(instances) * MISSED_HEARTBEATS)
 }
 
 /// How long the winner of an election may say that it does not lead yet before
 /// its term is taken to be over. It reads the store before it leads.
-const WINNER_LIMIT: time::Duration = time::Duration::from_millis(2_500);
+const MAX_TIME_TO_LEAD: time::Duration = time::Duration::from_millis(2_500);
 
 /// Since when a leader that responds has said that it does not lead.
 ///
@@ -97,7 +97,7 @@
     pub fn is_over(&mut self, epoch: fleet::Epoch, now: time::Instant) -> bool {
         let same_term = self.since.filter(|(known, _)| *known == epoch);
         let (_, since) = *self.since.insert(same_term.unwrap_or((epoch, now)));
-        now > since + WINNER_LIMIT
+        now > since + MAX_TIME_TO_LEAD
     }
 }
 
@@ -121,7 +121,7 @@
 
     /// Time without a response after which the leader may be lost.
     pub fn allowed_silence(&self) -> time::Duration {
-        (SILENCE + self.last * SLOW_TIMES).min(MAX_SILENCE)
+        (SILENCE + self.last * SLOW_RESPONSE_FACTOR).min(MAX_TIME_WITHOUT_RESPONSE)
     }
 }
 
@@ -137,16 +137,16 @@
     Heard(time::Duration),
 }
 
-/// Whether a leader is lost that last responded to this instance `heard` ago,
-/// given the views of all other peers. `allowed` is the time that it may take
-/// to respond.
-pub fn is_lost(heard: time::Duration, peers: &[PeerView], allowed: time::Duration) -> bool {
-    let hears = |view: &&PeerView| matches!(view, PeerView::Heard(ago) if *ago < allowed);
-    let misses = |view: &&PeerView| matches!(view, PeerView::Heard(ago) if *ago >= allowed);
-    let missed = peers.iter().filter(misses).count();
-    let heard_by_any = heard < allowed || peers.iter().any(|view| hears(&view));
+/// Whether a leader is lost that last responded to this instance
+/// `answered_ago` ago, given the views of all other peers. `allowed` is the time
+/// that it may take to respond.
+pub fn is_lost(answered_ago: time::Duration, peers: &[PeerView], allowed: time::Duration) -> bool {
+    let has_contact = |view: &&PeerView| matches!(view, PeerView::Heard(ago) if *ago < allowed);
+    let lacks_contact = |view: &&PeerView| matches!(view, PeerView::Heard(ago) if *ago >= allowed);
+    let without_contact = peers.iter().filter(lacks_contact).count();
+    let any_has_contact = answered_ago < allowed || peers.iter().any(|view| has_contact(&view));
     // More than half of all instances, this one included, and never this one
     // alone.
-    let agreed = missed > 0 && 2 * (missed + 1) > peers.len() + 1;
-    agreed && !heard_by_any
+    let agreed = without_contact > 0 && 2 * (without_contact + 1) > peers.len() + 1;
+    agreed && !any_has_contact
 }
--- a/crates/figscale-core/src/fleet/standing.rs
+++ b/crates/figscale-core/src/fleet/standing.rs
@@ -23,15 +23,15 @@
 /// that the leader is gone. A stronger one may notice a whole heartbeat interval
 /// later and runs within 40 ms, and its election takes about 20 ms, or up to
 /// 60 ms with many candidates.
-const WEAKER_WAIT: time::Duration = silence::HELLO_PAUSE.saturating_add(ELECTION);
-const ELECTION: time::Duration = time::Duration::from_millis(100);
+const WEAKER_CANDIDACY_DELAY: time::Duration = silence::HELLO_PAUSE.saturating_add(ELECTION_TIME);
+const ELECTION_TIME: time::Duration = time::Duration::from_millis(100);
 /// Percentage of the strongest instance's processor capacity that counts as
 /// equal to it.
 const EQUAL_PERCENT: u64 = 80;
 /// A leader hands over to an instance with this multiple of its own processor
 /// capacity. A takeover costs 0.1 to 1 s without placement, so it must be worth
 /// that.
-const CLEARLY_STRONGER: u64 = 2;
+const CLEARLY_STRONGER_RATIO: u64 = 2;
 
 /// Time for a leader that may still be there to renew its key. It tries every
 /// 0.4 s, and a write takes up to 0.25 s.
@@ -55,9 +55,11 @@
 /// unavailable to it before, the key may have expired through that outage. Such
 /// an instance that ran for leader at once deposed a leader that was about to
 /// accept 60 jobs.
-pub fn may_be_led(sight: Sight) -> bool {
-    let answers = sight.answered_ago.is_some_and(|ago| ago < RENEWAL_GRACE);
-    answers || (!sight.knows_leader && sight.store_was_away)
+pub fn may_be_led(observation: Sight) -> bool {
+    let answers = observation
+        .answered_ago
+        .is_some_and(|ago| ago < RENEWAL_GRACE);
+    answers || (!observation.knows_leader && observation.store_was_away)
 }
 
 /// How much later than the strongest instance an instance runs for leader. Both
@@ -65,12 +67,12 @@
 pub fn standing_delay(own_millis: u64, strongest_millis: u64) -> time::Duration {
     match own_millis * 100 >= strongest_millis * EQUAL_PERCENT {
         true => time::Duration::ZERO,
-        false => WEAKER_WAIT,
+        false => WEAKER_CANDIDACY_DELAY,
     }
 }
 
 /// Whether a leader should hand over to another instance. Both capacities are
 /// in thousandths of a core.
 pub fn is_clearly_stronger(other_millis: u64, own_millis: u64) -> bool {
-    other_millis >= own_millis.max(1) * CLEARLY_STRONGER
+    other_millis >= own_millis.max(1) * CLEARLY_STRONGER_RATIO
 }
