--- a/crates/figscale-core/src/fleet/draft.rs
+++ b/crates/figscale-core/src/fleet/draft.rs
@@ -29,8 +29,7 @@
 /// response arrives; queries about few workers then had to be repeated, up to
 /// 400 times a second on a busy day.
 const CHEAP_FRACTION: f64 = 1.0 / 3.0;
-/// Slots queried for each slot needed, in units of the expected number of
-/// approved slots.
+/// Expected number of approved slots to query for, for each slot needed.
 const QUERY_FACTOR: f64 = 1.6;
 /// Slots wanted on approved workers for each member of a gang, so that it can
 /// choose those that become free first.
--- a/crates/figscale-core/src/fleet/fitness.rs
+++ b/crates/figscale-core/src/fleet/fitness.rs
@@ -133,7 +133,8 @@
         self.state_change(ratio, now)
     }
 
-    /// Ends the span. Returns its duration as a multiple of the usual one.
+    /// Ends the span. Returns the minimum duration of the computation in it as a
+    /// multiple of the usual one.
     fn end_span(&mut self) -> u64 {
         let duration = self.samples.iter().map(|(_, took)| *took).min();
         let duration = duration.unwrap_or_default();
--- a/crates/figscale-core/src/fleet/plan.rs
+++ b/crates/figscale-core/src/fleet/plan.rs
@@ -342,9 +342,9 @@
     /// Reserves the workers that become free first until a gang fits.
     ///
     /// In a backlog most gangs may neither reserve workers nor send a query,
-    /// and nothing is computed for these. Computing it for all took a pass 10
-    /// ms with 150 waiting gangs and 350 workers, which delayed new jobs and
-    /// reports of ended tasks.
+    /// and nothing is computed for these. When it was computed for all, a pass
+    /// took 10 ms with 150 waiting gangs and 350 workers, which delayed new jobs
+    /// and reports of ended tasks.
     fn reserve_for_gang(
         &self,
         candidate: &mut pass::Candidate,
--- a/crates/figscale-core/src/fleet/turns.rs
+++ b/crates/figscale-core/src/fleet/turns.rs
@@ -34,8 +34,8 @@
         self.reserve_for_latest(candidates, pass::Lateness::Overdue, wide, pass);
     }
 
-    /// Reserves workers for the step that is late longest, among those that
-    /// `selects` selects and that are at least as late as `least`. The
+    /// Reserves workers for the step that is late longest, among those for which
+    /// `selects` is true and that are at least as late as `least`. The
     /// reservation is for all members of a gang, and for one task of another
     /// step.
     fn reserve_for_latest(
