--- a/crates/figscale-core/src/fleet/draft.rs
+++ b/crates/figscale-core/src/fleet/draft.rs
@@ -1,9 +1,8 @@
-//! What a question to the advisory service names: the workers that a step needs
-//! to know of now.
+//! Choice of the workers that a query to the advisory service names.
 //!
-//! A step of single tasks asks about the workers with most room. A gang first
-//! asks who may run it at all, and then for tickets of the workers that are kept
-//! for it.
+//! A step of single tasks queries for the workers with most free resources. A
+//! gang first queries which workers are approved for it at all, and then for
+//! tickets of the workers reserved for it.
 
 use std::time;
 
@@ -16,57 +15,62 @@
 use super::scheduler;
 use super::worker;
 
-/// Workers that one question names at most.
-const MAX_ASKED: usize = 30;
-/// The same of a question that fetches tickets for a gang, as many as the service
-/// takes: in several questions the first tickets would be over before the last
-/// are there, and a gang on 61 workers would never start.
-const MAX_TICKETS: usize = 100;
-/// Workers that one question names at least, if there are so many.
-const MIN_ASKED: usize = 4;
-/// A question names more than it needs while that adds no more than this part
-/// to its time. Room is often gone when the answer comes; a question about few
-/// workers is then asked again, up to 400 times a second on a busy day.
-const CHEAP_PART: f64 = 1.0 / 3.0;
-/// Slots asked about for each slot needed, over the part expected good.
-const ASK_FACTOR: f64 = 1.6;
-/// Slots wanted on good workers for each member of a gang, so that there is a
-/// choice of the ones that become free first.
-const GANG_CHOICE: f64 = 1.5;
-/// The same for a gang that would wait longer than this for those known.
-const GANG_CHOICE_WAITING: f64 = 4.0;
-/// Wait for room that is not worth another question.
-const GANG_PATIENCE: time::Duration = time::Duration::from_millis(600);
-/// Tickets for a gang are asked for so long before they are needed.
-const TICKET_LEAD: time::Duration = time::Duration::from_millis(100);
+/// Maximum number of workers in one query.
+const MAX_QUERIED: usize = 30;
+/// Maximum number of workers in a query for a gang's tickets, which is also the
+/// most that the service accepts. Spread over several queries the first tickets
+/// would expire before the last arrive, and a gang on 61 workers would never
+/// start.
+const MAX_QUERIED_FOR_TICKETS: usize = 100;
+/// Minimum number of workers in one query, if there are that many.
+const MIN_QUERIED: usize = 4;
+/// A query names more workers than needed while that adds no more than this
+/// fraction to its duration. Often the free resources are taken by the time the
+/// response arrives; queries about few workers then had to be repeated, up to
+/// 400 times a second on a busy day.
+const CHEAP_FRACTION: f64 = 1.0 / 3.0;
+/// Expected number of approved slots to query for, for each slot needed.
+const QUERY_FACTOR: f64 = 1.6;
+/// Slots wanted on approved workers for each member of a gang, so that it can
+/// choose those that become free first.
+const GANG_CHOICE_FACTOR: f64 = 1.5;
+/// The same for a gang that would wait longer than [`MAX_GANG_WAIT`] for the
+/// approved workers it knows.
+const GANG_WIDE_CHOICE_FACTOR: f64 = 4.0;
+/// Waiting for room up to this long is better than another query.
+const MAX_GANG_WAIT: time::Duration = time::Duration::from_millis(600);
+/// Tickets for a gang are queried this long before they are needed.
+const TICKET_LEAD_TIME: time::Duration = time::Duration::from_millis(100);
 
-/// How wide a choice of workers is asked for.
+/// How wide a choice of workers is queried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Breadth {
-    /// What a step needs to start.
+    /// As many as a step needs to start.
     Needed,
-    /// More, with lanes that nobody needs.
+    /// More, on advice channels that no other query needs.
     Wide,
 }
 
-/// A question without the lane that it will take.
-pub(crate) struct Draft {
+/// A query that is not yet assigned to an advice channel.
+pub(crate) struct UnassignedQuery {
     pub(crate) workers: Vec<fleet::WorkerId>,
-    /// Of a question for tickets: its workers stay kept until the answer is there.
+    /// Set for a query for a gang's tickets: these workers stay reserved until
+    /// the response arrives.
     pub(crate) reservation: Option<reserve::Reservation>,
     pub(crate) expected: time::Duration,
 }
 
 impl scheduler::Scheduler {
-    /// Whether a gang that has workers kept could start as soon as it has tickets.
-    fn awaits_tickets(&self, candidate: &pass::Candidate, now: time::Instant) -> bool {
+    /// Whether a gang with reserved workers could start as soon as it has
+    /// tickets.
+    fn needs_only_tickets(&self, candidate: &pass::Candidate, now: time::Instant) -> bool {
         let reservation = candidate.reservation.as_ref();
-        let kept = reservation.filter(|reservation| reservation.kept);
-        kept.is_some_and(|kept| self.starts_soon(&candidate.task, kept, now))
+        let reservation = reservation.filter(|reservation| reservation.active);
+        reservation.is_some_and(|reservation| self.starts_soon(&candidate.task, reservation, now))
     }
 
-    /// Whether there is room for a gang by the time that its tickets could be
-    /// there.
+    /// Whether there is room for a gang by the time that its tickets could
+    /// arrive.
     pub(crate) fn starts_soon(
         &self,
         task: &fleet::TaskId,
@@ -74,17 +78,17 @@
         now: time::Instant,
     ) -> bool {
         let policy = self.jobs.get(&task.job).and_then(|job| job.queue.advice);
-        let answer = policy.map(|policy| advice::duration(&policy, reservation.workers.len()));
-        reservation.ready_at <= now + answer.unwrap_or_default() + TICKET_LEAD
+        let response = policy.map(|policy| advice::duration(&policy, reservation.workers.len()));
+        reservation.ready_at <= now + response.unwrap_or_default() + TICKET_LEAD_TIME
     }
 
-    /// The question that a step needs now, if any.
-    pub(crate) fn draft(
+    /// The query that a step needs now, if any.
+    pub(crate) fn next_query(
         &self,
         candidate: &pass::Candidate,
         breadth: Breadth,
         pass: &pass::Pass,
-    ) -> Option<Draft> {
+    ) -> Option<UnassignedQuery> {
         let now = pass.now;
         let job = self.jobs.get(&candidate.task.job)?;
         let policy = job.queue.advice?;
@@ -96,34 +100,34 @@
         let mut reservation = None;
         let workers = match description.gang {
             true => {
-                let tickets = match self.awaits_tickets(candidate, now) {
-                    true => tickets_to_ask(candidate, step, &policy, now),
+                let tickets = match self.needs_only_tickets(candidate, now) {
+                    true => tickets_to_query(candidate, step, &policy, now),
                     false => Vec::new(),
                 };
                 match tickets.is_empty() {
-                    true => self.choice_to_ask(candidate, job, description, breadth, pass),
+                    true => self.choice_to_query(candidate, job, description, breadth, pass),
                     false => {
                         reservation = candidate.reservation.clone();
                         tickets
                     }
                 }
             }
-            false => self.workers_to_ask(candidate, job, description, pass),
+            false => self.workers_to_query(candidate, job, description, pass),
         };
         if workers.is_empty() {
             return None;
         }
         let expected = advice::duration(&policy, workers.len());
-        Some(Draft {
+        Some(UnassignedQuery {
             workers,
             reservation,
             expected,
         })
     }
 
-    /// The workers with most room, enough to make tickets for all waiting tasks
-    /// likely.
-    fn workers_to_ask(
+    /// The workers with most free resources, as many as make tickets for all
+    /// waiting tasks likely.
+    fn workers_to_query(
         &self,
         candidate: &pass::Candidate,
         job: &job::Job,
@@ -133,22 +137,25 @@
         let Some(step) = job.step(&candidate.task) else {
             return Vec::new();
         };
-        let most = reserve::most_per_worker(description);
+        let max_members = reserve::max_members_per_worker(description);
         let mut workers: Vec<(u64, bool, &fleet::WorkerId)> = Vec::new();
-        for (id, worker) in self.askable(job, step, description, pass) {
-            let slots = worker.free().times(&job::occupied(description), most);
+        for (id, worker) in self.queryable_workers(job, step, description, pass) {
+            let slots = worker
+                .free()
+                .times(&job::occupied(description), max_members);
             workers.push((slots, step.advice.verdicts.contains_key(id), id));
         }
         if workers.iter().all(|(slots, ..)| *slots == 0) {
             return Vec::new();
         }
-        workers.sort_by_key(|(slots, good, _)| std::cmp::Reverse((*slots > 0, *good, *slots)));
-        self.enough(workers, step.waiting() as f64 * ASK_FACTOR, &job.queue)
+        workers
+            .sort_by_key(|(slots, approved, _)| std::cmp::Reverse((*slots > 0, *approved, *slots)));
+        self.take_enough(workers, step.waiting() as f64 * QUERY_FACTOR, &job.queue)
     }
 
-    /// Who may run a gang at all, by the room that workers have, until there is
-    /// a choice among those that are good.
-    fn choice_to_ask(
+    /// Workers to query for their approval for a gang, those with most
+    /// free resources first, until there is a choice among approved ones.
+    fn choice_to_query(
         &self,
         candidate: &pass::Candidate,
         job: &job::Job,
@@ -160,29 +167,34 @@
         let Some(step) = job.step(&candidate.task) else {
             return Vec::new();
         };
-        let first = candidate.goes_first;
+        let first = candidate.may_query_early;
         let count = u64::from(description.count);
-        let good_slots = self.good_slots(&candidate.task, description, pass);
-        let ready_at = candidate.reservation.as_ref().map(|kept| kept.ready_at);
-        let waits_long = ready_at.is_none_or(|at| at > now + GANG_PATIENCE);
+        let approved_slots = self.approved_slots(&candidate.task, description, pass);
+        let ready_at = candidate
+            .reservation
+            .as_ref()
+            .map(|reservation| reservation.ready_at);
+        let waits_long = ready_at.is_none_or(|at| at > now + MAX_GANG_WAIT);
         let choice = match breadth == Breadth::Wide || first && waits_long {
-            true => GANG_CHOICE_WAITING,
-            false => GANG_CHOICE,
+            true => GANG_WIDE_CHOICE_FACTOR,
+            false => GANG_CHOICE_FACTOR,
         };
-        let missing = count as f64 * choice - good_slots as f64;
+        let missing = count as f64 * choice - approved_slots as f64;
         let speculative = breadth == Breadth::Needed && !first;
-        if missing <= 0.0 || speculative && !self.may_start_now(candidate, job, description, pass) {
+        if missing <= 0.0 || speculative && !self.may_fit_now(candidate, job, description, pass) {
             return Vec::new();
         }
         let need = job::occupied(description);
         let unknown = self
-            .askable(job, step, description, pass)
+            .queryable_workers(job, step, description, pass)
             .filter(|(id, _)| {
-                let open = pass.kept_for_others_until(&candidate.task, id).is_none();
+                let open = pass
+                    .reserved_for_others_until(&candidate.task, id)
+                    .is_none();
                 open && !step.advice.verdicts.contains_key(*id)
             });
         let mut workers: Vec<(u64, bool, &fleet::WorkerId)> = unknown
-            .map(|(id, worker)| (reserve::whole_slots(worker, description), false, id))
+            .map(|(id, worker)| (reserve::empty_slots(worker, description), false, id))
             .filter(|(slots, ..)| *slots > 0)
             .collect();
         let free = |id: &fleet::WorkerId| {
@@ -190,12 +202,12 @@
             worker.map(|worker| (worker.free().times(&need, count), worker.free().cpu_millis))
         };
         workers.sort_by_key(|(slots, _, id)| std::cmp::Reverse((free(id), *slots)));
-        self.enough(workers, missing, &job.queue)
+        self.take_enough(workers, missing, &job.queue)
     }
 
-    /// Whether a gang would find room now on workers that nobody keeps, if as
-    /// many of the unknown ones are good as usual.
-    fn may_start_now(
+    /// Whether a gang would fit now on workers that are not reserved for
+    /// others, if the usual fraction of those not yet queried is approved.
+    fn may_fit_now(
         &self,
         candidate: &pass::Candidate,
         job: &job::Job,
@@ -206,35 +218,38 @@
             return false;
         };
         let need = job::occupied(description);
-        let most = reserve::most_per_worker(description);
-        let good_part = self.lanes.good_part(&job.queue.name);
-        pass.count_looks(pass.usable.len());
+        let max_members = reserve::max_members_per_worker(description);
+        let approved_fraction = self.lanes.approved_fraction(&job.queue.name);
+        pass.count_scans(pass.usable.len());
         let usable = pass.usable.iter();
         let usable = usable.filter_map(|position| self.workers.get_index(*position));
         let open = usable.filter(|(id, worker)| {
             worker.suits(&job.queue, description)
-                && pass.kept_for_others_until(&candidate.task, id).is_none()
+                && pass
+                    .reserved_for_others_until(&candidate.task, id)
+                    .is_none()
         });
         let expected = open.map(|(id, worker)| {
-            let part = match step.advice.verdicts.get(id) {
+            let fraction = match step.advice.verdicts.get(id) {
                 Some(true) => 1.0,
                 Some(false) => 0.0,
-                None => good_part,
+                None => approved_fraction,
             };
-            part * worker.free().times(&need, most) as f64
+            fraction * worker.free().times(&need, max_members) as f64
         });
         expected.sum::<f64>() >= f64::from(description.count)
     }
 
-    /// Usable workers that may be good for a step and hold no ticket for it.
-    fn askable<'a>(
+    /// Usable workers that may be approved for a step and hold no valid ticket
+    /// for it.
+    fn queryable_workers<'a>(
         &'a self,
         job: &'a job::Job,
         step: &'a job::Step,
         description: &'a fleet::StepDescription,
         pass: &pass::Pass,
     ) -> impl Iterator<Item = (&'a fleet::WorkerId, &'a worker::Worker)> {
-        pass.count_looks(self.workers.len());
+        pass.count_scans(self.workers.len());
         let now = pass.now;
         self.workers.iter().filter(move |(id, worker)| {
             let bad = step.advice.verdicts.get(*id) == Some(&false);
@@ -245,32 +260,34 @@
         })
     }
 
-    /// So many of the workers, in order, that the slots wanted are likely; a
-    /// worker that is known to be good counts whole.
-    fn enough(
+    /// The first of the given workers, as many as make the wanted number of
+    /// approved slots likely. A worker known to be approved counts fully, others
+    /// by the fraction learned for the queue.
+    fn take_enough(
         &self,
         workers: Vec<(u64, bool, &fleet::WorkerId)>,
         wanted_slots: f64,
         queue: &fleet::Queue,
     ) -> Vec<fleet::WorkerId> {
-        let good_part = self.lanes.good_part(&queue.name);
-        let at_least = queue.advice.as_ref().map_or(MIN_ASKED, cheap_workers);
-        let mut asked = Vec::new();
+        let approved_fraction = self.lanes.approved_fraction(&queue.name);
+        let at_least = queue.advice.as_ref().map_or(MIN_QUERIED, cheap_workers);
+        let mut queried = Vec::new();
         let mut expected_slots = 0.0;
-        for (slots, good, id) in workers {
-            let enough = expected_slots >= wanted_slots && asked.len() >= at_least;
-            if enough || asked.len() >= MAX_ASKED {
+        for (slots, approved, id) in workers {
+            let enough = expected_slots >= wanted_slots && queried.len() >= at_least;
+            if enough || queried.len() >= MAX_QUERIED {
                 break;
             }
-            expected_slots += slots as f64 * if good { 1.0 } else { good_part };
-            asked.push(id.clone());
+            expected_slots += slots as f64 * if approved { 1.0 } else { approved_fraction };
+            queried.push(id.clone());
         }
-        asked
+        queried
     }
 }
 
-/// Workers kept for a gang for which it has no lasting ticket.
-fn tickets_to_ask(
+/// Workers reserved for a gang for which it has no ticket that stays valid
+/// until it can start.
+fn tickets_to_query(
     candidate: &pass::Candidate,
     step: &job::Step,
     policy: &fleet::AdvicePolicy,
@@ -279,19 +296,20 @@
     let Some(reservation) = &candidate.reservation else {
         return Vec::new();
     };
-    let asked = reservation.workers.len().min(MAX_TICKETS);
-    let answered_at = now + advice::duration(policy, asked);
-    let needed_until = reservation.ready_at.max(answered_at);
+    let queried = reservation.workers.len().min(MAX_QUERIED_FOR_TICKETS);
+    let response_at = now + advice::duration(policy, queried);
+    let needed_until = reservation.ready_at.max(response_at);
     let covered = |id: &fleet::WorkerId| {
         let ticket = step.advice.tickets.get(id);
         ticket.is_some_and(|ticket| ticket.valid_until > needed_until)
     };
     let workers = reservation.workers.iter().filter(|id| !covered(id));
-    workers.take(MAX_TICKETS).cloned().collect()
+    workers.take(MAX_QUERIED_FOR_TICKETS).cloned().collect()
 }
 
-/// Workers that a question may name for little more than its base time.
+/// Number of workers that a query may name at little more than its base
+/// duration.
 fn cheap_workers(policy: &fleet::AdvicePolicy) -> usize {
-    let workers = policy.base_ms * CHEAP_PART / policy.per_worker_ms.max(f64::MIN_POSITIVE);
-    (workers as usize).clamp(MIN_ASKED, MAX_ASKED)
+    let workers = policy.base_ms * CHEAP_FRACTION / policy.per_worker_ms.max(f64::MIN_POSITIVE);
+    (workers as usize).clamp(MIN_QUERIED, MAX_QUERIED)
 }
--- a/crates/figscale-core/src/fleet/places.rs
+++ b/crates/figscale-core/src/fleet/places.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a step could go now, and which place is best.
+//! The workers that a step's tasks could run on now, and the choice among them.
 
 use std::time;
 
@@ -10,32 +10,33 @@
 use super::scheduler;
 use super::worker;
 
-/// Quick work that is over sooner may use workers that are kept free: one such
-/// task delays a gang by no more than runs miss their estimates by. A stream of
-/// them delays it for good, so it keeps off the workers of the gang that is
-/// overdue longest.
+/// Priority-0 work no longer than this may use reserved workers: one such task
+/// delays a gang by no more than runs miss their estimates by. A stream of them
+/// would delay it forever, so they are kept off the workers reserved for the
+/// step that is overdue longest.
 const SHORT_WORK_MS: u64 = 1_200;
 
-/// A worker that a task could go to; less is better.
+/// Sort key of the workers for a task; the smallest is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Fit {
     failed_here: bool,
     unproven: bool,
-    /// Runs that would be lost with the worker, if it is to be expected.
-    endangered: usize,
-    far: bool,
+    /// Runs that would be lost with the worker; counted only for a task in need
+    /// of quarantine, which may crash it.
+    runs_at_risk: usize,
+    outside_data_rack: bool,
     left_cpu_millis: u64,
 }
 
 impl scheduler::Scheduler {
-    /// Workers that may run a step now, with what is free there.
+    /// Workers that may run a step now, with their free resources.
     pub(crate) fn open_workers(
         &self,
         task: &fleet::TaskId,
         description: &fleet::StepDescription,
         rank: pass::Rank,
         pass: &pass::Pass,
-    ) -> Vec<Place<'_>> {
+    ) -> Vec<OpenWorker<'_>> {
         let Some(job) = self.jobs.get(&task.job) else {
             return Vec::new();
         };
@@ -43,20 +44,23 @@
         let ends = pass.now + time::Duration::from_millis(description.estimate_ms);
         let is_short = rank.class == 0 && description.estimate_ms <= SHORT_WORK_MS;
         let need = job::occupied(description);
-        // A gang would rarely find all its workers without young runs at once.
-        let alone = !description.gang && job.needs_quarantine(task);
+        // A gang is exempt: it would rarely find all its workers without
+        // recently started runs at the same time.
+        let quarantined = !description.gang && job.needs_quarantine(task);
         let mut places = Vec::new();
         for (id, worker) in self.allowed_workers(job, step, pass) {
-            if worker.is_quarantined() || alone && worker.has_younger(crashes::CRASH_WINDOW) {
+            if worker.is_quarantined()
+                || quarantined && worker.has_run_younger_than(crashes::CRASH_WINDOW)
+            {
                 continue;
             }
             if !worker.suits(&job.queue, description) || !worker.free().holds(&need) {
                 continue;
             }
-            let may_use_kept = is_short && !pass.is_closed_to_quick(id);
-            let kept_until = pass.kept_for_others_until(task, id);
-            let kept_until = kept_until.filter(|_| !may_use_kept);
-            if kept_until.is_some_and(|until| ends > until) {
+            let may_use_reserved = is_short && !pass.is_closed_to_short_work(id);
+            let reserved_until = pass.reserved_for_others_until(task, id);
+            let reserved_until = reserved_until.filter(|_| !may_use_reserved);
+            if reserved_until.is_some_and(|until| ends > until) {
                 continue;
             }
             let most = description.max_per_worker.map_or(u64::MAX, u64::from);
@@ -64,10 +68,10 @@
             if here >= most || !worker.health.admits(worker.runs.len(), pass.now) {
                 continue;
             }
-            places.push(Place {
+            places.push(OpenWorker {
                 id,
                 free: worker.free(),
-                most: most - here,
+                tasks_left: most - here,
                 rack: &worker.entry.rack,
                 proven: worker.health.is_proven(),
                 runs: worker.runs.len(),
@@ -76,8 +80,9 @@
         places
     }
 
-    /// Usable workers that the queue's policy allows a step to run on. Of those
-    /// with tickets there are a few dozen at most, of the others hundreds.
+    /// Usable workers that the queue's policy allows for a step. At most a few
+    /// dozen hold tickets, while a fleet has hundreds of workers, so the
+    /// tickets are iterated and not the workers.
     fn allowed_workers<'a>(
         &'a self,
         job: &job::Job,
@@ -85,13 +90,13 @@
         pass: &pass::Pass,
     ) -> Vec<(&'a fleet::WorkerId, &'a worker::Worker)> {
         if job.queue.advice.is_none() {
-            pass.count_looks(pass.usable.len());
+            pass.count_scans(pass.usable.len());
             let usable = pass.usable.iter();
             return usable
                 .filter_map(|position| self.workers.get_index(*position))
                 .collect();
         }
-        pass.count_looks(step.advice.tickets.len());
+        pass.count_scans(step.advice.tickets.len());
         let tickets = step.advice.tickets.iter();
         let valid = tickets.filter(|(_, ticket)| ticket.valid_until > pass.now);
         let known = valid.filter_map(|(id, _)| self.workers.get_key_value(id));
@@ -109,14 +114,14 @@
     ) -> Option<fleet::WorkerId> {
         let job = self.jobs.get(&id.job)?;
         let task = job.task(id)?;
-        let alone = job.needs_quarantine(id);
+        let quarantined = job.needs_quarantine(id);
         let places = self.open_workers(id, description, rank, pass);
         let need = job::occupied(description);
-        let fit = |place: &Place| Fit {
+        let fit = |place: &OpenWorker| Fit {
             failed_here: task.failed_on.as_ref() == Some(place.id),
             unproven: !task.failed_attempts.is_empty() && !place.proven,
-            endangered: if alone { place.runs } else { 0 },
-            far: description
+            runs_at_risk: if quarantined { place.runs } else { 0 },
+            outside_data_rack: description
                 .data_rack
                 .as_ref()
                 .is_some_and(|rack| *rack != place.rack),
@@ -129,21 +134,22 @@
     }
 }
 
-/// A worker with room, during the placing of a gang.
+/// A worker with room for a task of the step.
 #[derive(Clone, Debug)]
-pub(crate) struct Place<'a> {
+pub(crate) struct OpenWorker<'a> {
     pub(crate) id: &'a fleet::WorkerId,
     free: fleet::Room,
-    /// Further tasks of the step that may go there.
-    most: u64,
+    /// Number of further tasks of the step that may be placed there.
+    tasks_left: u64,
     pub(crate) rack: &'a str,
     proven: bool,
     runs: usize,
 }
 
-/// Puts `count` tasks on the given workers, the fullest first that holds one.
-pub(crate) fn fill(
-    mut places: Vec<Place<'_>>,
+/// Assigns `count` tasks to the given workers, to the fullest first that has
+/// room for one. `None` if they do not all fit.
+pub(crate) fn assign_fullest_first(
+    mut places: Vec<OpenWorker<'_>>,
     description: &fleet::StepDescription,
     count: u32,
 ) -> Option<Vec<fleet::WorkerId>> {
@@ -151,9 +157,9 @@
     places.sort_by_key(|place| place.free.cpu_millis);
     let mut chosen = Vec::new();
     for place in &mut places {
-        while chosen.len() < count as usize && place.most > 0 && place.free.holds(&need) {
+        while chosen.len() < count as usize && place.tasks_left > 0 && place.free.holds(&need) {
             place.free = place.free.minus(&need);
-            place.most -= 1;
+            place.tasks_left -= 1;
             chosen.push(place.id.clone());
         }
     }
--- a/crates/figscale-core/src/fleet/plan.rs
+++ b/crates/figscale-core/src/fleet/plan.rs
@@ -1,12 +1,15 @@
-//! One pass over everything that waits: who goes first, and where.
+//! The placement pass: ranks all steps that are ready to start and assigns
+//! their tasks to workers.
 //!
-//! Steps are ranked: jobs that can still meet their objective before those that
-//! are late, and these before those that are worth nothing any more; quick queues
-//! (priority 0) before others; then those of customers that use less than their
-//! share by weight; then by the time that is left before they must start, or since.
-//! Within a step a task goes to the fullest worker
-//! that holds it, so that large holes stay for wide gangs. A gang that finds no
-//! room has workers kept for it.
+//! Steps are ranked by these keys, in this order: jobs that can still meet
+//! their objective, then late ones, then those past the point where they earn
+//! anything; queues of priority 0 before others; customers within their
+//! weighted share before those above it; and last the time left until the step
+//! must start, which is negative once that time is past.
+//!
+//! A task goes to the fullest worker that has the resources for it (best fit),
+//! so that large free blocks remain for wide gangs. Workers are reserved for a
+//! gang that does not fit yet.
 
 use std::time;
 
@@ -23,24 +26,25 @@
 use super::scheduler;
 use super::worker;
 
-/// One gang for so many usable workers may keep workers for runs still to end, at
-/// the same time; more would leave most workers waiting. Gangs that wait for
-/// nothing but tickets are not counted: their room is idle for one answer only.
-/// While the advisory service is away there is no answer, and they count like the
-/// others.
-const WORKERS_PER_RESERVING: usize = 16;
-/// Gangs that may do so however small the fleet is.
-const MIN_RESERVING: usize = 3;
-/// One gang for so many ways to the advisory service may ask for a wide choice of
-/// workers. More of them would take these ways from gangs that could start with
-/// few tickets.
-const LANES_PER_FIRST: usize = 5;
-/// Gangs that may do so however few instances there are.
-const MIN_FIRST: usize = 3;
-/// Attempts of one term; the next term's numbers begin above them.
+/// There may be one gang per this many usable workers that holds reservations
+/// on workers while their runs end; more would leave most workers idle. Gangs
+/// that wait for nothing but tickets are not counted, since their resources are
+/// idle for the time of one response only. While the advisory service is
+/// unavailable no response comes, and they are counted too.
+const WORKERS_PER_RESERVING_GANG: usize = 16;
+/// Lower bound of the number of such gangs, for small fleets.
+const MIN_RESERVING_GANGS: usize = 3;
+/// One gang per this many advice channels may query the advisory service for a
+/// wide choice of workers before there is room for it. More of them would
+/// occupy the channels that gangs need which could start with a few tickets.
+const CHANNELS_PER_EARLY_GANG: usize = 5;
+/// Lower bound of the number of such gangs, for few instances.
+const MIN_EARLY_GANGS: usize = 3;
+/// Attempt numbers reserved for one term; those of the next term start above
+/// them.
 const ATTEMPTS_PER_EPOCH: u64 = 1_000;
 
-/// Tasks of one step that were placed in one pass.
+/// Tasks of one step that were placed in this pass.
 #[derive(Clone, Debug, Default)]
 struct Placed {
     tasks: usize,
@@ -57,63 +61,65 @@
 }
 
 impl scheduler::Scheduler {
-    /// Places what can be placed and asks for advice.
+    /// Places whatever can be placed and queries the advisory service for the
+    /// rest.
     pub fn plan(&mut self, now: time::Instant) {
-        self.plan_those(now, pass::Tried::WithRoom);
+        self.run_pass(now, pass::StepFilter::WithRoom);
     }
 
-    /// The same, but steps for which no worker has room are tried like all
-    /// others. It decides the same at a higher price, and is there to show that.
+    /// Like [`Self::plan`], but also tries steps for which no worker has room.
+    /// The decisions are the same at a higher cost; it exists to test that.
     pub fn plan_trying_all(&mut self, now: time::Instant) {
-        self.plan_those(now, pass::Tried::All);
+        self.run_pass(now, pass::StepFilter::All);
     }
 
-    fn plan_those(&mut self, now: time::Instant, tried: pass::Tried) {
+    fn run_pass(&mut self, now: time::Instant, step_filter: pass::StepFilter) {
         let mut candidates = self.candidates(now);
         if candidates.is_empty() {
             self.pass_looks = 0;
             return;
         }
         let headroom = self.headroom();
-        // What its customer's limit holds back keeps no workers, asks nothing and
-        // is in nobody's way.
-        candidates.retain(|candidate| self.may_start_of(&candidate.task, &headroom) > 0);
+        // Steps held back by their customer's limit reserve no workers, send no
+        // queries and block no other step.
+        candidates.retain(|candidate| self.startable_tasks(&candidate.task, &headroom) > 0);
         let usable = (0..self.workers.len()).filter(|position| {
             let worker = self.workers.get_index(*position);
             worker.is_some_and(|(_, worker)| self.is_usable(worker, now))
         });
         let usable: Vec<usize> = usable.collect();
-        let widest = self.widest(&usable);
-        let mut pass = pass::Pass::new(now, headroom, usable, widest, tried);
-        pass.count_looks(self.workers.len());
-        self.keep_promised(&candidates, &mut pass);
-        self.keep_for_latest(&candidates, &mut pass);
+        let free_capacity = self.free_capacity(&usable);
+        let mut pass = pass::Pass::new(now, headroom, usable, free_capacity, step_filter);
+        pass.count_scans(self.workers.len());
+        self.reserve_awaiting_tickets(&candidates, &mut pass);
+        self.reserve_for_aging(&candidates, &mut pass);
         for mut candidate in candidates {
-            let held = self.may_start_of(&candidate.task, &pass.headroom) == 0;
-            if held || !self.may_fit(&candidate, &pass) {
+            let held = self.startable_tasks(&candidate.task, &pass.headroom) == 0;
+            if held || !self.may_have_room(&candidate, &pass) {
                 continue;
             }
             let whole = self.place_step(&mut candidate, &mut pass);
             if !whole {
-                pass.wanting.push(candidate);
+                pass.unplaced.push(candidate);
             }
         }
-        self.ask_for(&pass);
-        self.pass_looks = pass.looks();
+        self.send_queries(&pass);
+        self.pass_looks = pass.scans();
     }
 
-    fn widest(&self, usable: &[usize]) -> pass::Widest {
-        let mut widest = pass::Widest::default();
+    fn free_capacity(&self, usable: &[usize]) -> pass::FreeCapacity {
+        let mut free_capacity = pass::FreeCapacity::default();
         for position in usable {
             if let Some((_, worker)) = self.workers.get_index(*position) {
-                widest.add(&worker.entry.service, worker.free());
+                free_capacity.add(&worker.entry.service, worker.free());
             }
         }
-        widest
+        free_capacity
     }
 
-    /// How many tasks of a step its customer may start now; of a gang all or none.
-    fn may_start_of(&self, task: &fleet::TaskId, headroom: &customers::Headroom) -> u64 {
+    /// How many tasks of a step its customer may start now. A gang may start
+    /// whole or not at all.
+    fn startable_tasks(&self, task: &fleet::TaskId, headroom: &customers::Headroom) -> u64 {
         let Some(job) = self.jobs.get(&task.job) else {
             return 0;
         };
@@ -121,34 +127,37 @@
             return 0;
         };
         let count = u64::from(step.count);
-        let allowed = headroom.times(job.customer.as_ref(), &job::occupied(step), count);
+        let allowed = headroom.startable(job.customer.as_ref(), &job::occupied(step), count);
         match step.gang && allowed < count {
             true => 0,
             false => allowed,
         }
     }
 
-    /// Whether some worker has room for a task of a step; gangs that find none
-    /// have workers kept for them.
-    fn may_fit(&self, candidate: &pass::Candidate, pass: &pass::Pass) -> bool {
+    /// Whether some worker may have room for a task of a step. Always true of
+    /// gangs, since workers are reserved for those that do not fit.
+    fn may_have_room(&self, candidate: &pass::Candidate, pass: &pass::Pass) -> bool {
         let Some(job) = self.jobs.get(&candidate.task.job) else {
             return false;
         };
         let Some(step) = job.step_description(&candidate.task) else {
             return false;
         };
-        let room = || pass.widest.holds(&job.queue.service, &job::occupied(step));
-        step.gang || pass.tried == pass::Tried::All || room()
+        let room = || {
+            pass.free_capacity
+                .holds(&job.queue.service, &job::occupied(step))
+        };
+        step.gang || pass.step_filter == pass::StepFilter::All || room()
     }
 
-    /// Keeps the workers for which tickets are on their way.
-    fn keep_promised(&self, candidates: &[pass::Candidate], pass: &mut pass::Pass) {
+    /// Reserves the workers for which tickets are in flight.
+    fn reserve_awaiting_tickets(&self, candidates: &[pass::Candidate], pass: &mut pass::Pass) {
         for candidate in candidates {
             let job = self.jobs.get(&candidate.task.job);
             let step = job.and_then(|job| job.step(&candidate.task));
             let promise = step.and_then(|step| step.advice.promise.as_ref());
             if let Some(promise) = promise.filter(|promise| promise.until > pass.now) {
-                pass.keep(candidate.task, &promise.reservation);
+                pass.reserve(candidate.task, &promise.reservation);
             }
         }
     }
@@ -163,7 +172,8 @@
             let customer = job.customer.as_ref();
             let over_share = customer.is_some_and(|customer| over_share.contains(customer));
             for (occurrence, round) in job.rounds.iter().enumerate() {
-                // Most jobs of a busy fleet wait for nothing but their tasks.
+                // The rank is computed on demand, since most jobs of a busy
+                // fleet have no step that is ready.
                 let mut known_rank = None;
                 for (step, progress) in round.steps.iter().enumerate() {
                     let description = &job.description.steps[step];
@@ -178,26 +188,28 @@
                             task,
                             rank,
                             lost_workers: !progress.crashes.is_empty(),
-                            goes_first: false,
+                            may_query_early: false,
                             reservation: None,
                         });
                     }
                 }
             }
         }
-        // What has lost its worker goes before all else: in quarantine it needs a
-        // place that a stream of other work would take first each time.
+        // Steps with tasks that lost a worker come first: a task in quarantine
+        // needs a worker to itself, which a stream of other work would
+        // otherwise always take first.
         all.sort_by_key(|candidate| (!candidate.lost_workers, candidate.rank));
         all
     }
 
-    /// A task whose losses, or whose start, would be forgotten with this leader is
-    /// not started.
+    /// A task is not started while its lost runs are not in the store: neither
+    /// they nor this start would be known to the next leader.
     fn has_unsaved_losses(&self, id: fleet::JobId, step: &job::Step) -> bool {
         !step.crashes.is_empty() && self.unsaved.contains(id)
     }
 
-    /// Places what it can of a step; true if nothing of it waits any more.
+    /// Places as many tasks of a step as possible. Returns false if some are left
+    /// that need a worker or a ticket.
     fn place_step(&mut self, candidate: &mut pass::Candidate, pass: &mut pass::Pass) -> bool {
         let Some(job) = self.jobs.get(&candidate.task.job) else {
             return true;
@@ -233,11 +245,11 @@
             if !ready {
                 continue;
             }
-            if pass.headroom.times(customer.as_ref(), &room, 1) == 0 {
+            if pass.headroom.startable(customer.as_ref(), &room, 1) == 0 {
                 break;
             }
             let Some(worker) = self.best_worker(&id, description, candidate.rank, pass) else {
-                self.tell_placed(&candidate.task, &placed, pass.now);
+                self.report_placed(&candidate.task, &placed, pass.now);
                 return false;
             };
             let attempt = self.next_attempt(&id);
@@ -245,10 +257,10 @@
                 continue;
             }
             self.start(&id, &worker, attempt, pass.now);
-            pass.headroom.take(customer.as_ref(), &room);
+            pass.headroom.record_start(customer.as_ref(), &room);
             placed.add(worker, attempt);
         }
-        self.tell_placed(&candidate.task, &placed, pass.now);
+        self.report_placed(&candidate.task, &placed, pass.now);
         true
     }
 
@@ -256,7 +268,7 @@
         self.jobs.get(&task.job)?.customer.clone()
     }
 
-    fn tell_placed(&mut self, task: &fleet::TaskId, placed: &Placed, now: time::Instant) {
+    fn report_placed(&mut self, task: &fleet::TaskId, placed: &Placed, now: time::Instant) {
         let Some(job) = self.jobs.get(&task.job).filter(|_| placed.tasks > 0) else {
             return;
         };
@@ -278,7 +290,7 @@
         pass: &mut pass::Pass,
     ) -> bool {
         let Some(workers) = self.gang_workers(candidate, description, pass) else {
-            self.keep_free(candidate, description, pass);
+            self.reserve_for_gang(candidate, description, pass);
             return false;
         };
         let members = (0..description.count).map(|index| fleet::TaskId {
@@ -299,14 +311,14 @@
         let mut placed = Placed::default();
         for (id, worker) in members.iter().zip(workers) {
             self.start(id, &worker, attempt, pass.now);
-            pass.headroom.take(customer.as_ref(), &room);
+            pass.headroom.record_start(customer.as_ref(), &room);
             placed.add(worker, attempt);
         }
-        self.tell_placed(&candidate.task, &placed, pass.now);
+        self.report_placed(&candidate.task, &placed, pass.now);
         true
     }
 
-    /// A worker for each member, or none if one finds no room.
+    /// One worker for each member, or `None` if any member does not fit.
     fn gang_workers(
         &self,
         candidate: &pass::Candidate,
@@ -315,50 +327,55 @@
     ) -> Option<Vec<fleet::WorkerId>> {
         let open = self.open_workers(&candidate.task, description, candidate.rank, pass);
         if !description.same_rack {
-            return places::fill(open, description, description.count);
+            return places::assign_fullest_first(open, description, description.count);
         }
-        let mut by_rack: IndexMap<&str, Vec<places::Place<'_>>> = IndexMap::new();
+        let mut by_rack: IndexMap<&str, Vec<places::OpenWorker<'_>>> = IndexMap::new();
         for place in &open {
             by_rack.entry(place.rack).or_default().push(place.clone());
         }
         let in_one = by_rack
             .into_values()
-            .find_map(|rack| places::fill(rack, description, description.count));
-        in_one.or_else(|| places::fill(open, description, description.count))
+            .find_map(|rack| places::assign_fullest_first(rack, description, description.count));
+        in_one.or_else(|| places::assign_fullest_first(open, description, description.count))
     }
 
-    /// Keeps the workers that become free first until a gang fits.
+    /// Reserves the workers that become free first until a gang fits.
     ///
-    /// Beside a backlog most gangs may neither keep workers nor ask, and nothing
-    /// is reckoned for these. With 150 gangs that wait and 350 workers a pass took
-    /// 10 ms, and new jobs and ends waited for it.
-    fn keep_free(
+    /// In a backlog most gangs may neither reserve workers nor send a query,
+    /// and nothing is computed for these. When it was computed for all, a pass
+    /// took 10 ms with 150 waiting gangs and 350 workers, which delayed new jobs
+    /// and reports of ended tasks.
+    fn reserve_for_gang(
         &self,
         candidate: &mut pass::Candidate,
         description: &fleet::StepDescription,
         pass: &mut pass::Pass,
     ) {
-        let most_reserving = (pass.usable.len() / WORKERS_PER_RESERVING).max(MIN_RESERVING);
-        let may_wait = pass.reserving < most_reserving;
-        if !may_wait && !self.may_ask(&candidate.task) {
+        let max_reserving =
+            (pass.usable.len() / WORKERS_PER_RESERVING_GANG).max(MIN_RESERVING_GANGS);
+        let may_reserve = pass.reserving_gangs < max_reserving;
+        if !may_reserve && !self.may_query(&candidate.task) {
             return;
         }
-        let kept_for_it = pass.gang_in_turn == Some(candidate.task);
+        let is_aging = pass.aging_gang == Some(candidate.task);
         let reservation = self.reserve(&candidate.task, description, pass);
-        if may_wait && reservation.is_none() && !self.could_fit(&candidate.task, description, pass)
+        if may_reserve
+            && reservation.is_none()
+            && !self.could_fit(&candidate.task, description, pass)
         {
             return;
         }
-        let most_first = (self.lanes.lanes.len() / LANES_PER_FIRST).max(MIN_FIRST);
-        candidate.goes_first = pass.reserving < most_first || kept_for_it;
-        pass.reserving += usize::from(reservation.is_none());
+        let max_early_queries =
+            (self.lanes.by_member.len() / CHANNELS_PER_EARLY_GANG).max(MIN_EARLY_GANGS);
+        candidate.may_query_early = pass.reserving_gangs < max_early_queries || is_aging;
+        pass.reserving_gangs += usize::from(reservation.is_none());
         candidate.reservation = reservation.map(|mut reservation| {
-            let soon = !self.lanes.service_is_away()
+            let soon = !self.lanes.service_is_unavailable()
                 && self.starts_soon(&candidate.task, &reservation, pass.now);
-            if soon || kept_for_it || may_wait {
-                pass.keep(candidate.task, &reservation);
-                pass.reserving += usize::from(!soon);
-                reservation.kept = true;
+            if soon || is_aging || may_reserve {
+                pass.reserve(candidate.task, &reservation);
+                pass.reserving_gangs += usize::from(!soon);
+                reservation.active = true;
             }
             reservation
         });
