--- a/crates/figscale-core/src/fleet/action.rs
+++ b/crates/figscale-core/src/fleet/action.rs
@@ -1,192 +1,198 @@
-//! What a scheduler wants done, and what it has to tell.
+//! Actions that the scheduler requests from its owner, and the entries that it
+//! writes to the log.
 
 use std::time;
 
 use figscale_types::fleet;
 use figscale_types::ids;
 
-/// A question to the advisory service, through one entry instance.
+/// A query to the advisory service, sent through one entry instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Question {
-    /// Entry instance that asks; each has one question at a time.
+    /// Entry instance that sends the query; each has at most one in flight.
     pub member: ids::MemberId,
     /// First task of the step.
     pub task: fleet::TaskId,
     /// Workers that could run it.
     pub workers: Vec<fleet::WorkerId>,
-    /// When an answer should be there.
+    /// Expected time until the response.
     pub expected: time::Duration,
 }
 
-/// What is to be carried out.
+/// An action for the owner of the scheduler to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Order a start.
+    /// Send a start order.
     Start {
-        /// To whom.
+        /// Worker that receives it.
         worker: fleet::WorkerId,
         /// The order.
         order: fleet::StartOrder,
     },
-    /// Order a stop.
+    /// Send a stop order.
     Stop {
-        /// To whom.
+        /// Worker that receives it.
         worker: fleet::WorkerId,
-        /// Which task.
+        /// Task to stop.
         task: fleet::TaskId,
-        /// Which start of it.
+        /// Attempt of the task to stop.
         attempt: u32,
     },
-    /// Ask the advisory service.
+    /// Query the advisory service.
     Ask(Question),
-    /// A worker has seen orders of a later term: this one is over.
+    /// End this term: a worker has received orders of a later one.
     StepDown,
-    /// For the log.
+    /// Write an entry to the log.
     Tell(Note),
 }
 
-/// A decision or a change of belief, for the log.
+/// A log entry: a decision, or a change in what is known of jobs and workers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// A job has reached its end.
+    /// A job has ended.
     JobEnded {
-        /// Which.
+        /// The job.
         job: fleet::JobId,
-        /// How.
+        /// Its final state.
         state: fleet::JobState,
-        /// Since its first submission.
+        /// Time since its first submission.
         after: time::Duration,
-        /// Against its latency objective.
+        /// Whether it missed its latency objective.
         late: bool,
     },
     /// Tasks of a step were ordered to workers.
     StepPlaced {
         /// First task of the step.
         task: fleet::TaskId,
-        /// Tasks ordered now.
+        /// Tasks ordered in this pass.
         tasks: usize,
-        /// Workers that they go to.
+        /// Workers that receive them.
         workers: usize,
-        /// Attempt of the last of them.
+        /// Attempt number of the last of them.
         attempt: u32,
-        /// Since the job's submission.
+        /// Time since the job's submission.
         after: time::Duration,
-        /// Until the job is late; none if it is.
+        /// Time left until the job misses its objective; `None` if it has.
         slack: Option<time::Duration>,
     },
-    /// A step could run, waits long and has nothing running.
+    /// A step has been ready for long and has nothing running.
     StepWaits {
         /// First task of the step.
         task: fleet::TaskId,
-        /// Since the job's submission.
+        /// Time since the job's submission.
         waits: time::Duration,
-        /// Tasks that wait.
+        /// Waiting tasks.
         tasks: usize,
         /// Tasks that may still run on a worker that has not reported.
         suspect: usize,
-        /// Tasks that usable workers known to be good hold when empty.
+        /// Tasks that the usable workers approved by the advisory service could
+        /// hold if they were empty.
         good_slots: u64,
-        /// Tasks for which there is room now on usable workers with a valid
-        /// ticket.
+        /// Tasks that fit now on usable workers with a valid ticket.
         ticket_slots: u64,
-        /// Tasks for which there is room now on all usable workers that suit.
+        /// Tasks that fit now on all usable workers that suit the step.
         free_slots: u64,
-        /// A question about the step is on its way.
+        /// Whether a query about the step is in flight.
         asking: bool,
     },
-    /// The advisory service said who may run a step.
+    /// The advisory service responded which workers may run a step.
     AdviceGiven {
         /// First task of the step.
         task: fleet::TaskId,
-        /// Entry instance that asked.
+        /// Entry instance that sent the query.
         member: ids::MemberId,
-        /// Workers asked about.
+        /// Workers in the query.
         asked: usize,
-        /// Of these good.
+        /// Number of these that may run the step.
         good: usize,
     },
-    /// A run on a silent or replaced worker is taken as ended.
+    /// A run on an unresponsive or replaced worker is abandoned: it is taken as
+    /// ended without a report.
     RunGivenUp {
-        /// Which.
+        /// The task.
         task: fleet::TaskId,
-        /// Which start of it.
+        /// Attempt of the task.
         attempt: u32,
-        /// Where.
+        /// Worker that ran it.
         worker: fleet::WorkerId,
-        /// How long the worker has been silent.
+        /// Time since the last contact with the worker.
         silent: time::Duration,
-        /// The worker confirmed that it had begun.
+        /// Whether the worker had confirmed the start.
         begun: bool,
-        /// From its order to the last sign of life of the worker.
+        /// Time from the start order to the last contact with the worker.
         age: time::Duration,
     },
-    /// A job is ended, since workers crash under one of its tasks.
+    /// A job has failed because one of its tasks crashes the workers that run
+    /// it.
     TaskCrashesWorkers {
-        /// Which.
+        /// The task.
         task: fleet::TaskId,
-        /// Its attempts that were lost with their workers.
+        /// Number of its attempts that were lost with their workers.
         losses: usize,
     },
-    /// A run of a task ended other than well.
+    /// A run ended other than successfully.
     RunEnded {
-        /// Which.
+        /// The task.
         task: fleet::TaskId,
-        /// Which start of it.
+        /// Attempt of the task.
         attempt: u32,
-        /// Where.
+        /// Worker that ran it.
         worker: fleet::WorkerId,
-        /// How.
+        /// How it ended.
         end: fleet::End,
     },
-    /// A worker refused a start.
+    /// A worker refused a start order.
     StartRefused {
-        /// Which.
+        /// The task.
         task: fleet::TaskId,
-        /// Which start of it.
+        /// Attempt of the task.
         attempt: u32,
-        /// Where.
+        /// Worker that refused.
         worker: fleet::WorkerId,
-        /// Why.
+        /// Reason given by the worker.
         refusal: fleet::StartRefusal,
     },
-    /// A worker gets no work for a while.
+    /// A worker is ejected: it receives no new work for a while.
     WorkerSetAside {
-        /// Which.
+        /// The worker.
         worker: fleet::WorkerId,
-        /// Why.
+        /// Reason for the ejection.
         cause: &'static str,
     },
-    /// What runs on a worker that is about to leave is stopped there.
+    /// The runs of a worker that is about to leave are stopped there.
     WorkerEvacuated {
-        /// Which.
+        /// The worker.
         worker: fleet::WorkerId,
-        /// Runs there.
+        /// Runs on it.
         runs: usize,
-        /// Until it leaves, at least.
+        /// Least time until it leaves.
         leaves_in: time::Duration,
     },
-    /// What ran on a worker has surely ended, unseen.
+    /// All runs of a worker have certainly ended without a report.
     WorkerLost {
-        /// Which.
+        /// The worker.
         worker: fleet::WorkerId,
-        /// Runs that are given up.
+        /// Runs that are abandoned.
         runs: usize,
     },
-    /// A worker of an earlier term never reported; its lease is over now.
+    /// A worker recorded in an earlier term never reported in this one, and its
+    /// lease is over.
     WorkerUnheard {
-        /// Which.
+        /// The worker.
         worker: fleet::WorkerId,
     },
-    /// A run is stopped since nobody wants it.
+    /// An orphan run, which belongs to no open job or is not the current run of
+    /// its task, is stopped.
     StrayRun {
-        /// Which.
+        /// The task.
         task: fleet::TaskId,
-        /// Which start of it.
+        /// Attempt of the task.
         attempt: u32,
-        /// Where.
+        /// Worker that runs it.
         worker: fleet::WorkerId,
     },
-    /// All that may have been running before this term is accounted for.
+    /// Recovery is complete: all runs that may have been left by earlier terms
+    /// are accounted for.
     Recovered {
         /// Jobs in progress.
         open_jobs: usize,
--- a/crates/figscale-core/src/fleet/admission.rs
+++ b/crates/figscale-core/src/fleet/admission.rs
@@ -1,44 +1,48 @@
-//! Which jobs are refused: those that would end so late that taking them costs
-//! others more than it gives their callers.
+//! Admission control: refuses jobs that would end so late that accepting them
+//! costs other jobs more than their own callers gain.
 //!
-//! A late job gives its caller a fifth of its worth, and after three times its
-//! latency objective nothing. So a job is refused at once, with the time to
-//! come back, when it would end after twice its objective behind the work in
-//! front of it. What is in front is the work of jobs of its priority and above,
-//! over the processors in use. That errs on the long side, since work that can
-//! no longer be in time makes way for work that can.
+//! A job that misses its latency objective is worth a fifth of its value to its
+//! caller, and nothing after three times the objective. So a job is refused at
+//! once, with a time after which to retry, if the work queued ahead of it would
+//! make it end after twice its objective. The work ahead is the remaining work
+//! of all open jobs of the same or a higher priority, divided by the processors
+//! of the usable workers. This overestimates the delay, since work that can no
+//! longer meet its objective yields to work that can.
 
 use std::time;
 
 use super::job;
 use super::scheduler;
 
-/// Bounds of the time told to callers, so that they neither hammer nor vanish.
+/// Bounds of the retry time given to callers: short enough that they do retry,
+/// long enough that they don't overload the leader with repeats.
 const MIN_RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 const MAX_RETRY_AFTER: time::Duration = time::Duration::from_secs(8);
 
-/// What becomes of a submitted job.
+/// Outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is taken once its record is written.
+    /// It is accepted once its record is written.
     Accepted,
-    /// It was taken earlier.
+    /// It was accepted earlier.
     Known,
-    /// Its id is another customer's job.
+    /// Its id belongs to a job of another customer.
     IdTaken,
-    /// A gang of it needs more than its customer may ever have running.
+    /// One of its gangs needs more resources than its customer may ever use.
     TooLarge,
-    /// It is not taken and never runs.
+    /// It is not accepted and never runs.
     Refused {
-        /// When a repeat may be taken.
+        /// Time after which a retry may be accepted.
         retry_after: time::Duration,
-        /// How long the work in front of it lasts.
+        /// Estimated duration of the work queued ahead of it.
         wait: time::Duration,
     },
 }
 
 impl scheduler::Scheduler {
-    /// The refusal of a job that is not worth taking.
+    /// Returns the refusal of a job that would end too late, `None` if it is to
+    /// be accepted. Jobs with occurrences or long-running steps are never
+    /// refused.
     pub(crate) fn refusal(&self, job: &job::Job, now: time::Instant) -> Option<Admission> {
         if job.description.occurrences > 0
             || job.description.steps.iter().any(|step| step.long_running)
@@ -54,7 +58,7 @@
         Some(Admission::Refused { retry_after, wait })
     }
 
-    /// How late a job may begin and still be taken.
+    /// Longest time that a job may wait for other work and still be accepted.
     fn longest_wait(&self, job: &job::Job, now: time::Instant) -> time::Duration {
         let objective = job.objective_at.saturating_duration_since(job.submitted);
         let longest = objective * self.config.max_of_objective_percent / 100;
@@ -65,7 +69,7 @@
         end_by.saturating_duration_since(now).saturating_sub(own)
     }
 
-    /// Time that the work in front of a job takes on all processors.
+    /// Time that the work queued ahead of a job takes on all usable processors.
     fn wait_before(&self, job: &job::Job) -> time::Duration {
         let service = &job.queue.service;
         let of_service = self
--- a/crates/figscale-core/src/fleet/check.rs
+++ b/crates/figscale-core/src/fleet/check.rs
@@ -1,17 +1,19 @@
-//! Whether a described job makes sense, and is built.
+//! Validation of job descriptions.
 //!
-//! Whatever callers send is bounded before anything is made of it: a leader
-//! keeps an entry for each task, and one job must not take its memory.
+//! Sizes that callers send are bounded before anything is allocated for them:
+//! the leader keeps an entry for each task, and a single job must not exhaust
+//! its memory.
 
 use figscale_types::fleet;
 
-/// Most steps of a job; the users' have four at most.
+/// Most steps of a job; the jobs of the users have four at most.
 const MAX_STEPS: usize = 64;
-/// Most tasks of a job, over all occurrences. An entry takes some 200 bytes, so
+/// Most tasks of a job, over all occurrences. An entry takes about 200 bytes, so
 /// one job takes 4 MB at most.
 pub const MAX_TASKS: u32 = 20_000;
 
-/// The first fault of a job, in words for its caller.
+/// Returns a message about the first fault of a job description, for its caller;
+/// `None` if it is valid.
 pub fn fault_of(job: &fleet::JobDescription) -> Option<String> {
     if job.steps.is_empty() || job.steps.len() > MAX_STEPS {
         let steps = job.steps.len();
@@ -31,13 +33,14 @@
     let earlier = |after: &u32| usize::try_from(*after).is_ok_and(|after| after < number);
     if !step.after.iter().all(earlier) {
         return Some(format!(
-            "step {number} waits for a step that is not before it"
+            "step {number} depends on a step that does not precede it"
         ));
     }
-    // Tasks that use what others leave disturb those that serve, and would have
-    // to be slowed down by the moment.
+    // Filler tasks run on processor time that other tasks leave unused. They
+    // disturb tasks that serve requests, and would have to be throttled from
+    // one moment to the next.
     step.filler
-        .then(|| format!("step {number}: tasks that fill are not supported"))
+        .then(|| format!("step {number}: filler tasks are not supported"))
 }
 
 fn too_many_tasks(job: &fleet::JobDescription) -> Option<String> {
--- a/crates/figscale-core/src/fleet/mod.rs
+++ b/crates/figscale-core/src/fleet/mod.rs
@@ -1,19 +1,23 @@
-//! The scheduler of a fleet of workers: jobs in, orders out.
+//! The scheduler of a fleet of workers: takes jobs and issues start and stop
+//! orders.
 //!
-//! One entry instance leads at a time and runs one [`Scheduler`] for its term.
-//! The scheduler is a state machine: it is told what callers, workers, the
-//! advisory service and the store said, with the time, and leaves [`Action`]s
-//! to be carried out. It knows no socket and no clock.
+//! One entry instance is the leader at a time and runs one [`Scheduler`] for its
+//! term. The scheduler is a pure state machine: it receives messages from
+//! callers, workers, the advisory service and the store, each with the current
+//! time, and produces [`Action`]s for its owner to execute. It opens no sockets
+//! and reads no clock.
 //!
-//! What it believes of workers comes from their own reports, so nothing of a
-//! placement is written anywhere: a new leader asks every worker, under its
-//! own higher epoch, and takes the lists as the truth. What must outlive a
-//! leader (jobs, ends that were acknowledged to workers) is in `durable`
-//! records. An end is acknowledged only after its record is in the store.
+//! Its view of the workers comes from their own reports, so placements are not
+//! persisted: a new leader asks every worker for its list of runs, under its own
+//! higher epoch, and treats the lists as authoritative. State that must outlive
+//! a leader (jobs, and ends of runs that were acknowledged to workers) is in
+//! `durable` records. An end is acknowledged only after its record is in the
+//! store.
 //!
-//! One memory for all workers decides better and serves gangs without
-//! agreement between placers; the price is that its processor bounds the rate
-//! of starts, and that a takeover reads everything again.
+//! A single scheduler that sees all workers makes better decisions, and places
+//! gangs without an agreement between several placers. The price is that the
+//! leader's processor bounds the rate of starts, and that a takeover has to read
+//! all state again.
 
 mod action;
 mod admission;
