--- a/crates/figscale-core/src/fleet/crashes.rs
+++ b/crates/figscale-core/src/fleet/crashes.rs
@@ -1,20 +1,21 @@
-//! Tasks that crash each worker that starts them.
+//! Detection of tasks that crash every worker that starts them.
 //!
-//! A worker that crashes reports nothing. What is known is which runs were there,
-//! and how old they were between the last sign of life and the first failed call.
-//! A task that crashes its workers does so soon after its start, each time; a task
-//! that runs beside it, or on a worker that crashes by itself, is lost at any age.
+//! A worker that crashes reports nothing. What is known is which runs it had, and
+//! a range for the age of each: between the last contact and the first failed
+//! call. A task that crashes its workers does so soon after its start, each time;
+//! a task that runs beside it, or on a worker that crashes for another reason, is
+//! lost at any age.
 //!
-//! Each run that is lost young counts against its task, which is then started in
-//! quarantine: nothing else is started on its worker until it has outlived the
-//! runs that were lost. If it does, all is forgotten; if that worker is lost as
-//! well, nothing else there can be the cause. A gang counts as one, since it is
-//! given up as a whole.
+//! Each run that is lost soon after its start ("young") counts against its task.
+//! The task is then retried in quarantine: nothing else is started on its worker
+//! until the run has lived longer than the lost ones had. If it does, its losses
+//! are cleared; if that worker is lost as well, no other run there can be the
+//! cause. A gang counts as one task, since it fails as a whole.
 //!
-//! Losses are in the record of the job's progress, written as soon as a worker
-//! falls silent, and each start in quarantine is announced there before it is
-//! ordered, so that a leader that is lost in between does not make it forgotten. A
-//! worker that is heard again takes its losses back.
+//! Losses are part of the record of the job's progress, which is written as soon
+//! as a worker becomes unresponsive. Each start in quarantine is announced there
+//! before it is ordered, so that the attempt is known even if the leader is lost
+//! in between. When a worker is in contact again, its losses are retracted.
 
 use std::time;
 
@@ -31,33 +32,34 @@
 use super::scheduler;
 use super::worker;
 
-/// A task that crashes its worker does so within this time of its start. While
-/// none of a worker's runs is younger, a crash is nobody's fault.
+/// A task that crashes its worker is expected to do so within this time of its
+/// start. If none of a worker's runs is younger, no task is blamed for a crash.
 pub(crate) const CRASH_WINDOW: time::Duration = time::Duration::from_millis(500);
 /// Losses of older runs count as well, up to this age, since a crash may take
-/// longer; what has outlived it is never given up.
+/// longer. A task that has run for longer is never failed for its losses.
 const MAX_CRASH_AGE: time::Duration = time::Duration::from_millis(3_000);
-/// Losses within this time of the start leave little to chance.
+/// Losses within this time of the start are unlikely to be a coincidence.
 const AT_START: time::Duration = time::Duration::from_millis(200);
-/// Losses after which a task is given up if all were at its start, the last one
-/// with no other young run beside it.
+/// Losses after which a task fails permanently if all of them were at its start
+/// and the last one had no other young run beside it.
 const MAX_LOSSES_AT_START: usize = 2;
-/// Losses after a confirmed start after which a task is given up.
+/// Losses with a confirmed start after which a task fails permanently.
 const MAX_LOSSES: usize = 3;
 
-/// A run that was lost with its worker; of a gang, all members there. Without a
-/// worker it is a start that is announced: it may be lost with its leader.
+/// A run that was lost with its worker; for a gang, all members on that worker.
+/// Without a worker, it is an announced start, whose order may have been lost
+/// with the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Loss {
     attempt: u32,
     worker: Option<fleet::WorkerId>,
-    /// Its age at the worker's last sign of life.
+    /// Its age at the last contact with the worker.
     least_age_ms: u64,
-    /// Its age when the worker was found silent.
+    /// Its age when the worker was found unresponsive.
     most_age_ms: u64,
-    /// The worker had confirmed the start.
+    /// Whether the worker had confirmed the start.
     begun: bool,
-    /// No other run there was young.
+    /// Whether no other run on the worker was young.
     alone: bool,
 }
 
@@ -75,7 +77,8 @@
         self.attempt == attempt && there
     }
 
-    /// Takes in another member of the same gang on the same worker.
+    /// Merges the loss of another member of the same gang on the same worker.
+    /// An announced start is replaced.
     fn merge(&mut self, other: Self) {
         if self.worker.is_none() {
             *self = other;
@@ -87,7 +90,7 @@
     }
 }
 
-/// Losses of one task, or of one gang, that no run has outlived.
+/// Losses of one task, or of one gang, that no later run has outlived.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct History {
     losses: Vec<Loss>,
@@ -119,14 +122,14 @@
         self.losses.iter().any(|loss| loss.attempt == attempt)
     }
 
-    /// Takes a loss back; true if it was known.
+    /// Removes a loss; returns whether it was known.
     fn retract(&mut self, attempt: u32, worker: &fleet::WorkerId) -> bool {
         let before = self.losses.len();
         self.losses.retain(|loss| !loss.is_of(attempt, worker));
         self.losses.len() < before
     }
 
-    /// The start of a run that was lost is confirmed after all.
+    /// Records that the start of a lost run was confirmed after all.
     fn confirm(&mut self, attempt: u32, worker: &fleet::WorkerId) {
         let mut losses = self.losses.iter_mut();
         if let Some(loss) = losses.find(|loss| loss.is_of(attempt, worker)) {
@@ -134,7 +137,8 @@
         }
     }
 
-    /// Attempts with a loss; a gang may lose several workers in one.
+    /// Number of attempts with such a loss; a gang may lose several workers in
+    /// one attempt.
     fn attempts(&self, counts: impl Fn(&Loss) -> bool) -> usize {
         let losses = self.losses.iter().filter(|loss| counts(loss));
         losses
@@ -149,24 +153,25 @@
         losses.filter(move |loss| Some(loss.attempt) == last)
     }
 
-    /// Whether the task is to be started apart from others.
+    /// Whether the next start of the task has to be isolated from other tasks.
     pub(crate) fn needs_quarantine(&self) -> bool {
         self.last().any(Loss::is_young) || self.attempts(|_| true) >= MAX_LOSSES_AT_START
     }
 
-    /// A run that is known to be older than this was not lost for its own fault.
+    /// Age after which a run has outlived the losses: its task is then not their
+    /// cause.
     fn outlived_after(&self) -> time::Duration {
         let ages = self.losses.iter().map(|loss| loss.most_age_ms);
         let longest = time::Duration::from_millis(ages.max().unwrap_or(0));
         longest.clamp(CRASH_WINDOW, MAX_CRASH_AGE)
     }
 
-    /// Attempts that began and were lost with their workers.
+    /// Number of attempts that began and were lost with their workers.
     fn lost(&self) -> usize {
         self.attempts(|loss| loss.begun && loss.worker.is_some())
     }
 
-    /// Whether the task is given up.
+    /// Whether the task is to fail permanently.
     fn is_convicted(&self) -> bool {
         let seen = || self.losses.iter().filter(|loss| loss.worker.is_some());
         let lost = self.lost();
@@ -176,13 +181,13 @@
     }
 }
 
-/// Which of a step's histories a task belongs to: a gang has one.
+/// Key of a task's history in its step; a gang has a single history.
 fn key_of(task: &fleet::TaskId, is_gang: bool) -> u32 {
     if is_gang { 0 } else { task.index }
 }
 
 impl job::Job {
-    /// What is known of workers lost under a task or its gang.
+    /// Losses of a task or its gang, if there are any.
     pub(crate) fn crashes(&self, task: &fleet::TaskId) -> Option<&History> {
         let step = self.step(task).filter(|step| !step.crashes.is_empty())?;
         let is_gang = self.step_description(task)?.gang;
@@ -207,7 +212,7 @@
         }
     }
 
-    /// Forgets all losses of a task or its gang.
+    /// Clears all losses of a task or its gang.
     fn acquit(&mut self, task: &fleet::TaskId) {
         let is_gang = self.step_description(task).is_some_and(|step| step.gang);
         if let Some(step) = self.step_mut(task) {
@@ -217,8 +222,8 @@
 }
 
 impl scheduler::Scheduler {
-    /// A worker has just fallen silent: what it may have crashed under counts as
-    /// lost until it is heard again.
+    /// Handles a worker that has just become unresponsive: runs that may have
+    /// crashed it count as lost until there is contact again.
     pub(crate) fn note_possible_crash(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -234,8 +239,8 @@
         }
     }
 
-    /// Announces an attempt of a task that has lost workers; true if there is
-    /// nothing to announce any more, and it may be ordered.
+    /// Announces an attempt of a task that has losses. Returns true if it is
+    /// announced already, or has no losses, and may be ordered.
     pub(crate) fn announce_start(&mut self, task: &fleet::TaskId, attempt: u32) -> bool {
         let job = self.jobs.get_mut(&task.job);
         let history = job.and_then(|job| job.crashes_mut(task));
@@ -247,7 +252,7 @@
         false
     }
 
-    /// The runs of a worker as losses.
+    /// Losses for the runs of a worker.
     pub(crate) fn losses(
         &self,
         id: &fleet::WorkerId,
@@ -279,7 +284,7 @@
         runs.iter().map(loss).collect()
     }
 
-    /// Whether two runs are the same, or members of the same gang.
+    /// Whether two runs are the same run, or members of the same gang attempt.
     fn are_one(&self, one: &worker::RunKey, other: &worker::RunKey) -> bool {
         let together = one.0.is_of_same_step(&other.0) && one.1 == other.1;
         let is_gang = || {
@@ -298,7 +303,7 @@
         }
     }
 
-    /// A run that counted as lost is heard of again, or has never begun.
+    /// Retracts the loss of a run that was reported again, or never began.
     pub(crate) fn retract_loss(&mut self, id: &fleet::WorkerId, key: &worker::RunKey) {
         let Some(job) = self.jobs.get_mut(&key.0.job) else {
             return;
@@ -314,7 +319,7 @@
         }
     }
 
-    /// A start is confirmed, perhaps after its run was lost.
+    /// Handles the confirmation of a start whose run may count as lost already.
     pub(crate) fn confirm_loss(&mut self, id: &fleet::WorkerId, key: &worker::RunKey) {
         let job = self.jobs.get_mut(&key.0.job);
         if let Some(history) = job.and_then(|job| job.crashes_mut(&key.0)) {
@@ -322,7 +327,7 @@
         }
     }
 
-    /// Forgets losses that a run has outlived, and ends its quarantine.
+    /// Clears the losses that a run has outlived, and ends its quarantine.
     pub(crate) fn check_outlived(&mut self, key: &worker::RunKey) {
         let Some(job) = self.jobs.get(&key.0.job) else {
             return;
@@ -341,7 +346,8 @@
             let runs = worker.runs.iter().filter(|(key, _)| same(key));
             runs.map(move |(_, run)| run.is_confirmed() && run.age_at(heard_at) > needed)
         });
-        // Of a gang that has lost a worker the others go on for a while.
+        // All members must be there: after a gang has lost a worker, its other
+        // members run on for a while.
         if runs.filter(|has_outlived| *has_outlived).count() < members {
             return;
         }
@@ -354,7 +360,7 @@
         }
     }
 
-    /// Ends the job of a task that crashes its workers.
+    /// Fails the job of a task that crashes its workers.
     pub(crate) fn give_up_if_convicted(&mut self, task: &fleet::TaskId, now: time::Instant) {
         self.give_up_if(task, History::is_convicted, now);
     }
@@ -379,9 +385,10 @@
         self.end_job(task.job, fleet::JobState::Failed, now);
     }
 
-    /// Gives up what earlier leaders knew enough of, once all workers are heard.
-    /// They may have recorded a silence and not the answer after it, so it takes
-    /// more losses than to a leader that has seen the last one.
+    /// Fails tasks by the losses that earlier leaders recorded, once recovery is
+    /// complete. A recorded loss may be an unresponsive worker whose later
+    /// answer was not recorded, so this takes `MAX_LOSSES`, more than a leader
+    /// needs that has seen the last loss itself.
     pub(crate) fn give_up_recorded(&mut self, now: time::Instant) {
         let mut tasks = Vec::new();
         for id in &self.open {
@@ -398,7 +405,7 @@
             }
         }
         for task in tasks {
-            // A run of this term may be lost or not.
+            // While a run of the task is known, it may or may not be lost.
             let job = self.jobs.get(&task.job);
             let known = job.and_then(|job| job.task(&task));
             if known.is_some_and(job::Task::is_waiting) {
--- a/crates/figscale-core/src/fleet/durable.rs
+++ b/crates/figscale-core/src/fleet/durable.rs
@@ -1,9 +1,10 @@
-//! What outlives a leader: a record for each job and one for its progress.
+//! Records that outlive a leader: one for each job and one for its progress.
 //!
-//! The record of a job is written before its caller hears that it is accepted.
-//! Progress is a record of its own, so that a few bytes and not the whole job
-//! are written again when tasks end. At the end of a job both are replaced by
-//! a short record of its outcome, which answers late repeats and questions.
+//! The record of a job is written before its caller is told that the job is
+//! accepted. Progress is a separate record, so that only a few bytes, and not the
+//! whole job, are written when tasks end. At the end of a job both are replaced
+//! by a short record of its outcome, from which late repeats of the submission
+//! and queries of its state are answered.
 
 use std::error;
 use std::fmt;
@@ -15,44 +16,44 @@
 use super::crashes;
 use super::maps;
 
-/// First byte of each record, for records of other layouts to come.
+/// First byte of each record: the version of the layout.
 const LAYOUT: u8 = 1;
 
-/// Which record.
+/// Identifies a record in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RecordKey {
     /// A job, or its outcome.
     Job(fleet::JobId),
     /// Progress of a job.
     Progress(fleet::JobId),
-    /// The workers that may run something.
+    /// The workers that may have runs.
     Workers,
 }
 
-/// A record to be written, or removed where there are no bytes.
+/// A record to be written or removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Which.
+    /// The record's key.
     pub key: RecordKey,
-    /// Its bytes.
+    /// Its encoded value; `None` removes the record.
     pub bytes: Option<Vec<u8>>,
 }
 
-/// Records that are to be written together with what depends on them.
+/// Records for one transaction, and the changes that depend on it.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// The records.
+    /// The records of the transaction.
     pub records: Vec<Record>,
-    /// Jobs that may be told as accepted once the records are written.
+    /// New jobs, which are reported as accepted once the records are written.
     pub(crate) created: Vec<fleet::JobId>,
-    /// Workers that may be used once the records are written; `None` where
-    /// that does not change.
+    /// Workers that may be used once the records are written; `None` if the
+    /// record of workers is not among them.
     pub(crate) recorded: Option<maps::WorkerSet>,
-    /// Jobs of the records.
+    /// Jobs that the records belong to.
     pub(crate) jobs: Vec<fleet::JobId>,
 }
 
-/// A record that cannot be read.
+/// An error for a record that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordError(String);
 
@@ -97,17 +98,17 @@
     pub(crate) rounds: Vec<Vec<StepProgress>>,
 }
 
-/// Whose a job is, behind the job in its record, where earlier versions do not
-/// look.
+/// Customer of a job. It follows the job in its record, where earlier versions do
+/// not read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CustomerRecord {
     pub(crate) customer: Option<fleet::CustomerName>,
-    /// Of an ended job: room of its runs that had not ended.
+    /// For an ended job: resources of its runs that had not ended.
     pub(crate) left_running: fleet::Room,
 }
 
-/// Workers lost under a task; behind the progress in its record, where earlier
-/// versions do not look.
+/// Losses of a task or gang. They follow the progress in its record, where earlier
+/// versions do not read.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct CrashRecord {
     pub(crate) round: u32,
@@ -119,8 +120,8 @@
 pub(crate) fn encode<T: Serialize>(record: &T) -> Vec<u8> {
     let mut bytes = vec![LAYOUT];
     let config = bincode::config::standard();
-    // Plain data written to memory cannot fail; an empty record is refused
-    // when it is read.
+    // Encoding plain data into memory cannot fail. If it did, the record would
+    // have no body, and decoding it would be an error.
     if let Ok(body) = bincode::serde::encode_to_vec(record, config) {
         bytes.extend(body);
     }
@@ -134,8 +135,8 @@
     decode_first(body).map(|(record, _)| record)
 }
 
-/// Reads a record with what was added behind it; one of an earlier version ends
-/// before that.
+/// Decodes a record and the value that later versions append to it; the latter is
+/// the default for a record of an earlier version.
 pub(crate) fn decode_both<T, M>(bytes: &[u8]) -> Result<(T, M), RecordError>
 where
     T: serde::de::DeserializeOwned,
@@ -152,7 +153,7 @@
     Ok((record, more))
 }
 
-/// Reads a value and says how many bytes it took.
+/// Decodes a value; returns it with the number of bytes read.
 fn decode_first<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<(T, usize), RecordError> {
     let decoded = bincode::serde::decode_from_slice(bytes, bincode::config::standard());
     decoded.map_err(|error| RecordError(error.to_string()))
--- a/crates/figscale-core/src/fleet/job.rs
+++ b/crates/figscale-core/src/fleet/job.rs
@@ -1,4 +1,4 @@
-//! A job in progress: occurrences, steps and tasks.
+//! State of a job: its occurrences ("rounds"), their steps and tasks.
 
 use std::sync;
 use std::time;
@@ -11,35 +11,36 @@
 use super::maps;
 use super::reserve;
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// It runs nowhere.
+    /// It is not ordered to any worker.
     #[default]
     Waiting,
-    /// It was ordered to a worker and has not ended there.
+    /// It was ordered to a worker, and is not known to have ended there.
     Placed {
         worker: fleet::WorkerId,
         attempt: u32,
     },
-    /// It ended well.
+    /// It ended successfully.
     Done,
 }
 
-/// One task.
+/// State of one task of a step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Task {
     pub(crate) state: TaskState,
-    /// Runs that failed, by attempt. Workers tell an end again to each leader
-    /// until it is acknowledged, and ends of different workers in any order.
+    /// Attempts that failed. They are kept as a list and not as a count, since
+    /// workers report an end to each leader until it is acknowledged, and ends
+    /// on different workers arrive in any order.
     pub(crate) failed_attempts: Vec<u32>,
-    /// Highest attempt ordered.
+    /// Highest attempt number ordered.
     pub(crate) attempt: u32,
-    /// From where it can resume; empty for from the beginning.
+    /// Checkpoint from which it can resume; empty to begin anew.
     pub(crate) checkpoint: String,
-    /// Where it failed last.
+    /// Worker on which it failed last.
     pub(crate) failed_on: Option<fleet::WorkerId>,
-    /// It may still run on a worker that has not reported in this term.
+    /// Whether it may still run on a worker that has not reported in this term.
     pub(crate) suspect: bool,
 }
 
@@ -52,60 +53,62 @@
         self.state == TaskState::Done
     }
 
-    /// Whether this run is the one that the task stands on.
+    /// Whether this run is the current one of the task.
     pub(crate) fn runs_as(&self, worker: &fleet::WorkerId, attempt: u32) -> bool {
         matches!(&self.state, TaskState::Placed { worker: w, attempt: a } if w == worker && *a == attempt)
     }
 }
 
-/// A ticket with its end.
+/// A ticket with its expiry.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldTicket {
     pub(crate) token: String,
     pub(crate) valid_until: time::Instant,
 }
 
-/// A question that is on its way to the advisory service.
+/// A query to the advisory service that is in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Asking {
-    /// Entry instance that asks.
+    /// Entry instance that sent the query.
     pub(crate) member: ids::MemberId,
     pub(crate) workers: maps::WorkerSet,
     pub(crate) answered_at: time::Instant,
 }
 
-/// Workers kept for a gang while tickets for them are on their way.
+/// Commitment of a reservation to a gang while tickets for its workers are in
+/// flight.
 #[derive(Clone, Debug)]
 pub(crate) struct Promise {
     pub(crate) reservation: reserve::Reservation,
     pub(crate) until: time::Instant,
 }
 
-/// What the advisory service said of a step.
+/// Responses of the advisory service for a step, and the state of its queries.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepAdvice {
-    /// Whether a worker may run the step; that never changes.
+    /// Whether a worker may run the step; a verdict never changes.
     pub(crate) verdicts: maps::WorkerMap<bool>,
-    /// Tickets held.
+    /// Tickets held, by worker.
     pub(crate) tickets: maps::WorkerMap<HeldTicket>,
-    /// The question that is on its way.
+    /// The query in flight.
     pub(crate) asking: Option<Asking>,
-    /// Workers that stay kept until the answer to its last question is there.
+    /// Workers that stay reserved until the response to the last query is due.
     pub(crate) promise: Option<Promise>,
-    /// Since when an overdue step needs a question and has found no lane.
+    /// Since when the overdue step has needed a query and found no free advice
+    /// channel.
     pub(crate) lane_wanted_since: Option<time::Instant>,
-    /// No question before this time, after one that was not answered.
+    /// Earliest time of the next query, after one without a response.
     pub(crate) not_before: Option<time::Instant>,
 }
 
-/// Progress of one step of one occurrence.
+/// State of one step of one occurrence.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Step {
     pub(crate) tasks: Vec<Task>,
     pub(crate) advice: StepAdvice,
-    /// Failed runs of the step as a gang, by attempt.
+    /// Failed attempts of the step as a gang.
     pub(crate) gang_failed_attempts: Vec<u32>,
-    /// Workers lost under its tasks, by index; a gang has the index 0.
+    /// Losses of its tasks, by index; a gang has the index 0.
     pub(crate) crashes: IndexMap<u32, crashes::History>,
 }
 
@@ -119,21 +122,21 @@
     }
 }
 
-/// Adds an attempt that failed, unless it is known.
+/// Adds a failed attempt unless it is known.
 pub(crate) fn note_failed(attempts: &mut Vec<u32>, attempt: u32) {
     if !attempts.contains(&attempt) {
         attempts.push(attempt);
     }
 }
 
-/// One occurrence of a job.
+/// State of one occurrence of a job.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Round {
     pub(crate) steps: Vec<Step>,
-    /// When it fell due, if that is not the submission of its job.
+    /// When it fell due; `None` if that is the submission of its job.
     pub(crate) due_at: Option<time::Instant>,
-    /// A worker told of it before it was due here: an earlier leader's time of
-    /// day was ahead.
+    /// Whether a worker reported it before it is due by this leader's clock: the
+    /// wall clock of an earlier leader was ahead.
     pub(crate) ahead: bool,
 }
 
@@ -153,7 +156,8 @@
         }
     }
 
-    /// Its tasks may have been started by an earlier leader.
+    /// Marks its unfinished tasks as suspect: an earlier leader may have started
+    /// them.
     pub(crate) fn suspect(&mut self) {
         for task in self.steps.iter_mut().flat_map(|step| &mut step.tasks) {
             task.suspect = !task.is_done();
@@ -164,13 +168,15 @@
         self.steps.iter().all(Step::is_done)
     }
 
-    /// Whether it is due and all steps that a step waits for are done.
+    /// Whether a step can run: the occurrence is due and all steps that the step
+    /// depends on are done.
     pub(crate) fn is_ready(&self, description: &fleet::JobDescription, step: usize) -> bool {
         let mut after = description.steps[step].after.iter();
         !self.ahead && after.all(|after| self.steps[*after as usize].is_done())
     }
 
-    /// Longest chain of estimates of what is not done.
+    /// Length of the critical path through the steps that are not done, by their
+    /// estimates.
     pub(crate) fn remaining_ms(&self, description: &fleet::JobDescription) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for (progress, step) in self.steps.iter().zip(&description.steps) {
@@ -191,34 +197,36 @@
     }
 }
 
-/// A job in progress, or a finished one that callers may still ask about.
+/// A job in progress, or an ended one whose outcome is kept for callers.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) id: fleet::JobId,
     pub(crate) queue: sync::Arc<fleet::Queue>,
-    /// Whose it is, where calls carry keys.
+    /// Its customer, if calls carry keys.
     pub(crate) customer: Option<fleet::CustomerName>,
     pub(crate) description: sync::Arc<fleet::JobDescription>,
-    /// Since 1970; kept in the store.
+    /// Unix time of the submission; part of its record.
     pub(crate) submitted_wall_ms: u64,
     pub(crate) submitted: time::Instant,
-    /// Ending later earns less.
+    /// End of its latency objective: the job is worth less if it ends later.
     pub(crate) objective_at: time::Instant,
     pub(crate) rounds: Vec<Round>,
-    /// Some task has started.
+    /// Whether any task has started.
     pub(crate) started: bool,
     pub(crate) end: Option<fleet::JobState>,
-    /// What a task of each step occupies, also after the job's end: what is
-    /// being stopped still takes room.
+    /// Resources that a task of each step occupies. Kept after the job's end,
+    /// since runs that are being stopped still occupy them.
     pub(crate) rooms: Vec<fleet::Room>,
-    /// Room of its runs that had not ended when the job did, by the record of its
-    /// end.
+    /// Resources of the runs that had not ended when the job did, according to
+    /// the record of its end.
     pub(crate) left_running: fleet::Room,
-    /// The caller may be told that it is accepted, and tasks may start.
+    /// Whether its record is in the store. Only then is it reported as accepted
+    /// and may its tasks start.
     pub(crate) stored: bool,
-    /// The store holds a record of progress.
+    /// Whether the store holds a record of its progress.
     pub(crate) progress_stored: bool,
-    /// An earlier leader took it, and may have started what no record tells of.
+    /// Whether an earlier leader accepted it. That leader may have started tasks
+    /// that are in no record.
     pub(crate) loaded: bool,
 }
 
@@ -268,13 +276,13 @@
         self.end.is_none()
     }
 
-    /// Whether every occurrence has come and is done.
+    /// Whether all occurrences have fallen due and are done.
     pub(crate) fn all_done(&self) -> bool {
         let occurrences = self.description.occurrences.max(1) as usize;
         self.rounds.len() >= occurrences && self.rounds.iter().all(Round::is_done)
     }
 
-    /// Adds the occurrences that are due, how many.
+    /// Adds the occurrences that are due; returns how many were added.
     pub(crate) fn add_due_rounds(&mut self, now: time::Instant, wall_ms: u64) -> usize {
         let mut added = 0;
         for number in 0..self.description.occurrences as usize {
@@ -293,7 +301,8 @@
         added
     }
 
-    /// Adds the occurrences up to one that a worker tells of, how many.
+    /// Adds the occurrences up to one that a worker reported; returns how many
+    /// were added.
     pub(crate) fn add_rounds_ahead(&mut self, occurrence: u32, now: time::Instant) -> usize {
         let known = self.rounds.len();
         if occurrence < self.description.occurrences {
@@ -312,7 +321,8 @@
         &mut self.rounds[number]
     }
 
-    /// The last so many occurrences may have been begun by an earlier leader.
+    /// Marks the last `rounds` occurrences as suspect: an earlier leader may have
+    /// begun them.
     pub(crate) fn suspect_last(&mut self, rounds: usize) {
         for round in self.rounds.iter_mut().rev().take(rounds) {
             round.suspect();
@@ -346,7 +356,7 @@
         self.description.steps.get(id.step as usize)
     }
 
-    /// Processor time, in core milliseconds, that is still to be done.
+    /// Processor time of the tasks that are not done, in core milliseconds.
     pub(crate) fn remaining_core_ms(&self) -> u64 {
         let of_step = |(progress, step): (&Step, &fleet::StepDescription)| {
             let left = progress.tasks.iter().filter(|task| !task.is_done()).count() as u64;
@@ -359,7 +369,7 @@
             .sum()
     }
 
-    /// Ends the job; what runs of it is the caller's to stop.
+    /// Ends the job and drops its occurrences. The caller has to stop its runs.
     pub(crate) fn finish(&mut self, end: fleet::JobState) {
         self.end = Some(end);
         self.rounds = Vec::new();
@@ -367,7 +377,8 @@
     }
 }
 
-/// What a task of a step takes from a worker's room.
+/// Resources that a task of a step occupies on a worker; a filler takes no
+/// processor.
 pub(crate) fn occupied(step: &fleet::StepDescription) -> fleet::Room {
     match step.filler {
         true => fleet::Room {
@@ -378,11 +389,12 @@
     }
 }
 
-/// Workers that the objective allows one question about, a step.
+/// Workers in a step's query for which the objective allows time.
 const ADVISED_WORKERS: usize = 30;
 
-/// Time from the first send in which a job should end: its own length, with the
-/// advice that its steps need, stretched, and the queue's constant part.
+/// Latency objective of a job, from its first submission: its critical path,
+/// including a query to the advisory service for each step, times the queue's
+/// stretch factor, plus the queue's constant part.
 pub(crate) fn objective(queue: &fleet::Queue, job: &fleet::JobDescription) -> time::Duration {
     let advice_ms = queue
         .advice
