--- a/crates/figscale-core/src/fleet/leaving.rs
+++ b/crates/figscale-core/src/fleet/leaving.rs
@@ -1,15 +1,17 @@
-//! Workers that leave after a notice: their work is moved before they are gone.
+//! Evacuation of workers that leave after a notice: their work is moved before
+//! they are gone.
 //!
-//! Whatever still runs on a worker when it leaves ends unseen, and its tasks may
-//! start elsewhere only when the worker's lease is surely over, some 5 s later,
-//! without what they had saved since the last report. A stop shortly before
-//! takes 0.9 s at most, brings the newest checkpoint and proves the end. Work
-//! that ends before that time goes on undisturbed.
+//! Runs that are still on a worker when it leaves end without a report. Their
+//! tasks may start elsewhere only once the worker's lease is certainly over, about
+//! 5 s later, and without the checkpoints made since the last report. Stopping
+//! them shortly before the worker leaves takes 0.9 s at most, yields the newest
+//! checkpoint and proves that they ended. Runs that end before that time are not
+//! disturbed.
 //!
-//! A leaving worker on which nothing runs any more is taken off the record of
-//! workers that may run something, so that the next leader does not wait for its
-//! lease. Two workers that had just left held up all tasks that a new leader did
-//! not find, for 5.85 s.
+//! A leaving worker without any runs is removed from the record of workers that
+//! may have runs, so that the next leader does not wait for its lease. Otherwise
+//! two workers that had just left delayed, for 5.85 s, all tasks that a new leader
+//! did not find.
 
 use std::time;
 
@@ -20,12 +22,14 @@
 use super::scheduler;
 use super::worker;
 
-/// Kept of a worker's notice beside the time that stops take: its entry was up
-/// to 0.8 s old when it was read, and the order takes its way.
+/// Margin before a worker leaves, in addition to the time that stops take: its
+/// entry was up to 0.8 s old when it was read, and the stop orders take time to
+/// arrive.
 const EVACUATION_MARGIN: time::Duration = time::Duration::from_millis(1_000);
 
 impl scheduler::Scheduler {
-    /// A draining worker says that it goes on at least until then.
+    /// Records that a draining worker goes on until `at` at least. Of several
+    /// such times the earliest counts.
     pub fn worker_leaves(&mut self, id: &fleet::WorkerId, at: time::Instant) {
         if let Some(worker) = self.workers.get_mut(id) {
             let known = worker.leaves_at.unwrap_or(at);
@@ -33,7 +37,7 @@
         }
     }
 
-    /// Stops what still runs on workers that are about to leave.
+    /// Stops the runs of workers that are about to leave.
     pub(crate) fn evacuate(&mut self, now: time::Instant) {
         let notice = self.config.stop_limit + EVACUATION_MARGIN;
         let due = |worker: &worker::Worker| {
--- a/crates/figscale-core/src/fleet/losses.rs
+++ b/crates/figscale-core/src/fleet/losses.rs
@@ -1,35 +1,37 @@
-//! How long a worker may be asked to wait for an end, by the answers lost lately.
+//! How long a call for a report may wait at a worker, depending on whether answers
+//! were lost recently.
 //!
-//! A call for a report waits at the worker until something ends there. When
-//! such a call or its answer is lost, everything that ends on that worker stays
-//! unseen until the call is given up, and packing puts the tasks of many jobs on
-//! one worker. Shorter waits bound that time and cost more calls, so they are
-//! used only while answers get lost.
+//! A call for a report is a long poll: it waits at the worker until a run ends
+//! there. When such a call or its answer is lost, all ends on that worker stay
+//! unknown until the call times out, and packing puts the tasks of many jobs on
+//! one worker. Shorter waits bound that time but cost more calls, so they are used
+//! only while answers get lost.
 //!
 //! A call counts as lost when a second one, sent later, was answered first: the
-//! worker is there and the first call is not coming back. A worker that answers
-//! neither is silent, which shorter waits would not help.
+//! worker responds, and the first call will not return. A worker that answers
+//! neither is unresponsive, and shorter waits would not help then.
 
 use std::time;
 
-/// Wait while nothing gets lost, half of what workers allow. Leases and what is
-/// known of a worker are at most this old.
+/// Wait while no answers get lost: half of what workers allow. It bounds the age
+/// of leases and of what is known of a worker.
 const USUAL_WAIT: time::Duration = time::Duration::from_millis(1_000);
-/// Wait while answers get lost: ends are hidden for 0.4 s in place of 1.15 s,
-/// for four times the calls of workers that have nothing to tell.
+/// Wait while answers get lost: ends stay unknown for 0.4 s instead of 1.15 s, at
+/// the price of four times the calls to workers that have nothing to report.
 const WARY_WAIT: time::Duration = time::Duration::from_millis(250);
-/// Losses come in spells of seconds. With one call in thirty lost, fifty workers
-/// show several a second, so a spell is surely over after this time.
+/// Time without a lost answer after which the loss has ended. Losses come in
+/// periods of seconds. With one call in thirty lost, fifty workers show several
+/// losses a second, so a period is certainly over after this time.
 const WARY_FOR: time::Duration = time::Duration::from_secs(3);
 
-/// When an answer was last lost.
+/// Tracks when an answer of any worker was last lost.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Losses {
     last: Option<time::Instant>,
 }
 
 impl Losses {
-    /// A call was lost on the way to a worker that answers.
+    /// Records that a call to a responsive worker, or its answer, was lost.
     pub fn note(&mut self, now: time::Instant) {
         self.last = Some(now);
     }
--- a/crates/figscale-core/src/fleet/records.rs
+++ b/crates/figscale-core/src/fleet/records.rs
@@ -1,14 +1,15 @@
-//! Which records are to be written, and what hangs on their writing.
+//! Selection of records for the next transaction, and what depends on the write.
 //!
-//! A transaction holds so many records; what does not fit waits for the next.
-//! New jobs and changes of others take turns in it. Callers wait for the former,
-//! and the latter must not wait for them: an end that is not in the store is
-//! lost if its worker leaves before the next leader has asked it, and its task
-//! runs again. Beside a leader that wrote 280 records a second, and a burst of
-//! as many new jobs, ends once stayed out of the store for four seconds. Among
-//! the changes the ends go first whose workers are about to leave.
-//! A job may start, a worker be used, an end be acknowledged only after the
-//! records that say so are in the store.
+//! A transaction holds a limited number of records; the rest wait for the next
+//! one. New jobs and changes of other jobs alternate in it. Callers wait for the
+//! new jobs, but changes must not wait behind them: an end that is not in the store
+//! is lost if its worker leaves before the next leader has asked it, and its task
+//! runs again. With a leader that wrote 280 records a second, and a burst of as
+//! many new jobs, ends once took four seconds to reach the store. Among the
+//! changes, jobs with ends on workers that are about to leave go first.
+//!
+//! A job may start, a worker may be used and an end may be acknowledged only after
+//! the corresponding records are in the store.
 
 use std::iter;
 
@@ -21,9 +22,9 @@
 use super::worker;
 
 impl scheduler::Scheduler {
-    /// At most `most` records of what has changed, for one transaction. They must
-    /// be written and then confirmed, or given back. Other records may be taken
-    /// meanwhile.
+    /// Takes at most `most` records of changes, for one transaction. The caller
+    /// has to write them and then call [`Self::records_written`] or
+    /// [`Self::records_not_written`]. Other records may be taken meanwhile.
     pub fn take_records(&mut self, most: usize) -> durable::Records {
         let mut records = durable::Records::default();
         self.add_workers_record(&mut records);
@@ -50,7 +51,8 @@
         records
     }
 
-    /// Jobs with ends that cannot be told again for long: their workers leave.
+    /// Jobs with unacknowledged ends on draining workers, which will soon be
+    /// unable to report them again.
     fn ended_on_leaving(&self) -> IndexSet<fleet::JobId> {
         let leaving = self.workers.values();
         let leaving = leaving.filter(|worker| worker.entry.draining);
@@ -59,9 +61,10 @@
             .collect()
     }
 
-    /// Before a worker is used for the first time, its id is written, so that
-    /// the next leader knows whom to ask; and after it has gone, so that the
-    /// next leader does not wait for its lease.
+    /// Adds the record of workers if it has to be written. It is written before
+    /// a worker is used for the first time, so that the next leader knows to ask
+    /// it, and after a worker has gone, so that the next leader does not wait
+    /// for its lease.
     fn add_workers_record(&mut self, records: &mut durable::Records) {
         if self.recording || !self.record_differs {
             return;
@@ -75,7 +78,7 @@
             .filter(|(_, worker)| !worker.is_retired());
         let ids = used.map(|(id, _)| id).chain(self.unheard.keys());
         let ids: maps::WorkerSet = ids.cloned().collect();
-        // Whoever is about to be left out gets nothing more.
+        // Workers that this record leaves out get no more work from now on.
         let mut recorded = self.recorded.clone();
         recorded.retain(|id| ids.contains(id));
         self.set_recorded(recorded);
@@ -87,7 +90,7 @@
         records.recorded = Some(ids);
     }
 
-    /// Takes note of the workers that the store names.
+    /// Sets the workers that are named by the record in the store.
     pub(crate) fn set_recorded(&mut self, recorded: maps::WorkerSet) {
         for (id, worker) in &mut self.workers {
             worker.recorded = recorded.contains(id);
@@ -95,6 +98,8 @@
         self.recorded = recorded;
     }
 
+    /// Whether the record of workers in the store does not match the workers that
+    /// may have runs.
     pub(crate) fn workers_record_differs(&self) -> bool {
         let used = |id: &fleet::WorkerId| {
             let worker = self.workers.get(id);
@@ -109,15 +114,15 @@
         self.workers.values().any(unrecorded)
     }
 
-    /// Whether records wait that somebody waits for: callers, or workers that
-    /// cannot be used yet.
+    /// Whether there are urgent records: of new jobs, whose callers wait, or of
+    /// workers that cannot be used before.
     pub fn has_urgent_records(&self) -> bool {
         let unstored = |id: &fleet::JobId| self.jobs.get(id).is_some_and(|job| !job.stored);
         let new = self.unsaved.ready().any(|id| unstored(&id));
         new || !self.recording && self.has_unrecorded_workers()
     }
 
-    /// Whether anything waits to be written or acknowledged.
+    /// Whether there are records to be written or ends to be acknowledged.
     pub fn has_records(&self) -> bool {
         let unacknowledged = |worker: &worker::Worker| worker.taken_in > worker.acknowledged;
         self.unsaved.ready().next().is_some()
@@ -125,14 +130,14 @@
             || !self.recording && self.record_differs
     }
 
-    /// Whether ends of a worker wait to be acknowledged.
+    /// Whether a worker has ends that are not acknowledged yet.
     pub fn has_unacknowledged(&self, id: &fleet::WorkerId) -> bool {
         self.workers
             .get(id)
             .is_some_and(|worker| worker.taken_in > worker.acknowledged)
     }
 
-    /// All of `records` are in the store.
+    /// Confirms that all of `records` are in the store.
     pub fn records_written(&mut self, records: &durable::Records) {
         for id in &records.created {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -152,8 +157,9 @@
         }
     }
 
-    /// None of `records` is in the store or ever will be. Jobs that would have
-    /// been created are forgotten; the rest is written with the next records.
+    /// Reports that none of `records` is in the store or ever will be. Jobs that
+    /// they would have created are dropped; the other changes are written with
+    /// later records.
     pub fn records_not_written(&mut self, records: &durable::Records) {
         if records.recorded.is_some() {
             self.recording = false;
@@ -167,8 +173,8 @@
     }
 }
 
-/// New jobs and changed ones by turns, each in their order, as long as there
-/// are both.
+/// Alternates between changed and new jobs, each in their order; when one kind is
+/// exhausted, the rest of the other follows.
 fn in_turn(
     new: Vec<fleet::JobId>,
     changed: Vec<fleet::JobId>,
--- a/crates/figscale-core/src/fleet/recovery.rs
+++ b/crates/figscale-core/src/fleet/recovery.rs
@@ -1,13 +1,13 @@
-//! Records of jobs, and how a new leader takes up where the last one ended.
+//! Records of jobs, and recovery of a new leader from them.
 //!
 //! Tasks of loaded jobs may still run on any worker. Until every worker of the
-//! last term has reported, or its lease is surely over, a task that was not
-//! found stays where it is: it may run on a worker that has not been heard.
+//! last term has reported, or its lease is certainly over, a task that was not
+//! found is suspect and not started: it may run on a worker that has not reported.
 //! Jobs submitted in this term do not wait for that.
 //!
-//! A leader begins an occurrence without waiting for a record that says so. The
-//! next one takes each that falls due meanwhile for begun, and adds those that
-//! workers tell of.
+//! A leader begins an occurrence without first writing a record of it. So the next
+//! leader treats each occurrence that falls due during recovery as begun, and adds
+//! those that workers report.
 
 use std::sync;
 use std::time;
@@ -22,6 +22,7 @@
 use super::scheduler;
 
 impl scheduler::Scheduler {
+    /// Adds the records of a job that have to be written or removed.
     pub(crate) fn add_records(&mut self, id: fleet::JobId, records: &mut durable::Records) {
         let left_running = self.room_of_runs(id);
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Room of the runs of an ended job of a customer that have not ended.
+    /// Resources of the runs that an ended job of a customer still has; zero for
+    /// other jobs.
     fn room_of_runs(&self, id: fleet::JobId) -> fleet::Room {
         let ended = |job: &&job::Job| !job.is_open() && job.customer.is_some();
         if self.jobs.get(&id).filter(ended).is_none() {
@@ -71,7 +73,7 @@
         own.fold(fleet::Room::default(), |sum, (_, run)| sum.plus(&run.room))
     }
 
-    /// Takes in the record of a job that an earlier leader wrote.
+    /// Loads the record of a job that an earlier leader wrote.
     pub fn load_job(
         &mut self,
         id: fleet::JobId,
@@ -134,7 +136,7 @@
         Ok(())
     }
 
-    /// Takes in the record of a loaded job's progress.
+    /// Loads the record of a loaded job's progress.
     pub fn load_progress(
         &mut self,
         id: fleet::JobId,
@@ -168,15 +170,17 @@
         Ok(())
     }
 
-    /// Reads the record of workers that may run something.
+    /// Decodes the record of workers that may have runs.
     pub fn recorded_workers(bytes: &[u8]) -> Result<Vec<fleet::WorkerId>, durable::RecordError> {
         durable::decode(bytes)
     }
 
-    /// Ends the loading: tasks that have not ended may run on any of
-    /// `workers`, each until its lease of the last term is over.
+    /// Begins recovery after all records are loaded: tasks that have not ended
+    /// may run on any of `workers`, each until its lease of the last term is
+    /// over.
     pub fn begin_recovery(&mut self, workers: Vec<fleet::WorkerId>, now: time::Instant) {
-        // A lease sent at the very end, on a slow clock, and the kill after it.
+        // A lease sent at the very end of the last term, on a slow clock, and
+        // the time that the worker then takes to end its tasks.
         let until = now + self.config.lease * 11 / 10 + self.config.stop_limit;
         self.set_recorded(workers.iter().cloned().collect());
         self.unheard = workers.into_iter().map(|worker| (worker, until)).collect();
@@ -186,14 +190,16 @@
                 continue;
             };
             for round in &mut job.rounds {
-                // When an occurrence fell due is not in the records.
+                // The records don't contain when an occurrence fell due.
                 round.due_at = (job.description.occurrences > 0).then_some(now);
                 round.suspect();
             }
         }
     }
 
-    /// Frees the tasks that surely run nowhere once nobody is unheard.
+    /// Completes recovery once each worker of the last term has reported or its
+    /// lease is over: tasks that were not found certainly run nowhere then, and
+    /// may be started.
     pub(crate) fn check_recovery(&mut self, now: time::Instant) {
         let over =
             |(id, until): (&fleet::WorkerId, &time::Instant)| (now >= *until).then(|| id.clone());
@@ -226,7 +232,8 @@
         self.stop_partial_gangs(now);
     }
 
-    /// A gang that the last leader had not started whole begins again.
+    /// Stops gangs of which the last leader had started only some members, so
+    /// that they begin anew.
     fn stop_partial_gangs(&mut self, now: time::Instant) {
         let mut partial = Vec::new();
         for id in &self.open {
--- a/crates/figscale-core/src/fleet/report.rs
+++ b/crates/figscale-core/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What workers report: what runs there and what has ended.
+//! Reports of workers: their runs, and the runs that have ended.
 
 use std::time;
 
@@ -12,12 +12,12 @@
 use super::worker;
 
 impl scheduler::Scheduler {
-    /// What the next call for a worker's report should carry; `None` for one
-    /// that is unknown or replaced. The lease is reckoned as sent.
+    /// Returns what the next call for a worker's report has to carry; `None` if
+    /// the worker is unknown or replaced. The lease counts as sent from then on.
     ///
-    /// The lease counts from the worker's last reading and not from now. So a
-    /// silent worker's is not extended by calls that might still reach it, and
-    /// what runs there can be given up in the end.
+    /// The lease starts at the last reading of the worker's clock and not now.
+    /// So the lease of an unresponsive worker is not extended by calls that might
+    /// still reach it, and its runs can be abandoned in the end.
     pub fn report_due(&mut self, id: &fleet::WorkerId) -> Option<worker::ReportDue> {
         let lease_ms = super::lease::millis(self.config.lease);
         let worker = self.workers.get_mut(id)?;
@@ -35,7 +35,7 @@
         })
     }
 
-    /// A worker's report has arrived.
+    /// Applies a worker's report.
     pub fn worker_reported(
         &mut self,
         id: &fleet::WorkerId,
@@ -50,14 +50,14 @@
         let first = !worker.reported;
         worker.reported = true;
         if first {
-            // What it held before may go on as long as any lease ever sent.
+            // Runs of earlier terms may go on for any lease that was sent to it.
             let lease_ms = super::lease::millis(self.config.lease);
             worker.lease.sent(report.clock_ms + lease_ms);
         }
         for run in &report.finished {
             self.take_in_end(id, run, now);
         }
-        // A late report of a worker that is gone tells nothing of what runs.
+        // A late report of a replaced worker says nothing about what runs now.
         if !replaced {
             self.take_in_running(id, report, now);
             self.drop_missing(id, report);
@@ -86,7 +86,7 @@
             fleet::End::Failed if worker.health.failed(run.task.job, now) => {
                 let note = Note::WorkerSetAside {
                     worker: id.clone(),
-                    cause: "failures in a row",
+                    cause: "consecutive failures",
                 };
                 self.actions.push(Action::Tell(note));
             }
@@ -122,7 +122,8 @@
         }
     }
 
-    /// A task has ended well; in a gang that stands for all members.
+    /// Marks a task as done; the end of one member of a gang counts for all of
+    /// them.
     fn task_done(
         &mut self,
         id: &fleet::WorkerId,
@@ -139,7 +140,8 @@
         let runs_elsewhere =
             matches!(task.state, job::TaskState::Placed { .. }) && !task.runs_as(id, run.attempt);
         if runs_elsewhere {
-            // Given up when its worker's lease was over; the later run counts.
+            // This run was abandoned when its worker's lease was over; the later
+            // run counts.
             return;
         }
         task.state = job::TaskState::Done;
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Confirms known runs, adopts those of an earlier term, stops the rest.
+    /// Confirms known runs, adopts those of an earlier term and stops orphans.
     fn take_in_running(
         &mut self,
         id: &fleet::WorkerId,
@@ -202,7 +204,7 @@
                 }
                 None => self.find_run(id, running, report.clock_ms, now),
             }
-            // A run in quarantine has yet to outlive those before it.
+            // A run in quarantine has to outlive the lost ones first.
             if !self.is_quarantined(id, &key) {
                 self.retract_loss(id, &key);
             }
@@ -236,7 +238,7 @@
         }
     }
 
-    /// A run that this term did not order.
+    /// Adds a run that this term did not order.
     fn find_run(
         &mut self,
         id: &fleet::WorkerId,
@@ -251,7 +253,8 @@
             .get(&running.task.job)
             .and_then(|job| job.rooms.get(step));
         let all = self.workers.get(id).map(|worker| worker.entry.room);
-        // Of a job that nobody knows: nothing else goes there until it ended.
+        // If the job is unknown, so is what the run occupies: it counts as the
+        // whole worker, which gets no other work until the run has ended.
         let room = known_room.copied().or(all).unwrap_or_default();
         let job = self.jobs.get_mut(&running.task.job);
         let mut estimate = time::Duration::ZERO;
@@ -303,16 +306,19 @@
         run.is_some_and(|run| run.quarantined)
     }
 
+    /// Whether a run is the current one of a task of an open job.
     pub(crate) fn is_wanted(&self, id: &fleet::WorkerId, key: worker::RunKey) -> bool {
         let job = self.jobs.get(&key.0.job).filter(|job| job.is_open());
         let task = job.and_then(|job| job.task(&key.0));
         task.is_some_and(|task| task.runs_as(id, key.1))
     }
 
-    /// Runs that a report lacks have ended, or were never started.
+    /// Removes runs that are missing in a report: they have ended, or were never
+    /// started.
     ///
-    /// A report may be older than a start that overtook it, so a run is only
-    /// missed once the report's clock is past the run's own.
+    /// A start order may overtake an older report. So a run only counts as
+    /// missing once the report's clock reading is past the run's confirmation,
+    /// or past the expiry of its order if it is not confirmed.
     fn drop_missing(&mut self, id: &fleet::WorkerId, report: &fleet::WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -337,7 +343,7 @@
     }
 }
 
-/// The newest checkpoint; one member's is good for its whole gang.
+/// Stores the newest checkpoint; that of one member is valid for its whole gang.
 fn keep_checkpoint(job: &mut job::Job, run: &fleet::FinishedRun, is_gang: bool) {
     if run.checkpoint.is_empty() {
         return;
