--- a/crates/figscale-core/src/fleet/scheduler.rs
+++ b/crates/figscale-core/src/fleet/scheduler.rs
@@ -1,4 +1,5 @@
-//! The scheduler's state, its actions and what goes on with time.
+//! The scheduler's state and configuration, the workers that it knows, and the
+//! work that is due with time.
 
 use std::mem;
 use std::time;
@@ -18,26 +19,26 @@
 use super::waits;
 use super::worker;
 
-/// How a scheduler behaves; the platform's bounds come from settings.
+/// Configuration of a scheduler; the platform's bounds come from settings.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Term of leadership, shown to workers with each order.
+    /// Epoch of the term of leadership, sent to workers with each order.
     pub epoch: fleet::Epoch,
-    /// Lease given to everything that runs on a worker.
+    /// Lease granted to the runs of a worker.
     pub lease: time::Duration,
-    /// Longest time that a worker takes to end a task.
+    /// Longest time that a worker takes to stop a task.
     pub stop_limit: time::Duration,
-    /// Time in which a start must have reached its worker.
+    /// Time within which a start order has to reach its worker.
     pub start_expiry: time::Duration,
-    /// A worker that was silent for longer gets no new work.
+    /// Longest time since the last contact for a worker to get new work.
     pub max_silence: time::Duration,
-    /// A worker whose entry was last read longer ago gets no new work, since its
-    /// room may have shrunk.
+    /// Longest time since a worker's entry was last read for it to get new work,
+    /// since its resources may have shrunk.
     pub max_entry_age: time::Duration,
-    /// How long the outcome of a job is kept.
+    /// How long after its submission the outcome of a job is kept.
     pub keep_ended: time::Duration,
-    /// A job that would take longer than so much of its latency objective is
-    /// refused.
+    /// A job that would take longer than this percentage of its latency objective
+    /// is refused.
     pub max_of_objective_percent: u32,
 }
 
@@ -45,20 +46,21 @@
     fn default() -> Self {
         Self {
             epoch: fleet::Epoch(1),
-            // Reports come each second, and finding a dead leader and reading
-            // its state takes some 2 s, which tasks are to outlive.
+            // Reports come each second, and detecting a dead leader and reading
+            // its state takes about 2 s. Tasks have to survive that.
             lease: time::Duration::from_millis(4_500),
             stop_limit: time::Duration::from_millis(400),
-            // A start that was not answered keeps its room for so long.
+            // A start without an answer occupies its resources for this time.
             start_expiry: time::Duration::from_millis(1_500),
             // Reports come every second at least.
             max_silence: time::Duration::from_millis(1_700),
             // Entries are read every 0.6 s.
             max_entry_age: time::Duration::from_millis(2_700),
             keep_ended: time::Duration::from_secs(150),
-            // The users pay a fifth for what is late, up to 300 %. Below 200 %
-            // small jobs are refused in vain after a peak; above it three times
-            // the usual traffic for 8 s lasts longer (see `admission`).
+            // A late job is worth a fifth to the users, up to 300 %. Below
+            // 200 % small jobs are refused needlessly after a peak; above it
+            // the effects of three times the usual traffic for 8 s last longer
+            // (see `admission`).
             max_of_objective_percent: 200,
         }
     }
@@ -69,21 +71,22 @@
 pub struct Counts {
     /// Jobs in progress.
     pub open_jobs: usize,
-    /// Of these without a started task.
+    /// Number of these without a started task.
     pub queued_jobs: usize,
-    /// Steps that could run, wait long and have nothing running; some 2 s old.
+    /// Steps that have been ready for long and have nothing running; the number
+    /// is up to about 2 s old.
     pub waiting_steps: usize,
-    /// Times that the last pass of placement looked at a worker for a step.
+    /// How often the last placement pass examined a worker for a step.
     pub pass_looks: usize,
     /// Runs on workers.
     pub runs: usize,
-    /// Workers that may be used.
+    /// Workers that may get new work.
     pub usable_workers: usize,
-    /// Workers known.
+    /// All known workers.
     pub workers: usize,
 }
 
-/// Decides for all workers of a fleet during one term.
+/// Schedules all workers of a fleet during one term.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     pub(crate) config: Config,
@@ -92,31 +95,33 @@
     pub(crate) open: IndexSet<fleet::JobId>,
     pub(crate) workers: maps::WorkerMap<worker::Worker>,
     pub(crate) lanes: lanes::Lanes,
-    /// What customers may have running.
+    /// Limits on what customers may have running.
     pub(crate) terms: customers::Terms,
-    /// Workers that may run something of an earlier term, until when at most.
+    /// Workers of an earlier term that have not reported in this one, each with
+    /// the time until which it may still have runs.
     pub(crate) unheard: maps::WorkerMap<time::Instant>,
     pub(crate) recovering: bool,
-    /// Workers that the store names as those that may run something.
+    /// Workers that the record in the store names as those that may have runs.
     pub(crate) recorded: maps::WorkerSet,
-    /// A record of workers is on its way to the store.
+    /// Whether a write of the record of workers is in flight.
     pub(crate) recording: bool,
-    /// What the store holds of them may name more than `recorded` does.
+    /// Whether the record in the store may name more workers than `recorded`.
     pub(crate) record_outdated: bool,
-    /// Whether the record of workers is to be written anew. Looking that up
-    /// takes some 50 us for 350 workers, far too long after each message.
+    /// Whether the record of workers has to be written anew. It is cached, since
+    /// computing it takes about 50 us for 350 workers, far too long to do after
+    /// each message.
     pub(crate) record_differs: bool,
     /// Changes that are not known to be in the store.
     pub(crate) unsaved: unsaved::Unsaved,
-    /// Steps that could run and do not.
+    /// Starvation report: ready steps that have nothing running.
     pub(crate) waits: waits::Waits,
-    /// What the last pass of placement cost.
+    /// Cost of the last placement pass; see [`Counts::pass_looks`].
     pub(crate) pass_looks: usize,
     pub(crate) actions: Vec<Action>,
 }
 
 impl Scheduler {
-    /// A scheduler that knows of nothing.
+    /// Creates a scheduler without jobs and workers.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -138,7 +143,7 @@
         }
     }
 
-    /// What is to be carried out since the last call.
+    /// Takes the actions that were requested since the last call.
     pub fn take_actions(&mut self) -> Vec<Action> {
         mem::take(&mut self.actions)
     }
@@ -158,7 +163,7 @@
         }
     }
 
-    /// A worker is listed, or its entry has changed.
+    /// Handles a worker that is listed, or whose entry has changed.
     pub fn worker_listed(&mut self, entry: fleet::WorkerEntry) {
         match self.workers.get_mut(&entry.id) {
             Some(worker) => {
@@ -166,8 +171,9 @@
                 worker.leaves_at = worker.leaves_at.filter(|_| entry.draining);
                 worker.entry = entry;
                 worker.unlisted_at = None;
-                // Nothing else of an entry decides who is on the record; after an
-                // outage all entries may come back in one listing.
+                // No other part of an entry decides whether the worker belongs on
+                // the record. After an outage all entries may return in one
+                // listing, so the costly check is done only for this.
                 if turns {
                     self.record_differs = self.workers_record_differs();
                 }
@@ -182,7 +188,8 @@
         }
     }
 
-    /// Entries of workers were read as they are known; the reading began then.
+    /// Records that the entries of these workers were read again and are
+    /// unchanged; the read began at `begun`.
     pub fn entries_read(&mut self, ids: &[fleet::WorkerId], begun: time::Instant) {
         for id in ids {
             if let Some(worker) = self.workers.get_mut(id) {
@@ -197,7 +204,7 @@
         worker.recorded && worker.is_usable(config.max_silence, config.max_entry_age, now)
     }
 
-    /// Workers that the platform lists, as far as known.
+    /// Workers that the platform lists, as of the last update.
     pub fn listed_workers(&self) -> Vec<fleet::WorkerId> {
         let listed = self
             .workers
@@ -211,13 +218,13 @@
         self.workers.contains_key(id)
     }
 
-    /// Whether nothing of a worker's entry is new.
+    /// Whether the worker is listed with this same entry already.
     pub fn is_listed_as(&self, entry: &fleet::WorkerEntry) -> bool {
         let known = self.workers.get(&entry.id);
         known.is_some_and(|worker| worker.unlisted_at.is_none() && worker.entry == *entry)
     }
 
-    /// A worker is no longer listed; it may go on running.
+    /// Handles a worker that is no longer listed; it may still be running.
     pub fn worker_unlisted(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -226,12 +233,13 @@
         self.drop_if_over(id, now);
     }
 
-    /// A call of a worker failed or is overdue. It gets nothing new until it is
-    /// heard.
+    /// Handles a call to a worker that failed or is overdue. The worker gets no
+    /// new work until the next contact.
     ///
-    /// A worker that lost its power is known to be silent 1.7 s after its last
-    /// report. What was sent there meanwhile waits for its lease, some 5 s, and
-    /// quick jobs are useless by then; packing sends them to one worker first.
+    /// Without this, a worker that lost power would count as unresponsive only
+    /// 1.7 s after its last report. Work that was sent there meanwhile has to wait
+    /// until its lease is over, about 5 s, by which time short jobs are worthless;
+    /// and packing sends many of them to the same worker.
     pub fn worker_doubted(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let worker = self.workers.get_mut(id);
         if let Some(worker) = worker.filter(|worker| worker.silent_since.is_none()) {
@@ -240,7 +248,8 @@
         }
     }
 
-    /// Another life of the worker has taken its place, so nothing runs there.
+    /// Handles a worker that was replaced by another incarnation: its runs have
+    /// ended.
     pub fn worker_replaced(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         self.unheard.swap_remove(id);
         self.give_up_runs(id, now);
@@ -249,7 +258,8 @@
         }
     }
 
-    /// Lets time pass: leases end, stops are repeated, occurrences fall due.
+    /// Does the work that is due with time: ends leases, repeats stops, adds due
+    /// occurrences and the like.
     pub fn tick(&mut self, now: time::Instant, wall_ms: u64) {
         self.end_silent_leases(now);
         self.repeat_stops(now);
@@ -268,12 +278,13 @@
         }
     }
 
-    /// Gives up what ran on a silent worker whose lease is surely over, and
-    /// forgets the worker if it is not listed either.
+    /// Abandons the runs of a worker whose lease is certainly over, and drops the
+    /// worker if it is no longer listed and either its lease is over or it has no
+    /// runs and no unwritten ends.
     ///
-    /// Whoever is forgotten is not waited for by the next leader, which would
-    /// start a task again whose end is neither in the store nor told to it. So
-    /// a worker is kept until its ends are written, or its lease is over.
+    /// The next leader does not wait for a worker that was dropped. It would
+    /// start a task again whose end is neither in the store nor reported to it.
+    /// So a worker is kept until its ends are written, or its lease is over.
     fn drop_if_over(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let grace = self.config.stop_limit;
         let Some(worker) = self.workers.get(id) else {
@@ -291,6 +302,8 @@
         }
     }
 
+    /// Takes all runs of a worker as ended without a report. Runs that may have
+    /// crashed it count as lost, unless the worker was draining.
     pub(crate) fn give_up_runs(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -327,7 +340,7 @@
         }
     }
 
-    /// Ends a job: its outcome is written, what runs of it is stopped.
+    /// Ends a job: its outcome is to be written, and its runs are stopped.
     pub(crate) fn end_job(&mut self, id: fleet::JobId, state: fleet::JobState, now: time::Instant) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -364,8 +377,9 @@
         }
     }
 
-    /// A worker tells of an occurrence: an earlier leader has begun it, though
-    /// no record may say so and it may not be due by the time of day here.
+    /// Adds occurrences up to one that a worker reported. An earlier leader has
+    /// begun it, though perhaps no record says so and it is not yet due by this
+    /// leader's wall clock.
     pub(crate) fn add_rounds_ahead(&mut self, task: &fleet::TaskId, now: time::Instant) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -381,7 +395,7 @@
 
     fn drop_old_outcomes(&mut self, wall_ms: u64) {
         let keep_ms = super::lease::millis(self.config.keep_ended);
-        // Looked at a few at a time; ended jobs gather at the front.
+        // Checks only a few jobs at the front at a time; ended jobs gather there.
         let old = |job: &job::Job| {
             let age_ms = wall_ms.saturating_sub(job.submitted_wall_ms);
             !job.is_open() && age_ms > keep_ms && job.stored
--- a/crates/figscale-core/src/fleet/stops.rs
+++ b/crates/figscale-core/src/fleet/stops.rs
@@ -1,4 +1,5 @@
-//! Ending runs: by order, with their gang, and where tasks stand still.
+//! Stopping of runs: by order, with the rest of their gang, and where they make no
+//! progress.
 
 use std::time;
 
@@ -10,14 +11,15 @@
 use super::scheduler;
 use super::worker;
 
-/// Time between repeats of a stop that has not taken effect.
+/// Time after which a stop that has not taken effect is repeated.
 const STOP_REPEAT: time::Duration = time::Duration::from_millis(700);
-/// How long a run may use no processor before it counts as standing still;
-/// tasks start up within half a second and reports come each second.
+/// How long a run may use no processor time before it counts as stalled. Tasks
+/// start up within half a second, and reports come each second.
 const MAX_IDLE: time::Duration = time::Duration::from_millis(1_600);
 
 impl scheduler::Scheduler {
-    /// A run has ended without finishing its task.
+    /// Makes a task startable again after a run that ended without finishing it.
+    /// The rest of its gang is stopped.
     pub(crate) fn task_free_again(&mut self, worker: &fleet::WorkerId, key: &worker::RunKey) {
         let (id, attempt) = key;
         let Some(job) = self.jobs.get_mut(&id.job) else {
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Stops what still runs of an attempt of a gang that has lost a member.
+    /// Stops the remaining runs of a gang attempt that has lost a member.
     fn stop_rest_of_gang(&mut self, id: &fleet::TaskId, attempt: u32) {
         let mut rest = Vec::new();
         for (worker_id, worker) in &self.workers {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Orders a stop unless one was ordered just now.
+    /// Orders a stop unless one was ordered within [`STOP_REPEAT`]. Without a
+    /// time, only the first stop is ordered.
     pub(crate) fn order_stop(
         &mut self,
         worker: &fleet::WorkerId,
@@ -77,6 +80,7 @@
         });
     }
 
+    /// Repeats stops that have not taken effect.
     pub(crate) fn repeat_stops(&mut self, now: time::Instant) {
         let mut again = Vec::new();
         for (id, worker) in &self.workers {
@@ -91,7 +95,7 @@
         }
     }
 
-    /// Orders stops for all that runs of a job.
+    /// Orders stops for all runs of a job.
     pub(crate) fn stop_job(&mut self, job: fleet::JobId, now: time::Instant) {
         let mut runs = Vec::new();
         for (id, worker) in &self.workers {
@@ -103,7 +107,8 @@
         }
     }
 
-    /// A worker on which a task stands still is set aside, the task moved.
+    /// Checks the processor use that a worker reported for a run. If the run is
+    /// stalled, its task is moved and the worker ejected.
     pub(crate) fn note_use(
         &mut self,
         id: &fleet::WorkerId,
@@ -127,14 +132,14 @@
             return;
         }
         self.order_stop(id, key, Some(now));
-        self.set_aside(id, "tasks stand still", now);
+        self.set_aside(id, "tasks use no processor time", now);
     }
 
-    /// Whether all members of a run's gang stand still; true for other runs.
+    /// Whether all members of a run's gang are stalled; true for other runs.
     ///
     /// A member that has done its part waits for the others without using a
-    /// processor. Taking that for standing still threw away 1,600 core-seconds
-    /// of finished work on a calm day.
+    /// processor. When that counted as stalled, 1,600 core-seconds of finished
+    /// work were thrown away in a day without faults.
     fn gang_is_idle(&self, key: &worker::RunKey, now: time::Instant) -> bool {
         let (task, attempt) = key;
         let step = self
@@ -150,6 +155,7 @@
         members.all(|(_, run)| run.idle_since.is_some_and(|since| now >= since + MAX_IDLE))
     }
 
+    /// Ejects a worker: it receives no new work for a while.
     pub(crate) fn set_aside(
         &mut self,
         id: &fleet::WorkerId,
--- a/crates/figscale-core/src/fleet/submit.rs
+++ b/crates/figscale-core/src/fleet/submit.rs
@@ -1,4 +1,4 @@
-//! What callers ask: to take a job, to cancel one, how it stands.
+//! Operations of callers: submit a job, cancel one, query its state.
 
 use std::sync;
 use std::time;
@@ -10,7 +10,7 @@
 use super::scheduler;
 
 impl scheduler::Scheduler {
-    /// Takes a job of no customer; see [`Self::submit_for`].
+    /// Submits a job without a customer; see [`Self::submit_for`].
     pub fn submit(
         &mut self,
         id: fleet::JobId,
@@ -22,7 +22,7 @@
         self.submit_for(None, id, queue, description, now, wall_ms)
     }
 
-    /// Takes a customer's job, or says why not. The same id again is the same job.
+    /// Submits a job of a customer. A repeat with the same id is the same job.
     pub fn submit_for(
         &mut self,
         customer: Option<fleet::CustomerName>,
@@ -55,7 +55,7 @@
         admission::Admission::Accepted
     }
 
-    /// Forgets a job whose record was surely never sent.
+    /// Drops a job whose record was certainly never sent to the store.
     pub fn withdraw(&mut self, id: fleet::JobId) {
         if self.jobs.get(&id).is_some_and(|job| !job.stored) {
             self.jobs.shift_remove(&id);
@@ -64,35 +64,37 @@
         }
     }
 
-    /// Cancels a job; its state after that, or `None` if there is no such job.
+    /// Cancels a job; returns its state after that, or `None` if there is no such
+    /// job.
     ///
-    /// The caller may be told once the records taken next are written.
+    /// The state may be returned to the caller once the records taken next are
+    /// written.
     pub fn cancel(&mut self, id: fleet::JobId, now: time::Instant) -> Option<fleet::JobState> {
         self.end_job(id, fleet::JobState::Cancelled, now);
         self.state(id)
     }
 
-    /// How a job stands; `None` if there is no such job.
+    /// Returns the state of a job; `None` if there is no such job.
     pub fn state(&self, id: fleet::JobId) -> Option<fleet::JobState> {
         self.jobs.get(&id).map(job::Job::state)
     }
 
-    /// Whether a job's record is in the store.
+    /// Whether a job's record is known to be in the store.
     pub fn is_stored(&self, id: fleet::JobId) -> bool {
         self.jobs.get(&id).is_some_and(|job| job.stored)
     }
 
-    /// Whether a change of a job is not known to be in the store.
+    /// Whether a job has changes that are not known to be in the store.
     pub fn is_unsaved(&self, id: fleet::JobId) -> bool {
         self.unsaved.contains(id)
     }
 
-    /// Whether a record of a job is on its way to the store.
+    /// Whether a write of a job's records is in flight.
     pub fn is_being_written(&self, id: fleet::JobId) -> bool {
         self.unsaved.is_writing(id)
     }
 
-    /// Accepted jobs of a queue of which no task has started.
+    /// Number of accepted jobs of a queue of which no task has started.
     pub fn pending(&self, queue_name: &str) -> u64 {
         let open = self.open.iter().filter_map(|id| self.jobs.get(id));
         let waits = |job: &&job::Job| job.queue.name == queue_name && !job.started && job.stored;
--- a/crates/figscale-core/src/fleet/unsaved.rs
+++ b/crates/figscale-core/src/fleet/unsaved.rs
@@ -1,88 +1,93 @@
-//! What has changed and is not known to be in the store yet.
+//! Changes that are not known to be in the store yet.
 //!
-//! Several writes may be on their way at once, and end in any order. A job is
-//! in one of them at most, so that its records are written in the order of its
-//! changes. Whatever hangs on several jobs, as the acknowledgement of a
-//! worker's ends does, is noted with the number of changes so far and is due
-//! once no older change is left. New jobs are no changes in this sense: nothing
-//! of them has run, so nothing that was noted hangs on them.
+//! Several writes may be in flight at once, and complete in any order. A job is in
+//! one of them at most, so that its records are written in the order of its
+//! changes.
+//!
+//! The acknowledgement of a worker's ends depends on the changes of several jobs.
+//! So changes carry a generation number, and ends are stored with the generation
+//! at the time that they were applied; they are due once no change of that or an
+//! earlier generation is unsaved. New jobs are exempt: none of their tasks has run,
+//! so no end depends on them.
 
 use std::collections::VecDeque;
 
 use figscale_types::fleet;
 use indexmap::IndexMap;
 
-/// Notes of ends kept at most; a write is begun each 20 ms at most and takes
-/// 0.25 s beside a slow store, so there are a dozen.
+/// Most batches of ends that wait to be acknowledged. A write is begun every 20 ms
+/// at most and takes 0.25 s with a slow store, so there are about a dozen.
 const MAX_NOTES: usize = 32;
 
-/// Age of a new job's record, younger than all that is noted.
+/// Generation of a new job's record, later than that of any batch of ends.
 const NEW: u64 = u64::MAX;
 
-/// Ends up to these numbers.
+/// Workers, each with the number up to which its ends are included.
 pub(crate) type Ends = Vec<(fleet::WorkerId, u64)>;
 
 /// Changes that are not known to be in the store.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Unsaved {
-    /// Jobs with changes in no write, each with the age of the oldest.
+    /// Jobs with changes that are in no write, each with the generation of the
+    /// oldest one.
     waiting: IndexMap<fleet::JobId, u64>,
-    /// Jobs in a write, likewise.
+    /// Jobs in a write in flight, likewise.
     writing: IndexMap<fleet::JobId, u64>,
-    /// Ends that were taken in when changes were of this age, oldest first.
+    /// Batches of ends with the generation in which they were applied, oldest
+    /// first.
     notes: VecDeque<(u64, Ends)>,
-    /// Age of changes made now; counts up.
+    /// Generation of changes made now; incremented with each batch.
     now: u64,
 }
 
 impl Unsaved {
-    /// Notes a new job.
+    /// Adds a new job.
     pub(crate) fn create(&mut self, id: fleet::JobId) {
         self.waiting.entry(id).or_insert(NEW);
     }
 
-    /// Notes a change of a job.
+    /// Adds a change of a job.
     pub(crate) fn change(&mut self, id: fleet::JobId) {
         self.waiting.entry(id).or_insert(self.now);
     }
 
-    /// Drops the changes of a job that comes to nothing.
+    /// Drops the changes of a job that was withdrawn.
     pub(crate) fn forget(&mut self, id: fleet::JobId) {
         self.waiting.shift_remove(&id);
     }
 
-    /// Whether changes of a job are not known to be in the store.
+    /// Whether a job has changes that are not known to be in the store.
     pub(crate) fn contains(&self, id: fleet::JobId) -> bool {
         self.waiting.contains_key(&id) || self.writing.contains_key(&id)
     }
 
-    /// Whether a job is in a write on its way.
+    /// Whether a job is in a write in flight.
     pub(crate) fn is_writing(&self, id: fleet::JobId) -> bool {
         self.writing.contains_key(&id)
     }
 
-    /// Jobs that the next write can take, those that have waited longest first.
+    /// Jobs that the next write can take, the longest waiting first.
     pub(crate) fn ready(&self) -> impl Iterator<Item = fleet::JobId> {
         let ready = |id: &&fleet::JobId| !self.writing.contains_key(*id);
         self.waiting.keys().filter(ready).copied()
     }
 
-    /// Takes a job's changes into a write.
+    /// Moves a job's changes into a write.
     pub(crate) fn take(&mut self, id: fleet::JobId) {
         if let Some(age) = self.waiting.shift_remove(&id) {
             self.writing.insert(id, age);
         }
     }
 
-    /// The changes of these jobs are in the store.
+    /// Confirms that the changes of these jobs are in the store.
     pub(crate) fn written(&mut self, jobs: &[fleet::JobId]) {
         for id in jobs {
             self.writing.swap_remove(id);
         }
     }
 
-    /// The changes of these jobs are not in the store and will not be. They go
-    /// before what has changed since.
+    /// Returns the changes of these jobs, which are not in the store and will not
+    /// be, to the front of the waiting changes.
     pub(crate) fn not_written(&mut self, jobs: &[fleet::JobId]) {
         for id in jobs.iter().rev() {
             if let Some(age) = self.writing.swap_remove(id) {
@@ -91,7 +96,8 @@
         }
     }
 
-    /// Notes ends whose effects are among the changes up to now.
+    /// Adds a batch of ends whose effects are among the changes up to now. Beyond
+    /// `MAX_NOTES` batches it is dropped; its ends are part of a later one.
     pub(crate) fn note(&mut self, ends: Ends) {
         if ends.is_empty() || self.notes.len() >= MAX_NOTES {
             return;
@@ -100,7 +106,8 @@
         self.now += 1;
     }
 
-    /// Ends whose effects are all in the store, each told once.
+    /// Takes the ends whose effects are all in the store; each batch is returned
+    /// once.
     pub(crate) fn due(&mut self) -> Ends {
         let ages = self.waiting.values().chain(self.writing.values());
         let oldest = ages.min().copied().unwrap_or(NEW);
--- a/crates/figscale-core/src/fleet/view.rs
+++ b/crates/figscale-core/src/fleet/view.rs
@@ -1,15 +1,16 @@
-//! What operators are shown of jobs.
+//! Views of jobs for operators.
 
 use figscale_types::fleet;
 
 use super::job;
 use super::scheduler;
 
-/// Jobs in one listing at most, some 100 bytes each.
+/// Most jobs in one listing; each takes about 100 bytes.
 const MAX_LISTED: usize = 500;
 
 impl scheduler::Scheduler {
-    /// A job with its tasks; `None` unless it is known to be in the store.
+    /// Returns a job with its tasks; `None` unless it is known to be in the
+    /// store.
     pub fn view(&self, id: fleet::JobId) -> Option<fleet::JobView> {
         let job = self.jobs.get(&id).filter(|job| job.stored)?;
         let mut view = without_tasks(job);
@@ -17,7 +18,8 @@
         Some(view)
     }
 
-    /// Jobs in progress without their tasks, the newest first, 500 at most.
+    /// Returns jobs in progress without their tasks, the newest first, 500 at
+    /// most.
     pub fn open_views(&self) -> Vec<fleet::JobView> {
         let open = self.open.iter().rev().filter_map(|id| self.jobs.get(id));
         let stored = open.filter(|job| job.stored);
