--- a/crates/figscale-core/src/fleet/admission.rs
+++ b/crates/figscale-core/src/fleet/admission.rs
@@ -49,8 +49,8 @@
         {
             return None;
         }
-        let wait = self.wait_before(job);
-        let allowed = self.longest_wait(job, now);
+        let wait = self.queueing_time(job);
+        let allowed = self.max_queueing_time(job, now);
         if wait <= allowed {
             return None;
         }
@@ -59,7 +59,7 @@
     }
 
     /// Longest time that a job may wait for other work and still be accepted.
-    fn longest_wait(&self, job: &job::Job, now: time::Instant) -> time::Duration {
+    fn max_queueing_time(&self, job: &job::Job, now: time::Instant) -> time::Duration {
         let objective = job.objective_at.saturating_duration_since(job.submitted);
         let longest = objective * self.config.max_of_objective_percent / 100;
         let end_by = job.submitted + longest;
@@ -70,7 +70,7 @@
     }
 
     /// Time that the work queued ahead of a job takes on all usable processors.
-    fn wait_before(&self, job: &job::Job) -> time::Duration {
+    fn queueing_time(&self, job: &job::Job) -> time::Duration {
         let service = &job.queue.service;
         let of_service = self
             .workers
--- a/crates/figscale-core/src/fleet/check.rs
+++ b/crates/figscale-core/src/fleet/check.rs
@@ -19,8 +19,8 @@
         let steps = job.steps.len();
         return Some(format!("{steps} steps: expected 1 to {MAX_STEPS}"));
     }
-    let faults = job.steps.iter().enumerate();
-    let of_step = faults
+    let numbered_steps = job.steps.iter().enumerate();
+    let of_step = numbered_steps
         .filter_map(|(number, step)| fault_of_step(number, step))
         .next();
     of_step.or_else(|| too_many_tasks(job))
@@ -33,7 +33,7 @@
     let earlier = |after: &u32| usize::try_from(*after).is_ok_and(|after| after < number);
     if !step.after.iter().all(earlier) {
         return Some(format!(
-            "step {number} depends on a step that does not precede it"
+            "step {number} depends on a step that is not before it"
         ));
     }
     // Filler tasks run on processor time that other tasks leave unused. They
--- a/crates/figscale-core/src/fleet/crashes.rs
+++ b/crates/figscale-core/src/fleet/crashes.rs
@@ -39,7 +39,7 @@
 /// longer. A task that has run for longer is never failed for its losses.
 const MAX_CRASH_AGE: time::Duration = time::Duration::from_millis(3_000);
 /// Losses within this time of the start are unlikely to be a coincidence.
-const AT_START: time::Duration = time::Duration::from_millis(200);
+const AT_START_WINDOW: time::Duration = time::Duration::from_millis(200);
 /// Losses after which a task fails permanently if all of them were at its start
 /// and the last one had no other young run beside it.
 const MAX_LOSSES_AT_START: usize = 2;
@@ -69,7 +69,7 @@
     }
 
     fn is_at_start(&self) -> bool {
-        self.begun && self.most_age_ms <= millis(AT_START)
+        self.begun && self.most_age_ms <= millis(AT_START_WINDOW)
     }
 
     fn is_of(&self, attempt: u32, worker: &fleet::WorkerId) -> bool {
@@ -147,7 +147,8 @@
             .len()
     }
 
-    fn last(&self) -> impl Iterator<Item = &Loss> {
+    /// Losses of the last attempt that has any.
+    fn last_attempt(&self) -> impl Iterator<Item = &Loss> {
         let last = self.losses.iter().map(|loss| loss.attempt).max();
         let losses = self.losses.iter();
         losses.filter(move |loss| Some(loss.attempt) == last)
@@ -155,7 +156,7 @@
 
     /// Whether the next start of the task has to be isolated from other tasks.
     pub(crate) fn needs_quarantine(&self) -> bool {
-        self.last().any(Loss::is_young) || self.attempts(|_| true) >= MAX_LOSSES_AT_START
+        self.last_attempt().any(Loss::is_young) || self.attempts(|_| true) >= MAX_LOSSES_AT_START
     }
 
     /// Age after which a run has outlived the losses: its task is then not their
@@ -167,17 +168,17 @@
     }
 
     /// Number of attempts that began and were lost with their workers.
-    fn lost(&self) -> usize {
+    fn lost_attempts(&self) -> usize {
         self.attempts(|loss| loss.begun && loss.worker.is_some())
     }
 
     /// Whether the task is to fail permanently.
-    fn is_convicted(&self) -> bool {
-        let seen = || self.losses.iter().filter(|loss| loss.worker.is_some());
-        let lost = self.lost();
-        let at_start = seen().all(Loss::is_at_start);
-        let alone = self.last().any(|loss| loss.alone);
-        lost >= MAX_LOSSES || at_start && alone && lost >= MAX_LOSSES_AT_START
+    fn is_over_loss_limit(&self) -> bool {
+        let with_worker = || self.losses.iter().filter(|loss| loss.worker.is_some());
+        let lost_attempts = self.lost_attempts();
+        let at_start = with_worker().all(Loss::is_at_start);
+        let alone = self.last_attempt().any(|loss| loss.alone);
+        lost_attempts >= MAX_LOSSES || at_start && alone && lost_attempts >= MAX_LOSSES_AT_START
     }
 }
 
@@ -213,7 +214,7 @@
     }
 
     /// Clears all losses of a task or its gang.
-    fn acquit(&mut self, task: &fleet::TaskId) {
+    fn clear_losses(&mut self, task: &fleet::TaskId) {
         let is_gang = self.step_description(task).is_some_and(|step| step.gang);
         if let Some(step) = self.step_mut(task) {
             step.crashes.swap_remove(&key_of(task, is_gang));
@@ -224,18 +225,18 @@
 impl scheduler::Scheduler {
     /// Handles a worker that has just become unresponsive: runs that may have
     /// crashed it count as lost until there is contact again.
-    pub(crate) fn note_possible_crash(&mut self, id: &fleet::WorkerId, now: time::Instant) {
+    pub(crate) fn record_possible_crash(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let suspected = |(key, loss): &(worker::RunKey, Loss)| {
+        let may_be_cause = |(key, loss): &(worker::RunKey, Loss)| {
             let job = self.jobs.get(&key.0.job);
             loss.is_young() || job.is_some_and(|job| job.crashes(&key.0).is_some())
         };
         let losses = self.losses(id, &worker.runs, now).into_iter();
-        let losses: Vec<(worker::RunKey, Loss)> = losses.filter(suspected).collect();
+        let losses: Vec<(worker::RunKey, Loss)> = losses.filter(may_be_cause).collect();
         for (key, loss) in losses {
-            self.note_loss(&key, loss);
+            self.record_loss(&key, loss);
         }
     }
 
@@ -260,16 +261,16 @@
         now: time::Instant,
     ) -> Vec<(worker::RunKey, Loss)> {
         let worker = self.workers.get(id);
-        let heard_at = worker.and_then(|worker| worker.lease.read_at());
-        let silent_at = worker.and_then(|worker| worker.silent_since);
+        let last_contact = worker.and_then(|worker| worker.lease.read_at());
+        let unresponsive_since = worker.and_then(|worker| worker.silent_since);
         let young: Vec<&worker::RunKey> = runs
             .iter()
-            .filter(|(_, run)| run.age_at(heard_at) <= CRASH_WINDOW)
+            .filter(|(_, run)| run.age_at(last_contact) <= CRASH_WINDOW)
             .map(|(key, _)| key)
             .collect();
         let loss = |(key, run): (&worker::RunKey, &worker::Run)| {
-            let least_age = run.age_at(heard_at);
-            let most_age = run.age_at(silent_at.or(Some(now))).max(least_age);
+            let least_age = run.age_at(last_contact);
+            let most_age = run.age_at(unresponsive_since.or(Some(now))).max(least_age);
             let mut others = young.iter();
             let loss = Loss {
                 attempt: key.1,
@@ -277,7 +278,7 @@
                 least_age_ms: millis(least_age),
                 most_age_ms: millis(most_age),
                 begun: run.is_confirmed(),
-                alone: others.all(|other| self.are_one(key, other)),
+                alone: others.all(|other| self.are_same_run_or_gang(key, other)),
             };
             (*key, loss)
         };
@@ -285,7 +286,7 @@
     }
 
     /// Whether two runs are the same run, or members of the same gang attempt.
-    fn are_one(&self, one: &worker::RunKey, other: &worker::RunKey) -> bool {
+    fn are_same_run_or_gang(&self, one: &worker::RunKey, other: &worker::RunKey) -> bool {
         let together = one.0.is_of_same_step(&other.0) && one.1 == other.1;
         let is_gang = || {
             let job = self.jobs.get(&one.0.job);
@@ -295,7 +296,7 @@
         one == other || together && is_gang()
     }
 
-    pub(crate) fn note_loss(&mut self, key: &worker::RunKey, loss: Loss) {
+    pub(crate) fn record_loss(&mut self, key: &worker::RunKey, loss: Loss) {
         let job = self.jobs.get_mut(&key.0.job).filter(|job| job.is_open());
         if let Some(job) = job.filter(|_| loss.least_age_ms <= millis(MAX_CRASH_AGE)) {
             job.add_loss(&key.0, loss);
@@ -313,7 +314,7 @@
         };
         if history.retract(key.1, id) {
             if history.losses.is_empty() {
-                job.acquit(&key.0);
+                job.clear_losses(&key.0);
             }
             self.unsaved.change(key.0.job);
         }
@@ -342,9 +343,9 @@
             other == key || is_gang && other.1 == key.1 && other.0.is_of_same_step(&key.0)
         };
         let runs = self.workers.values().flat_map(|worker| {
-            let heard_at = worker.lease.read_at();
+            let last_contact = worker.lease.read_at();
             let runs = worker.runs.iter().filter(|(key, _)| same(key));
-            runs.map(move |(_, run)| run.is_confirmed() && run.age_at(heard_at) > needed)
+            runs.map(move |(_, run)| run.is_confirmed() && run.age_at(last_contact) > needed)
         });
         // All members must be there: after a gang has lost a worker, its other
         // members run on for a while.
@@ -355,27 +356,27 @@
             worker.end_quarantine(same);
         }
         if let Some(job) = self.jobs.get_mut(&key.0.job) {
-            job.acquit(&key.0);
+            job.clear_losses(&key.0);
             self.unsaved.change(key.0.job);
         }
     }
 
     /// Fails the job of a task that crashes its workers.
-    pub(crate) fn give_up_if_convicted(&mut self, task: &fleet::TaskId, now: time::Instant) {
-        self.give_up_if(task, History::is_convicted, now);
+    pub(crate) fn fail_job_if_over_loss_limit(&mut self, task: &fleet::TaskId, now: time::Instant) {
+        self.fail_job_if(task, History::is_over_loss_limit, now);
     }
 
-    fn give_up_if(
+    fn fail_job_if(
         &mut self,
         task: &fleet::TaskId,
-        is_convicted: fn(&History) -> bool,
+        has_to_fail: fn(&History) -> bool,
         now: time::Instant,
     ) {
         let Some(job) = self.jobs.get(&task.job).filter(|job| job.is_open()) else {
             return;
         };
         let history = job.crashes(task);
-        let Some(history) = history.filter(|history| is_convicted(history)) else {
+        let Some(history) = history.filter(|history| has_to_fail(history)) else {
             return;
         };
         self.actions.push(Action::Tell(Note::TaskCrashesWorkers {
@@ -389,7 +390,7 @@
     /// complete. A recorded loss may be an unresponsive worker whose later
     /// answer was not recorded, so this takes `MAX_LOSSES`, more than a leader
     /// needs that has seen the last loss itself.
-    pub(crate) fn give_up_recorded(&mut self, now: time::Instant) {
+    pub(crate) fn fail_jobs_over_recorded_limit(&mut self, now: time::Instant) {
         let mut tasks = Vec::new();
         for id in &self.open {
             let rounds = self.jobs.get(id).map(|job| &job.rounds);
@@ -409,7 +410,7 @@
             let job = self.jobs.get(&task.job);
             let known = job.and_then(|job| job.task(&task));
             if known.is_some_and(job::Task::is_waiting) {
-                self.give_up_if(&task, |history| history.lost() >= MAX_LOSSES, now);
+                self.fail_job_if(&task, |history| history.lost_attempts() >= MAX_LOSSES, now);
             }
         }
     }
--- a/crates/figscale-core/src/fleet/durable.rs
+++ b/crates/figscale-core/src/fleet/durable.rs
@@ -16,7 +16,8 @@
 use super::crashes;
 use super::maps;
 
-/// First byte of each record: the version of the layout.
+/// First byte of each record: the version of its layout, so that later layouts can
+/// be distinguished.
 const LAYOUT: u8 = 1;
 
 /// Identifies a record in the store.
--- a/crates/figscale-core/src/fleet/job.rs
+++ b/crates/figscale-core/src/fleet/job.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether this run is the current one of the task.
-    pub(crate) fn runs_as(&self, worker: &fleet::WorkerId, attempt: u32) -> bool {
+    pub(crate) fn is_current_run(&self, worker: &fleet::WorkerId, attempt: u32) -> bool {
         matches!(&self.state, TaskState::Placed { worker: w, attempt: a } if w == worker && *a == attempt)
     }
 }
@@ -123,7 +123,7 @@
 }
 
 /// Adds a failed attempt unless it is known.
-pub(crate) fn note_failed(attempts: &mut Vec<u32>, attempt: u32) {
+pub(crate) fn add_failed_attempt(attempts: &mut Vec<u32>, attempt: u32) {
     if !attempts.contains(&attempt) {
         attempts.push(attempt);
     }
@@ -158,7 +158,7 @@
 
     /// Marks its unfinished tasks as suspect: an earlier leader may have started
     /// them.
-    pub(crate) fn suspect(&mut self) {
+    pub(crate) fn mark_suspect(&mut self) {
         for task in self.steps.iter_mut().flat_map(|step| &mut step.tasks) {
             task.suspect = !task.is_done();
         }
@@ -323,9 +323,9 @@
 
     /// Marks the last `rounds` occurrences as suspect: an earlier leader may have
     /// begun them.
-    pub(crate) fn suspect_last(&mut self, rounds: usize) {
+    pub(crate) fn mark_last_suspect(&mut self, rounds: usize) {
         for round in self.rounds.iter_mut().rev().take(rounds) {
-            round.suspect();
+            round.mark_suspect();
         }
     }
 
--- a/crates/figscale-core/src/fleet/losses.rs
+++ b/crates/figscale-core/src/fleet/losses.rs
@@ -15,14 +15,14 @@
 
 /// Wait while no answers get lost: half of what workers allow. It bounds the age
 /// of leases and of what is known of a worker.
-const USUAL_WAIT: time::Duration = time::Duration::from_millis(1_000);
+const NORMAL_WAIT: time::Duration = time::Duration::from_millis(1_000);
 /// Wait while answers get lost: ends stay unknown for 0.4 s instead of 1.15 s, at
 /// the price of four times the calls to workers that have nothing to report.
-const WARY_WAIT: time::Duration = time::Duration::from_millis(250);
+const LOSSY_WAIT: time::Duration = time::Duration::from_millis(250);
 /// Time without a lost answer after which the loss has ended. Losses come in
 /// periods of seconds. With one call in thirty lost, fifty workers show several
 /// losses a second, so a period is certainly over after this time.
-const WARY_FOR: time::Duration = time::Duration::from_secs(3);
+const LOSSY_PERIOD: time::Duration = time::Duration::from_secs(3);
 
 /// Tracks when an answer of any worker was last lost.
 #[derive(Clone, Copy, Debug, Default)]
@@ -39,8 +39,8 @@
     /// How long the next call for a report may wait.
     pub fn report_wait(&self, now: time::Instant) -> time::Duration {
         match self.last {
-            Some(last) if now < last + WARY_FOR => WARY_WAIT,
-            _ => USUAL_WAIT,
+            Some(last) if now < last + LOSSY_PERIOD => LOSSY_WAIT,
+            _ => NORMAL_WAIT,
         }
     }
 }
--- a/crates/figscale-core/src/fleet/records.rs
+++ b/crates/figscale-core/src/fleet/records.rs
@@ -31,9 +31,9 @@
         let is_new = |id: &fleet::JobId| self.jobs.get(id).is_some_and(|job| !job.stored);
         let (new, mut changed): (Vec<fleet::JobId>, Vec<fleet::JobId>) =
             self.unsaved.ready().partition(is_new);
-        let leaving = self.ended_on_leaving();
+        let leaving = self.jobs_ended_on_leaving();
         changed.sort_by_key(|id| !leaving.contains(id));
-        for id in in_turn(new, changed) {
+        for id in alternate(new, changed) {
             // A job has two records at most.
             if records.records.len() + 2 > most {
                 break;
@@ -47,13 +47,13 @@
             .iter()
             .filter(|(_, worker)| worker.taken_in > worker.acknowledged);
         let ends = ends.map(|(id, worker)| (id.clone(), worker.taken_in));
-        self.unsaved.note(ends.collect());
+        self.unsaved.add_ends(ends.collect());
         records
     }
 
     /// Jobs with unacknowledged ends on draining workers, which will soon be
     /// unable to report them again.
-    fn ended_on_leaving(&self) -> IndexSet<fleet::JobId> {
+    fn jobs_ended_on_leaving(&self) -> IndexSet<fleet::JobId> {
         let leaving = self.workers.values();
         let leaving = leaving.filter(|worker| worker.entry.draining);
         leaving
@@ -66,12 +66,12 @@
     /// it, and after a worker has gone, so that the next leader does not wait
     /// for its lease.
     fn add_workers_record(&mut self, records: &mut durable::Records) {
-        if self.recording || !self.record_differs {
+        if self.workers_record_in_flight || !self.workers_record_dirty {
             return;
         }
-        self.recording = true;
-        self.record_differs = false;
-        self.record_outdated = false;
+        self.workers_record_in_flight = true;
+        self.workers_record_dirty = false;
+        self.workers_record_outdated = false;
         let used = self
             .workers
             .iter()
@@ -106,7 +106,7 @@
             worker.is_some_and(|worker| !worker.is_retired()) || self.unheard.contains_key(id)
         };
         let gone = self.recorded.iter().any(|id| !used(id));
-        gone || self.record_outdated || self.has_unrecorded_workers()
+        gone || self.workers_record_outdated || self.has_unrecorded_workers()
     }
 
     fn has_unrecorded_workers(&self) -> bool {
@@ -119,7 +119,7 @@
     pub fn has_urgent_records(&self) -> bool {
         let unstored = |id: &fleet::JobId| self.jobs.get(id).is_some_and(|job| !job.stored);
         let new = self.unsaved.ready().any(|id| unstored(&id));
-        new || !self.recording && self.has_unrecorded_workers()
+        new || !self.workers_record_in_flight && self.has_unrecorded_workers()
     }
 
     /// Whether there are records to be written or ends to be acknowledged.
@@ -127,7 +127,7 @@
         let unacknowledged = |worker: &worker::Worker| worker.taken_in > worker.acknowledged;
         self.unsaved.ready().next().is_some()
             || self.workers.values().any(unacknowledged)
-            || !self.recording && self.record_differs
+            || !self.workers_record_in_flight && self.workers_record_dirty
     }
 
     /// Whether a worker has ends that are not acknowledged yet.
@@ -146,8 +146,8 @@
         }
         if let Some(recorded) = &records.recorded {
             self.set_recorded(recorded.clone());
-            self.recording = false;
-            self.record_differs = self.workers_record_differs();
+            self.workers_record_in_flight = false;
+            self.workers_record_dirty = self.workers_record_differs();
         }
         self.unsaved.written(&records.jobs);
         for (id, number) in self.unsaved.due() {
@@ -162,9 +162,9 @@
     /// later records.
     pub fn records_not_written(&mut self, records: &durable::Records) {
         if records.recorded.is_some() {
-            self.recording = false;
-            self.record_outdated = true;
-            self.record_differs = true;
+            self.workers_record_in_flight = false;
+            self.workers_record_outdated = true;
+            self.workers_record_dirty = true;
         }
         self.unsaved.not_written(&records.jobs);
         for id in &records.created {
@@ -173,17 +173,17 @@
     }
 }
 
-/// Alternates between changed and new jobs, each in their order; when one kind is
+/// Alternates between new and changed jobs, each in their order; when one kind is
 /// exhausted, the rest of the other follows.
-fn in_turn(
+fn alternate(
     new: Vec<fleet::JobId>,
     changed: Vec<fleet::JobId>,
 ) -> impl Iterator<Item = fleet::JobId> {
     let (mut new, mut changed) = (new.into_iter(), changed.into_iter());
-    let mut turn_of_new = false;
+    let mut take_new = false;
     iter::from_fn(move || {
-        turn_of_new = !turn_of_new;
-        match turn_of_new {
+        take_new = !take_new;
+        match take_new {
             true => new.next().or_else(|| changed.next()),
             false => changed.next().or_else(|| new.next()),
         }
--- a/crates/figscale-core/src/fleet/recovery.rs
+++ b/crates/figscale-core/src/fleet/recovery.rs
@@ -192,7 +192,7 @@
             for round in &mut job.rounds {
                 // The records don't contain when an occurrence fell due.
                 round.due_at = (job.description.occurrences > 0).then_some(now);
-                round.suspect();
+                round.mark_suspect();
             }
         }
     }
@@ -228,7 +228,7 @@
             runs,
         };
         self.actions.push(Action::Tell(note));
-        self.give_up_recorded(now);
+        self.fail_jobs_over_recorded_limit(now);
         self.stop_partial_gangs(now);
     }
 
--- a/crates/figscale-core/src/fleet/report.rs
+++ b/crates/figscale-core/src/fleet/report.rs
@@ -55,19 +55,24 @@
             worker.lease.sent(report.clock_ms + lease_ms);
         }
         for run in &report.finished {
-            self.take_in_end(id, run, now);
+            self.apply_finished_run(id, run, now);
         }
         // A late report of a replaced worker says nothing about what runs now.
         if !replaced {
-            self.take_in_running(id, report, now);
-            self.drop_missing(id, report);
+            self.apply_running(id, report, now);
+            self.remove_missing_runs(id, report);
         }
         if self.unheard.swap_remove(id).is_some() {
             self.check_recovery(now);
         }
     }
 
-    fn take_in_end(&mut self, id: &fleet::WorkerId, run: &fleet::FinishedRun, now: time::Instant) {
+    fn apply_finished_run(
+        &mut self,
+        id: &fleet::WorkerId,
+        run: &fleet::FinishedRun,
+        now: time::Instant,
+    ) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -100,10 +105,15 @@
                 end: run.end,
             }));
         }
-        self.apply_end(id, run, now);
+        self.apply_end_to_job(id, run, now);
     }
 
-    fn apply_end(&mut self, id: &fleet::WorkerId, run: &fleet::FinishedRun, now: time::Instant) {
+    fn apply_end_to_job(
+        &mut self,
+        id: &fleet::WorkerId,
+        run: &fleet::FinishedRun,
+        now: time::Instant,
+    ) {
         self.add_rounds_ahead(&run.task, now);
         let Some(job) = self.jobs.get_mut(&run.task.job).filter(|job| job.is_open()) else {
             return;
@@ -113,7 +123,7 @@
         };
         let (is_gang, long_running) = (description.gang, description.long_running);
         job.started = true;
-        keep_checkpoint(job, run, is_gang);
+        store_checkpoint(job, run, is_gang);
         self.unsaved.change(run.task.job);
         match run.end {
             fleet::End::Done if !long_running => self.task_done(id, run, is_gang, now),
@@ -137,8 +147,8 @@
         let Some(task) = job.task_mut(&run.task) else {
             return;
         };
-        let runs_elsewhere =
-            matches!(task.state, job::TaskState::Placed { .. }) && !task.runs_as(id, run.attempt);
+        let runs_elsewhere = matches!(task.state, job::TaskState::Placed { .. })
+            && !task.is_current_run(id, run.attempt);
         if runs_elsewhere {
             // This run was abandoned when its worker's lease was over; the later
             // run counts.
@@ -168,12 +178,12 @@
         let max_attempts = job.queue.max_attempts;
         let mut failures = 0;
         if let Some(task) = job.task_mut(&run.task) {
-            job::note_failed(&mut task.failed_attempts, run.attempt);
+            job::add_failed_attempt(&mut task.failed_attempts, run.attempt);
             task.failed_on = Some(id.clone());
             failures = task.failed_attempts.len();
         }
         if is_gang && let Some(step) = job.step_mut(&run.task) {
-            job::note_failed(&mut step.gang_failed_attempts, run.attempt);
+            job::add_failed_attempt(&mut step.gang_failed_attempts, run.attempt);
             failures = failures.max(step.gang_failed_attempts.len());
         }
         self.task_free_again(id, &(run.task, run.attempt));
@@ -183,7 +193,7 @@
     }
 
     /// Confirms known runs, adopts those of an earlier term and stops orphans.
-    fn take_in_running(
+    fn apply_running(
         &mut self,
         id: &fleet::WorkerId,
         report: &fleet::WorkerReport,
@@ -199,10 +209,10 @@
                 Some(run) => {
                     let confirmed = run.confirmed_clock_ms.unwrap_or(0);
                     run.confirmed_clock_ms = Some(confirmed.max(report.clock_ms));
-                    self.note_progress(id, running, now);
+                    self.apply_progress(id, running, now);
                     self.check_outlived(&key);
                 }
-                None => self.find_run(id, running, report.clock_ms, now),
+                None => self.adopt_run(id, running, report.clock_ms, now),
             }
             // A run in quarantine has to outlive the lost ones first.
             if !self.is_quarantined(id, &key) {
@@ -214,7 +224,7 @@
         }
     }
 
-    fn note_progress(
+    fn apply_progress(
         &mut self,
         id: &fleet::WorkerId,
         running: &fleet::RunningTask,
@@ -229,17 +239,17 @@
             .is_some_and(|step| !step.long_running && !step.filler && step.room.cpu_millis > 0);
         if !running.checkpoint.is_empty()
             && let Some(task) = job.task_mut(&running.task)
-            && task.runs_as(id, running.attempt)
+            && task.is_current_run(id, running.attempt)
         {
             task.checkpoint.clone_from(&running.checkpoint);
         }
         if watched && let Some(used) = running.used_cpu_millis {
-            self.note_use(id, (running.task, running.attempt), used, now);
+            self.check_processor_use(id, (running.task, running.attempt), used, now);
         }
     }
 
     /// Adds a run that this term did not order.
-    fn find_run(
+    fn adopt_run(
         &mut self,
         id: &fleet::WorkerId,
         running: &fleet::RunningTask,
@@ -310,7 +320,7 @@
     pub(crate) fn is_wanted(&self, id: &fleet::WorkerId, key: worker::RunKey) -> bool {
         let job = self.jobs.get(&key.0.job).filter(|job| job.is_open());
         let task = job.and_then(|job| job.task(&key.0));
-        task.is_some_and(|task| task.runs_as(id, key.1))
+        task.is_some_and(|task| task.is_current_run(id, key.1))
     }
 
     /// Removes runs that are missing in a report: they have ended, or were never
@@ -319,7 +329,7 @@
     /// A start order may overtake an older report. So a run only counts as
     /// missing once the report's clock reading is past the run's confirmation,
     /// or past the expiry of its order if it is not confirmed.
-    fn drop_missing(&mut self, id: &fleet::WorkerId, report: &fleet::WorkerReport) {
+    fn remove_missing_runs(&mut self, id: &fleet::WorkerId, report: &fleet::WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -344,7 +354,7 @@
 }
 
 /// Stores the newest checkpoint; that of one member is valid for its whole gang.
-fn keep_checkpoint(job: &mut job::Job, run: &fleet::FinishedRun, is_gang: bool) {
+fn store_checkpoint(job: &mut job::Job, run: &fleet::FinishedRun, is_gang: bool) {
     if run.checkpoint.is_empty() {
         return;
     }
--- a/crates/figscale-core/src/fleet/scheduler.rs
+++ b/crates/figscale-core/src/fleet/scheduler.rs
@@ -36,7 +36,7 @@
     /// since its resources may have shrunk.
     pub max_entry_age: time::Duration,
     /// How long after its submission the outcome of a job is kept.
-    pub keep_ended: time::Duration,
+    pub outcome_retention: time::Duration,
     /// A job that would take longer than this percentage of its latency objective
     /// is refused.
     pub max_of_objective_percent: u32,
@@ -56,7 +56,7 @@
             max_silence: time::Duration::from_millis(1_700),
             // Entries are read every 0.6 s.
             max_entry_age: time::Duration::from_millis(2_700),
-            keep_ended: time::Duration::from_secs(150),
+            outcome_retention: time::Duration::from_secs(150),
             // A late job is worth a fifth to the users, up to 300 %. Below
             // 200 % small jobs are refused needlessly after a peak; above it
             // the effects of three times the usual traffic for 8 s last longer
@@ -104,13 +104,13 @@
     /// Workers that the record in the store names as those that may have runs.
     pub(crate) recorded: maps::WorkerSet,
     /// Whether a write of the record of workers is in flight.
-    pub(crate) recording: bool,
+    pub(crate) workers_record_in_flight: bool,
     /// Whether the record in the store may name more workers than `recorded`.
-    pub(crate) record_outdated: bool,
+    pub(crate) workers_record_outdated: bool,
     /// Whether the record of workers has to be written anew. It is cached, since
     /// computing it takes about 50 us for 350 workers, far too long to do after
     /// each message.
-    pub(crate) record_differs: bool,
+    pub(crate) workers_record_dirty: bool,
     /// Changes that are not known to be in the store.
     pub(crate) unsaved: unsaved::Unsaved,
     /// Starvation report: ready steps that have nothing running.
@@ -133,9 +133,9 @@
             unheard: maps::WorkerMap::default(),
             recovering: false,
             recorded: maps::WorkerSet::default(),
-            recording: false,
-            record_outdated: false,
-            record_differs: false,
+            workers_record_in_flight: false,
+            workers_record_outdated: false,
+            workers_record_dirty: false,
             unsaved: unsaved::Unsaved::default(),
             waits: waits::Waits::default(),
             pass_looks: 0,
@@ -167,15 +167,15 @@
     pub fn worker_listed(&mut self, entry: fleet::WorkerEntry) {
         match self.workers.get_mut(&entry.id) {
             Some(worker) => {
-                let turns = worker.entry.draining != entry.draining;
+                let draining_changed = worker.entry.draining != entry.draining;
                 worker.leaves_at = worker.leaves_at.filter(|_| entry.draining);
                 worker.entry = entry;
                 worker.unlisted_at = None;
                 // No other part of an entry decides whether the worker belongs on
                 // the record. After an outage all entries may return in one
                 // listing, so the costly check is done only for this.
-                if turns {
-                    self.record_differs = self.workers_record_differs();
+                if draining_changed {
+                    self.workers_record_dirty = self.workers_record_differs();
                 }
             }
             None => {
@@ -183,7 +183,7 @@
                 let mut worker = worker::Worker::new(entry);
                 worker.recorded = recorded;
                 self.workers.insert(worker.entry.id.clone(), worker);
-                self.record_differs |= !recorded;
+                self.workers_record_dirty |= !recorded;
             }
         }
     }
@@ -230,7 +230,7 @@
             return;
         };
         worker.unlisted_at = Some(now);
-        self.drop_if_over(id, now);
+        self.drop_if_lease_over(id, now);
     }
 
     /// Handles a call to a worker that failed or is overdue. The worker gets no
@@ -244,7 +244,7 @@
         let worker = self.workers.get_mut(id);
         if let Some(worker) = worker.filter(|worker| worker.silent_since.is_none()) {
             worker.silent_since = Some(now);
-            self.note_possible_crash(id, now);
+            self.record_possible_crash(id, now);
         }
     }
 
@@ -252,7 +252,7 @@
     /// ended.
     pub fn worker_replaced(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         self.unheard.swap_remove(id);
-        self.give_up_runs(id, now);
+        self.abandon_runs(id, now);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.replaced = true;
         }
@@ -261,20 +261,20 @@
     /// Does the work that is due with time: ends leases, repeats stops, adds due
     /// occurrences and the like.
     pub fn tick(&mut self, now: time::Instant, wall_ms: u64) {
-        self.end_silent_leases(now);
+        self.end_expired_leases(now);
         self.repeat_stops(now);
         self.evacuate(now);
-        self.record_differs = self.workers_record_differs();
+        self.workers_record_dirty = self.workers_record_differs();
         self.add_due_rounds(now, wall_ms);
         self.drop_old_outcomes(wall_ms);
         self.check_recovery(now);
         self.look_at_waits(now);
     }
 
-    fn end_silent_leases(&mut self, now: time::Instant) {
+    fn end_expired_leases(&mut self, now: time::Instant) {
         let ids: Vec<fleet::WorkerId> = self.workers.keys().cloned().collect();
         for id in ids {
-            self.drop_if_over(&id, now);
+            self.drop_if_lease_over(&id, now);
         }
     }
 
@@ -285,26 +285,26 @@
     /// The next leader does not wait for a worker that was dropped. It would
     /// start a task again whose end is neither in the store nor reported to it.
     /// So a worker is kept until its ends are written, or its lease is over.
-    fn drop_if_over(&mut self, id: &fleet::WorkerId, now: time::Instant) {
+    fn drop_if_lease_over(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let grace = self.config.stop_limit;
         let Some(worker) = self.workers.get(id) else {
             return;
         };
         let over = worker.lease.is_over(grace, now);
-        let done_with = over || worker.is_settled();
+        let may_be_dropped = over || worker.is_settled();
         let gone = worker.unlisted_at.is_some();
         if over {
-            self.give_up_runs(id, now);
+            self.abandon_runs(id, now);
         }
-        if gone && done_with {
+        if gone && may_be_dropped {
             self.workers.swap_remove(id);
-            self.record_differs |= self.recorded.contains(id);
+            self.workers_record_dirty |= self.recorded.contains(id);
         }
     }
 
-    /// Takes all runs of a worker as ended without a report. Runs that may have
-    /// crashed it count as lost, unless the worker was draining.
-    pub(crate) fn give_up_runs(&mut self, id: &fleet::WorkerId, now: time::Instant) {
+    /// Takes all runs of a worker as ended without a report. They are recorded
+    /// as lost, unless the worker was draining.
+    pub(crate) fn abandon_runs(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -313,10 +313,10 @@
             return;
         }
         let silent = worker.lease.silent_for(now).unwrap_or_default();
-        let heard_at = worker.lease.read_at();
+        let last_contact = worker.lease.read_at();
         if !worker.entry.draining {
             for (key, loss) in self.losses(id, &runs, now) {
-                self.note_loss(&key, loss);
+                self.record_loss(&key, loss);
             }
         }
         for (key, run) in &runs {
@@ -326,7 +326,7 @@
                 worker: id.clone(),
                 silent,
                 begun: run.is_confirmed(),
-                age: run.age_at(heard_at),
+                age: run.age_at(last_contact),
             }));
             self.task_free_again(id, key);
         }
@@ -336,7 +336,7 @@
         };
         self.actions.push(Action::Tell(note));
         for key in runs.keys() {
-            self.give_up_if_convicted(&key.0, now);
+            self.fail_job_if_over_loss_limit(&key.0, now);
         }
     }
 
@@ -372,7 +372,7 @@
                 self.unsaved.change(*id);
             }
             if self.recovering && job.loaded {
-                job.suspect_last(added);
+                job.mark_last_suspect(added);
             }
         }
     }
@@ -389,12 +389,12 @@
             self.unsaved.change(task.job);
         }
         if self.recovering {
-            job.suspect_last(added);
+            job.mark_last_suspect(added);
         }
     }
 
     fn drop_old_outcomes(&mut self, wall_ms: u64) {
-        let keep_ms = super::lease::millis(self.config.keep_ended);
+        let keep_ms = super::lease::millis(self.config.outcome_retention);
         // Checks only a few jobs at the front at a time; ended jobs gather there.
         let old = |job: &job::Job| {
             let age_ms = wall_ms.saturating_sub(job.submitted_wall_ms);
--- a/crates/figscale-core/src/fleet/stops.rs
+++ b/crates/figscale-core/src/fleet/stops.rs
@@ -27,7 +27,7 @@
         };
         let is_gang = job.step_description(id).is_some_and(|step| step.gang);
         if let Some(task) = job.task_mut(id)
-            && task.runs_as(worker, *attempt)
+            && task.is_current_run(worker, *attempt)
         {
             task.state = job::TaskState::Waiting;
         }
@@ -109,7 +109,7 @@
 
     /// Checks the processor use that a worker reported for a run. If the run is
     /// stalled, its task is moved and the worker ejected.
-    pub(crate) fn note_use(
+    pub(crate) fn check_processor_use(
         &mut self,
         id: &fleet::WorkerId,
         key: worker::RunKey,
@@ -132,14 +132,14 @@
             return;
         }
         self.order_stop(id, key, Some(now));
-        self.set_aside(id, "tasks use no processor time", now);
+        self.eject_worker(id, "tasks use no processor time", now);
     }
 
     /// Whether all members of a run's gang are stalled; true for other runs.
     ///
     /// A member that has done its part waits for the others without using a
     /// processor. When that counted as stalled, 1,600 core-seconds of finished
-    /// work were thrown away in a day without faults.
+    /// work were thrown away on a day without trouble.
     fn gang_is_idle(&self, key: &worker::RunKey, now: time::Instant) -> bool {
         let (task, attempt) = key;
         let step = self
@@ -156,7 +156,7 @@
     }
 
     /// Ejects a worker: it receives no new work for a while.
-    pub(crate) fn set_aside(
+    pub(crate) fn eject_worker(
         &mut self,
         id: &fleet::WorkerId,
         cause: &'static str,
--- a/crates/figscale-core/src/fleet/unsaved.rs
+++ b/crates/figscale-core/src/fleet/unsaved.rs
@@ -15,12 +15,12 @@
 use figscale_types::fleet;
 use indexmap::IndexMap;
 
-/// Most batches of ends that wait to be acknowledged. A write is begun every 20 ms
-/// at most and takes 0.25 s with a slow store, so there are about a dozen.
-const MAX_NOTES: usize = 32;
+/// Most batches of ends that wait to be acknowledged. At most one write is begun
+/// every 20 ms, and it takes 0.25 s with a slow store, so there are about a dozen.
+const MAX_PENDING_ENDS: usize = 32;
 
 /// Generation of a new job's record, later than that of any batch of ends.
-const NEW: u64 = u64::MAX;
+const NEW_JOB: u64 = u64::MAX;
 
 /// Workers, each with the number up to which its ends are included.
 pub(crate) type Ends = Vec<(fleet::WorkerId, u64)>;
@@ -35,20 +35,20 @@
     writing: IndexMap<fleet::JobId, u64>,
     /// Batches of ends with the generation in which they were applied, oldest
     /// first.
-    notes: VecDeque<(u64, Ends)>,
+    pending_ends: VecDeque<(u64, Ends)>,
     /// Generation of changes made now; incremented with each batch.
-    now: u64,
+    generation: u64,
 }
 
 impl Unsaved {
     /// Adds a new job.
     pub(crate) fn create(&mut self, id: fleet::JobId) {
-        self.waiting.entry(id).or_insert(NEW);
+        self.waiting.entry(id).or_insert(NEW_JOB);
     }
 
     /// Adds a change of a job.
     pub(crate) fn change(&mut self, id: fleet::JobId) {
-        self.waiting.entry(id).or_insert(self.now);
+        self.waiting.entry(id).or_insert(self.generation);
     }
 
     /// Drops the changes of a job that was withdrawn.
@@ -74,8 +74,8 @@
 
     /// Moves a job's changes into a write.
     pub(crate) fn take(&mut self, id: fleet::JobId) {
-        if let Some(age) = self.waiting.shift_remove(&id) {
-            self.writing.insert(id, age);
+        if let Some(generation) = self.waiting.shift_remove(&id) {
+            self.writing.insert(id, generation);
         }
     }
 
@@ -90,30 +90,39 @@
     /// be, to the front of the waiting changes.
     pub(crate) fn not_written(&mut self, jobs: &[fleet::JobId]) {
         for id in jobs.iter().rev() {
-            if let Some(age) = self.writing.swap_remove(id) {
-                self.waiting.shift_insert(0, *id, age);
+            if let Some(generation) = self.writing.swap_remove(id) {
+                self.waiting.shift_insert(0, *id, generation);
             }
         }
     }
 
     /// Adds a batch of ends whose effects are among the changes up to now. Beyond
-    /// `MAX_NOTES` batches it is dropped; its ends are part of a later one.
-    pub(crate) fn note(&mut self, ends: Ends) {
-        if ends.is_empty() || self.notes.len() >= MAX_NOTES {
+    /// `MAX_PENDING_ENDS` batches it is dropped; its ends are part of a later one.
+    pub(crate) fn add_ends(&mut self, ends: Ends) {
+        if ends.is_empty() || self.pending_ends.len() >= MAX_PENDING_ENDS {
             return;
         }
-        self.notes.push_back((self.now, ends));
-        self.now += 1;
+        self.pending_ends.push_back((self.generation, ends));
+        self.generation += 1;
     }
 
     /// Takes the ends whose effects are all in the store; each batch is returned
     /// once.
     pub(crate) fn due(&mut self) -> Ends {
-        let ages = self.waiting.values().chain(self.writing.values());
-        let oldest = ages.min().copied().unwrap_or(NEW);
+        let generations = self.waiting.values().chain(self.writing.values());
+        let oldest = generations.min().copied().unwrap_or(NEW_JOB);
         let mut due = Ends::new();
-        while self.notes.front().is_some_and(|(age, _)| *age < oldest) {
-            due.extend(self.notes.pop_front().into_iter().flat_map(|note| note.1));
+        while self
+            .pending_ends
+            .front()
+            .is_some_and(|(generation, _)| *generation < oldest)
+        {
+            due.extend(
+                self.pending_ends
+                    .pop_front()
+                    .into_iter()
+                    .flat_map(|batch| batch.1),
+            );
         }
         due
     }
