--- a/crates/figscale-core/src/job/placement/cluster.rs
+++ b/crates/figscale-core/src/job/placement/cluster.rs
@@ -1,10 +1,10 @@
-//! The workers of the shards that an entry instance holds, and their room.
+//! The workers of the shards that an entry instance holds, and their allocations.
 //!
-//! Every change of a worker's room goes through [`Cluster::reserve`],
-//! [`Cluster::release`] and [`Cluster::sync`], which keep one sum per worker:
-//! over its tasks, the larger of what was reserved and what was last seen in
-//! use. Lagging reports can thus only shrink the room that is left, never
-//! stretch it beyond what was not reserved.
+//! Every change of an allocation goes through [`Cluster::reserve`],
+//! [`Cluster::release`] and [`Cluster::sync`]. They maintain one sum per worker:
+//! over its tasks, the larger of what was reserved and what was last reported as
+//! used. A lagging report can thus only reduce a worker's free resources; it never
+//! makes reserved resources appear free.
 
 use std::error;
 use std::fmt;
@@ -23,33 +23,33 @@
 use super::work;
 use super::worker;
 
-/// Why room was not given.
+/// Why no resources were allocated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReserveError {
-    /// The worker is not of a shard held here.
+    /// The worker does not belong to a shard held by this entry instance.
     UnknownWorker,
-    /// The task has room already.
-    Known,
-    /// The worker gets no new work.
-    Closed,
-    /// The worker has too little room.
-    Full,
+    /// The task has an allocation already.
+    AlreadyAllocated,
+    /// The worker does not accept this task.
+    NotAccepting,
+    /// The worker has too few free resources.
+    NoCapacity,
 }
 
 impl fmt::Display for ReserveError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::UnknownWorker => "the worker is not held here",
-            Self::Known => "the task has room already",
-            Self::Closed => "the worker gets no new work",
-            Self::Full => "the worker has too little room",
+            Self::UnknownWorker => "the worker belongs to no shard of this entry instance",
+            Self::AlreadyAllocated => "the task has an allocation already",
+            Self::NotAccepting => "the worker does not accept the task",
+            Self::NoCapacity => "the worker has too few free resources",
         })
     }
 }
 
 impl error::Error for ReserveError {}
 
-/// How a job's tasks are spread.
+/// Number of a job's tasks by failure domain and by rack.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Spread {
     pub(super) by_domain: Vec<u32>,
@@ -57,12 +57,12 @@
     total: u32,
 }
 
-/// The workers held here, with their room.
+/// The workers of the shards held here, with their allocations.
 #[derive(Clone, Debug, Default)]
 pub struct Cluster {
     pub(super) config: config::Config,
     pub(super) workers: IndexMap<ids::InstanceId, worker::Worker>,
-    pub(super) holdings: IndexMap<ids::TaskId, work::Holding>,
+    pub(super) allocations: IndexMap<ids::TaskId, work::Holding>,
     pub(super) spreads: IndexMap<ids::JobId, Spread>,
     usage: IndexMap<ids::OwnerName, sizes::Resources>,
     domains: IndexSet<ids::FailureDomain>,
@@ -70,10 +70,10 @@
     pub(super) capacity: sizes::Resources,
     pub(super) counted: sizes::Resources,
     pub(super) examined: u64,
-    /// The most urgent work that waits for accelerators.
-    pub(super) accelerators_wanted: Option<kept::Wanted>,
-    /// The worker promised to a job.
-    pub(super) promise: Option<kept::Promise>,
+    /// The most urgent work that needs accelerators and has none.
+    pub(super) accelerator_demand: Option<kept::AcceleratorDemand>,
+    /// The worker reserved for a job between requests for placement.
+    pub(super) worker_reservation: Option<kept::WorkerReservation>,
 }
 
 impl Cluster {
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Replaces what placement weighs; the catalogue may change at any time.
+    /// Replaces the settings; the catalogue may change at any time.
     pub fn set_config(&mut self, config: config::Config) {
         self.config = config;
     }
 
-    /// Adds a worker, or takes over its new state if it is known.
+    /// Adds a worker. If it is known, only updates whether it is leaving.
     ///
-    /// An instance that is no worker changes nothing.
+    /// Instances that are not workers are ignored.
     pub fn add_worker(&mut self, instance: &instances::Instance, readiness: worker::Readiness) {
         let leaving = instance.life == instances::Life::Leaving;
         if let Some(known) = self.workers.get_mut(&instance.id) {
@@ -114,14 +114,14 @@
             readiness,
             leaving,
             standing: worker::Standing::InUse,
-            held: None,
+            reserved_for: None,
             tasks: IndexSet::new(),
         };
         self.capacity = self.capacity.plus(&added.capacity);
         self.workers.insert(added.id.clone(), added);
     }
 
-    /// Forgets a worker; returns the room that its tasks had.
+    /// Removes a worker; returns the allocations of its tasks.
     pub fn remove_worker(&mut self, id: &ids::InstanceId) -> Vec<work::Holding> {
         let Some(worker) = self.workers.get(id) else {
             return Vec::new();
@@ -134,7 +134,7 @@
         lost
     }
 
-    /// Forgets the workers of a shard; returns the room that their tasks had.
+    /// Removes the workers of a shard; returns the allocations of their tasks.
     pub fn remove_shard(&mut self, shard: &ids::ShardId) -> Vec<work::Holding> {
         let of_shard = |worker: &&worker::Worker| worker.shard == *shard;
         let ids: Vec<_> = self.workers.values().filter(of_shard).collect();
@@ -142,80 +142,81 @@
         ids.iter().flat_map(|id| self.remove_worker(id)).collect()
     }
 
-    /// Marks a worker whose old tasks are all known or have lapsed.
+    /// Opens a worker to new work, once all tasks of earlier holders are known
+    /// or have lapsed.
     pub fn set_ready(&mut self, id: &ids::InstanceId) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.readiness = worker::Readiness::Ready;
         }
     }
 
-    /// Marks a worker as leaving or not.
+    /// Sets whether a worker is leaving.
     pub fn set_leaving(&mut self, id: &ids::InstanceId, leaving: bool) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.leaving = leaving;
         }
     }
 
-    /// Sets a worker aside, probes it, or takes it back into use.
+    /// Sets whether a worker is ejected, probed or in use.
     pub fn set_standing(&mut self, id: &ids::InstanceId, standing: worker::Standing) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.standing = standing;
         }
     }
 
-    /// The workers.
+    /// All workers.
     pub fn workers(&self) -> impl ExactSizeIterator<Item = &worker::Worker> {
         self.workers.values()
     }
 
-    /// A worker.
+    /// The worker with this id, if known.
     pub fn worker(&self, id: &ids::InstanceId) -> Option<&worker::Worker> {
         self.workers.get(id)
     }
 
-    /// The room of a task.
+    /// The allocation of a task.
     pub fn holding(&self, task: &ids::TaskId) -> Option<&work::Holding> {
-        self.holdings.get(task)
+        self.allocations.get(task)
     }
 
-    /// The room of all tasks.
-    pub fn holdings(&self) -> impl ExactSizeIterator<Item = &work::Holding> {
-        self.holdings.values()
+    /// The allocations of all tasks.
+    pub fn allocations(&self) -> impl ExactSizeIterator<Item = &work::Holding> {
+        self.allocations.values()
     }
 
-    /// What all workers hold together.
+    /// Sum of the capacities of all workers.
     pub fn capacity(&self) -> sizes::Resources {
         self.capacity
     }
 
-    /// What all tasks count for together.
+    /// Sum of [`work::Holding::counted`] over all tasks.
     pub fn counted(&self) -> sizes::Resources {
         self.counted
     }
 
-    /// What an owner's tasks count for here.
+    /// Sum of [`work::Holding::counted`] over an owner's tasks on these workers.
     pub fn usage(&self, owner: &ids::OwnerName) -> sizes::Resources {
         self.usage.get(owner).copied().unwrap_or_default()
     }
 
-    /// What the tasks of every owner that has any count for here.
+    /// The same for every owner that has tasks on these workers.
     pub fn usage_by_owner(&self) -> impl Iterator<Item = (&ids::OwnerName, &sizes::Resources)> {
         self.usage.iter()
     }
 
-    /// Workers examined by all decisions so far.
+    /// Number of workers examined by all placement decisions so far.
     pub fn examined(&self) -> u64 {
         self.examined
     }
 
-    /// Gives a task room on a worker.
+    /// Allocates resources for a task on a worker.
     ///
-    /// With `expires`, the room is taken back by [`Cluster::expire`] unless it
-    /// is confirmed before.
+    /// With `expires`, [`Cluster::expire`] releases the allocation unless it is
+    /// confirmed before.
     ///
     /// # Errors
     ///
-    /// Nothing changes if the room cannot be given.
+    /// Nothing changes if the resources cannot be allocated.
     pub fn reserve(
         &mut self,
         ask: work::Ask,
@@ -223,15 +224,15 @@
         now: time::Instant,
         expires: Option<time::Instant>,
     ) -> Result<(), ReserveError> {
-        if self.holdings.contains_key(&ask.task) {
-            return Err(ReserveError::Known);
+        if self.allocations.contains_key(&ask.task) {
+            return Err(ReserveError::AlreadyAllocated);
         }
         let worker = self.workers.get(id).ok_or(ReserveError::UnknownWorker)?;
         if !worker.admits(&ask) {
-            return Err(ReserveError::Closed);
+            return Err(ReserveError::NotAccepting);
         }
         if !worker.free().holds(&ask.size) {
-            return Err(ReserveError::Full);
+            return Err(ReserveError::NoCapacity);
         }
         self.insert(work::Holding {
             ask,
@@ -242,14 +243,14 @@
             expires,
             ran_ms: 0,
             ending: false,
-            gang_try: None,
+            gang_round: None,
         });
         Ok(())
     }
 
-    /// Takes a task's room back.
+    /// Releases the allocation of a task.
     pub fn release(&mut self, task: &ids::TaskId) -> Option<work::Holding> {
-        let holding = self.holdings.swap_remove(task)?;
+        let holding = self.allocations.swap_remove(task)?;
         let counted = holding.counted();
         self.counted = self.counted.minus(&counted);
         self.charge(&holding.ask.owner, &counted, &sizes::Resources::default());
@@ -262,9 +263,10 @@
         Some(holding)
     }
 
-    /// Confirms a task: its room no longer expires.
+    /// Confirms a task: its allocation no longer expires. Returns whether the task
+    /// has an allocation.
     pub fn confirm(&mut self, task: &ids::TaskId) -> bool {
-        match self.holdings.get_mut(task) {
+        match self.allocations.get_mut(task) {
             Some(holding) => {
                 holding.expires = None;
                 true
@@ -273,9 +275,10 @@
         }
     }
 
-    /// Puts off the expiry of a task's room.
+    /// Postpones the expiry of a task's allocation unless it is confirmed. Returns
+    /// whether the task has an allocation.
     pub fn extend(&mut self, task: &ids::TaskId, expires: time::Instant) -> bool {
-        match self.holdings.get_mut(task) {
+        match self.allocations.get_mut(task) {
             Some(holding) if holding.expires.is_some() => {
                 holding.expires = Some(expires);
                 true
@@ -285,9 +288,10 @@
         }
     }
 
-    /// Takes over that a task was asked to end, or to slow down.
+    /// Records that a task was told to end or to use less processor time. A
+    /// throttled task reserves no more processor time than it declared.
     pub(super) fn mark_ending(&mut self, task: &ids::TaskId, action: protocol::TaskAction) {
-        let Some(holding) = self.holdings.get_mut(task) else {
+        let Some(holding) = self.allocations.get_mut(task) else {
             return;
         };
         if action == protocol::TaskAction::Throttle {
@@ -301,11 +305,11 @@
         }
     }
 
-    /// Takes back the room that expired.
+    /// Releases the allocations that have expired, and returns them.
     pub fn expire(&mut self, now: time::Instant) -> Vec<work::Holding> {
         let late = |holding: &work::Holding| holding.expires.is_some_and(|at| at <= now);
         let tasks: Vec<_> = self
-            .holdings
+            .allocations
             .iter()
             .filter(|(_, holding)| late(holding))
             .map(|(task, _)| task.clone())
@@ -324,12 +328,12 @@
         }
         self.counted = self.counted.plus(&counted);
         self.charge(&holding.ask.owner, &sizes::Resources::default(), &counted);
-        self.holdings.insert(task, holding);
+        self.allocations.insert(task, holding);
     }
 
-    /// Replaces what a task was seen to use.
+    /// Updates the use of a task from a report.
     pub(super) fn set_used(&mut self, task: &ids::TaskId, used: sizes::Resources, ran_ms: u64) {
-        let Some(holding) = self.holdings.get_mut(task) else {
+        let Some(holding) = self.allocations.get_mut(task) else {
             return;
         };
         let before = holding.counted();
@@ -340,9 +344,9 @@
         self.recount(task, &before, &after);
     }
 
-    /// Counts a task for `after` in place of `before`.
+    /// Replaces `before` by `after` in the sums that a task is part of.
     fn recount(&mut self, task: &ids::TaskId, before: &sizes::Resources, after: &sizes::Resources) {
-        let Some(holding) = self.holdings.get(task) else {
+        let Some(holding) = self.allocations.get(task) else {
             return;
         };
         self.counted = self.counted.minus(before).plus(after);
@@ -353,7 +357,7 @@
         self.charge(&owner, before, after);
     }
 
-    /// Charges an owner `after` in place of `before`.
+    /// Replaces `before` by `after` in the use of an owner.
     pub(super) fn charge(
         &mut self,
         owner: &Option<ids::OwnerName>,
--- a/crates/figscale-core/src/job/placement/fault.rs
+++ b/crates/figscale-core/src/job/placement/fault.rs
@@ -1,15 +1,15 @@
-//! Whose fault a failure is: the worker's or the job's.
+//! Attributes failures to a worker or to a job.
 //!
-//! A worker is blamed for the failures since its last success, but only for
-//! those of jobs that nothing else speaks against: a job that succeeded
-//! somewhere, or failed nowhere else. A job is blamed when one of its tasks
-//! fails on several workers that nothing else speaks against, or when all it
-//! ever did was fail on many. When a job is found at fault, the workers that
-//! it had brought into doubt are cleared.
+//! A worker is blamed for the failures since its last success. Only failures of jobs
+//! that are not suspicious themselves count: jobs that succeeded somewhere, or that
+//! failed on no other worker. A job is blamed when one of its tasks fails on several
+//! workers that no other job failed on, or when it never succeeded and failed on
+//! many such workers. When a job is found at fault, its failures no longer count
+//! against workers.
 //!
-//! A blamed worker is set aside and probed with one task after a wait that
-//! doubles each time. Never more than a share of all workers is set aside:
-//! when so many fail at once, the cause is elsewhere.
+//! A blamed worker is ejected and tested with one task after a delay, which doubles
+//! with each failed test. The share of workers that may be ejected is limited: when
+//! many workers fail at once, the cause is not the workers.
 
 use std::time;
 
@@ -19,57 +19,59 @@
 
 use super::worker;
 
-/// Jobs remembered for one worker.
+/// Most jobs whose failures are recorded for one worker.
 const MAX_JOBS_PER_WORKER: usize = 64;
 
-/// How blame is found.
+/// Thresholds and delays of fault attribution.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultConfig {
-    /// Failures without a success between for which a worker is set aside.
+    /// Failures since the last success after which a worker is ejected. Default
+    /// 3.
+    pub worker_failures: u32,
+    /// Number of workers on which a task must fail for its job to be at fault.
     /// Default 3.
-    pub worker_losses: u32,
-    /// Workers on which a task fails before its job is at fault. Default 3.
-    pub task_workers: usize,
-    /// Workers on which a job that never succeeded fails before it is at
+    pub task_failed_workers: usize,
+    /// Number of workers on which a job that never succeeded must fail to be at
     /// fault. Default 6.
-    pub job_workers: usize,
-    /// Wait before the first probe. Default 10 s.
+    pub job_failed_workers: usize,
+    /// Delay before an ejected worker is first tested. Default 10 s.
     pub probe_after: time::Duration,
-    /// Longest wait before a probe. Default 10 min.
+    /// Longest delay before a test. Default 10 min.
     pub max_probe_after: time::Duration,
-    /// Largest share of all workers set aside. Default 1/3.
-    pub max_aside_share: f64,
-    /// Most jobs remembered. Default 16,384.
+    /// Largest share of all workers that may be ejected; one worker may always
+    /// be. Default 1/3.
+    pub max_ejected_share: f64,
+    /// Most jobs that are recorded. Default 16,384.
     pub max_jobs: usize,
 }
 
 impl Default for FaultConfig {
     fn default() -> Self {
         Self {
-            worker_losses: 3,
-            task_workers: 3,
-            job_workers: 6,
+            worker_failures: 3,
+            task_failed_workers: 3,
+            job_failed_workers: 6,
             probe_after: time::Duration::from_secs(10),
             max_probe_after: time::Duration::from_secs(600),
-            max_aside_share: 1.0 / 3.0,
+            max_ejected_share: 1.0 / 3.0,
             max_jobs: 16_384,
         }
     }
 }
 
-/// What follows from an outcome.
+/// Consequences of the end of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Blame {
-    /// Workers whose standing changed.
+    /// Workers whose ejection state changed, with the new state.
     pub workers: Vec<(ids::InstanceId, worker::Standing)>,
-    /// Whether the job is at fault and is not to be tried again.
+    /// Whether the job is at fault and must not be retried.
     pub job: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct WorkerRecord {
-    /// Failures since the last success, by job.
-    losses: IndexMap<ids::JobId, u32>,
+    /// Number of failures since the last success, by job.
+    failures: IndexMap<ids::JobId, u32>,
     standing: worker::Standing,
     probe_at: Option<time::Instant>,
     probe_after: time::Duration,
@@ -80,11 +82,11 @@
     succeeded: bool,
     at_fault: bool,
     failed_on: IndexSet<ids::InstanceId>,
-    /// Workers on which each task failed.
+    /// Workers on which each task failed, by index of the task.
     tasks: IndexMap<u32, IndexSet<ids::InstanceId>>,
 }
 
-/// Failures and successes, by worker and by job.
+/// Records failures and successes by worker and by job.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     config: FaultConfig,
@@ -94,7 +96,7 @@
 }
 
 impl Faults {
-    /// Nothing seen yet.
+    /// Creates an empty record.
     pub fn new(config: FaultConfig) -> Self {
         Self {
             config,
@@ -102,19 +104,19 @@
         }
     }
 
-    /// Takes over how many workers there are.
+    /// Sets the number of workers, to which the limit of ejected workers applies.
     pub fn set_total_workers(&mut self, total: usize) {
         self.total_workers = total;
     }
 
-    /// Takes over that a task failed on a worker.
+    /// Records that a task failed on a worker.
     pub fn failed(
         &mut self,
         task: &ids::TaskId,
         worker: &ids::InstanceId,
         now: time::Instant,
     ) -> Blame {
-        self.note_failure(task, worker);
+        self.record_failure(task, worker);
         let mut blame = Blame {
             job: self.is_job_at_fault(task),
             ..Blame::default()
@@ -127,7 +129,7 @@
         blame
     }
 
-    /// Takes over that a task ended well on a worker.
+    /// Records that a task succeeded on a worker. This clears the worker.
     pub fn succeeded(
         &mut self,
         task: &ids::TaskId,
@@ -153,7 +155,8 @@
         blame
     }
 
-    /// Workers that may be tried again with one task.
+    /// Puts the ejected workers whose delay has passed into the probing state, and
+    /// returns them.
     pub fn probes(&mut self, now: time::Instant) -> Vec<ids::InstanceId> {
         let mut due = Vec::new();
         for (id, record) in &mut self.workers {
@@ -166,24 +169,24 @@
         due
     }
 
-    /// Forgets a job that is final.
+    /// Removes the record of a job that has ended.
     pub fn forget_job(&mut self, job: &ids::JobId) {
         self.jobs.swap_remove(job);
         for record in self.workers.values_mut() {
-            record.losses.shift_remove(job);
+            record.failures.shift_remove(job);
         }
     }
 
-    /// Forgets a worker that is gone.
+    /// Removes the record of a worker that is gone.
     pub fn forget_worker(&mut self, worker: &ids::InstanceId) {
         self.workers.swap_remove(worker);
     }
 
-    /// Workers that are set aside.
-    pub fn set_aside(&self) -> impl Iterator<Item = &ids::InstanceId> {
-        let aside = |record: &WorkerRecord| record.standing == worker::Standing::SetAside;
+    /// Workers that are ejected.
+    pub fn ejected(&self) -> impl Iterator<Item = &ids::InstanceId> {
+        let is_ejected = |record: &WorkerRecord| record.standing == worker::Standing::Ejected;
         let all = self.workers.iter();
-        all.filter(move |(_, r)| aside(r)).map(|(id, _)| id)
+        all.filter(move |(_, r)| is_ejected(r)).map(|(id, _)| id)
     }
 
     fn job(&mut self, id: &ids::JobId) -> &mut JobRecord {
@@ -193,7 +196,7 @@
         self.jobs.entry(id.clone()).or_default()
     }
 
-    fn note_failure(&mut self, task: &ids::TaskId, worker: &ids::InstanceId) {
+    fn record_failure(&mut self, task: &ids::TaskId, worker: &ids::InstanceId) {
         let job = self.job(&task.job);
         job.failed_on.insert(worker.clone());
         let on = job.tasks.entry(task.index).or_default();
@@ -202,8 +205,8 @@
             return;
         }
         let record = self.workers.entry(worker.clone()).or_default();
-        if record.losses.len() < MAX_JOBS_PER_WORKER || record.losses.contains_key(&task.job) {
-            *record.losses.entry(task.job.clone()).or_default() += 1;
+        if record.failures.len() < MAX_JOBS_PER_WORKER || record.failures.contains_key(&task.job) {
+            *record.failures.entry(task.job.clone()).or_default() += 1;
         }
     }
 
@@ -212,32 +215,36 @@
             return false;
         };
         let credible = |on: &IndexSet<ids::InstanceId>| {
-            let witnesses = on.iter().filter(|w| self.is_credible(w, &task.job));
-            witnesses.count()
+            let credible_workers = on.iter().filter(|w| self.is_credible(w, &task.job));
+            credible_workers.count()
         };
         let task_on = job.tasks.get(&task.index).map_or(0, credible);
-        let never = !job.succeeded && credible(&job.failed_on) >= self.config.job_workers;
-        job.at_fault || never || task_on >= self.config.task_workers
+        let never_succeeded =
+            !job.succeeded && credible(&job.failed_on) >= self.config.job_failed_workers;
+        job.at_fault || never_succeeded || task_on >= self.config.task_failed_workers
     }
 
-    /// Whether only failures of this job speak against a worker.
+    /// Whether a failure of the job on this worker is evidence against the job:
+    /// the worker is in use and no other job failed on it since its last
+    /// success.
     fn is_credible(&self, worker: &ids::InstanceId, job: &ids::JobId) -> bool {
         let Some(record) = self.workers.get(worker) else {
             return true;
         };
-        let others = record.losses.keys().filter(|other| *other != job);
+        let others = record.failures.keys().filter(|other| *other != job);
         others.count() == 0 && record.standing == worker::Standing::InUse
     }
 
-    /// A job at fault speaks against no worker.
+    /// Marks a job as at fault, so that its failures count against no worker.
     fn clear_job(&mut self, id: &ids::JobId) {
         self.job(id).at_fault = true;
         for record in self.workers.values_mut() {
-            record.losses.shift_remove(id);
+            record.failures.shift_remove(id);
         }
     }
 
-    /// A probe that failed sends the worker back for twice as long.
+    /// After a failed test, ejects the worker for twice as long, unless the job
+    /// was at fault.
     fn review_probe(
         &mut self,
         id: &ids::InstanceId,
@@ -254,8 +261,8 @@
         }
         record.probe_after = (record.probe_after * 2).min(max);
         record.probe_at = Some(now + record.probe_after);
-        record.standing = worker::Standing::SetAside;
-        blame.workers.push((id.clone(), worker::Standing::SetAside));
+        record.standing = worker::Standing::Ejected;
+        blame.workers.push((id.clone(), worker::Standing::Ejected));
     }
 
     fn review_workers_of(&mut self, job: &ids::JobId, now: time::Instant, blame: &mut Blame) {
@@ -269,19 +276,19 @@
     }
 
     fn review_worker(&mut self, id: &ids::InstanceId, now: time::Instant, blame: &mut Blame) {
-        let guilty = self.losses(id) >= self.config.worker_losses;
-        let may_set_aside = self.may_set_aside();
+        let too_many_failures = self.failures(id) >= self.config.worker_failures;
+        let may_eject = self.may_eject();
         let probe_after = self.config.probe_after;
         let Some(record) = self.workers.get_mut(id) else {
             return;
         };
-        match (record.standing, guilty) {
-            (worker::Standing::InUse, true) if may_set_aside => {
-                record.standing = worker::Standing::SetAside;
+        match (record.standing, too_many_failures) {
+            (worker::Standing::InUse, true) if may_eject => {
+                record.standing = worker::Standing::Ejected;
                 record.probe_after = probe_after;
                 record.probe_at = Some(now + probe_after);
             }
-            (worker::Standing::SetAside, false) => {
+            (worker::Standing::Ejected, false) => {
                 record.standing = worker::Standing::InUse;
                 record.probe_at = None;
             }
@@ -290,8 +297,10 @@
         blame.workers.push((id.clone(), record.standing));
     }
 
-    /// Failures on a worker of jobs that nothing else speaks against.
-    fn losses(&self, id: &ids::InstanceId) -> u32 {
+    /// Number of failures on a worker that count against it: those of jobs that
+    /// succeeded somewhere, failed on one worker only, or are no longer
+    /// recorded.
+    fn failures(&self, id: &ids::InstanceId) -> u32 {
         let Some(record) = self.workers.get(id) else {
             return 0;
         };
@@ -299,12 +308,12 @@
             let known = self.jobs.get(job);
             known.is_none_or(|job| !job.at_fault && (job.succeeded || job.failed_on.len() == 1))
         };
-        let losses = record.losses.iter().filter(|(job, _)| counts(job));
-        losses.map(|(_, count)| count).sum()
+        let failures = record.failures.iter().filter(|(job, _)| counts(job));
+        failures.map(|(_, count)| count).sum()
     }
 
-    fn may_set_aside(&self) -> bool {
-        let most = self.total_workers as f64 * self.config.max_aside_share;
-        self.set_aside().count() < (most as usize).max(1)
+    fn may_eject(&self) -> bool {
+        let most = self.total_workers as f64 * self.config.max_ejected_share;
+        self.ejected().count() < (most as usize).max(1)
     }
 }
--- a/crates/figscale-core/src/job/placement/feasibility.rs
+++ b/crates/figscale-core/src/job/placement/feasibility.rs
@@ -1,9 +1,9 @@
-//! Whether a job can ever run, told at submission.
+//! Checks at submission whether a job can ever run.
 //!
-//! A job is judged against the whole cell, as the platform's instance list
-//! shows it, not against what is free or held here: what cannot run on an
-//! empty cell never runs. Only the distinct sizes of workers are kept, which
-//! are few however large the cell is.
+//! A job is checked against the whole cell, as in the platform's instance list, not
+//! against what is free or which shards are held here: a job that does not fit on an
+//! empty cell never runs. Only the distinct sizes of workers and their counts are
+//! stored; there are few of them even in a large cell.
 
 use std::error;
 use std::fmt;
@@ -14,7 +14,7 @@
 use figscale_types::sizes;
 use indexmap::IndexMap;
 
-/// The sizes of all workers of the cell.
+/// The sizes of all workers of the cell, with the number of workers of each.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CellShape {
     counts: IndexMap<sizes::Resources, u64>,
@@ -22,12 +22,12 @@
 }
 
 impl CellShape {
-    /// The workers among the platform's instances; leaving ones do not count.
+    /// Counts the workers in the platform's instance list, except leaving ones.
     pub fn of(list: &instances::InstanceList) -> Self {
         Self::of_all(&list.instances)
     }
 
-    /// As [`CellShape::of`], for some of the lines of the list.
+    /// As [`CellShape::of`], for some instances of the list.
     pub fn of_all<'a>(all: impl IntoIterator<Item = &'a instances::Instance>) -> Self {
         let mut shape = Self::default();
         let live = |i: &&instances::Instance| {
@@ -40,7 +40,7 @@
         shape
     }
 
-    /// What all workers hold together.
+    /// Sum of the capacities of all workers.
     pub fn total(&self) -> sizes::Resources {
         self.total
     }
@@ -50,8 +50,9 @@
         self.counts.is_empty()
     }
 
-    /// The larger of `declared` and `learned`, but no more than what one
-    /// worker holds, so that a learned size never keeps a task from running.
+    /// Resources to reserve for a task: the larger of `declared` and `learned`,
+    /// limited to the capacity of a worker on which `declared` fits, so that a
+    /// learned size never prevents a task from running.
     pub fn reservation(
         &self,
         declared: &sizes::Resources,
@@ -63,20 +64,21 @@
             memory_bytes: wanted.memory_bytes.min(worker.memory_bytes),
             accelerators: wanted.accelerators.min(worker.accelerators),
         };
-        let roomy = self.counts.keys().filter(|worker| worker.holds(declared));
-        roomy
+        let fitting = self.counts.keys().filter(|worker| worker.holds(declared));
+        fitting
             .map(clipped)
             .max_by_key(|size| (size.memory_bytes, size.cpu_millis, size.accelerators))
             .unwrap_or(*declared)
     }
 
-    /// Largest amount in each dimension, whatever the worker.
+    /// Largest amount of each resource that any worker has; no single worker needs
+    /// to have all of them.
     fn largest(&self) -> sizes::Resources {
         let larger = |all: sizes::Resources, one: &sizes::Resources| all.larger(one);
         self.counts.keys().fold(sizes::Resources::default(), larger)
     }
 
-    /// Tasks of one size that run at once on an empty cell.
+    /// Number of tasks of one size that fit on the empty cell at once.
     fn fit_at_once(&self, size: &sizes::Resources) -> u64 {
         let per_worker = |worker: &sizes::Resources| {
             let times = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
@@ -90,20 +92,21 @@
     }
 }
 
-/// Kind of an [`Infeasible`].
+/// Kind of reason of an [`Infeasible`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InfeasibleKind {
-    /// The job has no task, or more than its entry allows.
+    /// The job has no tasks, or more than its entry allows.
     TaskCount,
     /// A task is larger than its entry allows.
     EntryLimit,
-    /// No worker of the cell holds a task.
+    /// A task fits on no worker of the cell.
     Worker,
-    /// The owner's quota holds no task, or not all that must run at once.
+    /// The owner's quota is too small for a task, or for all tasks that must run
+    /// at once.
     Quota,
-    /// The cell does not hold all tasks that must run at once.
+    /// The cell is too small for all tasks that must run at once.
     AllAtOnce,
-    /// A run is longer than the entry or the deadline allows.
+    /// The run time of a task exceeds the limit of the entry or the deadline.
     RunTime,
 }
 
@@ -119,7 +122,7 @@
         Self { kind, reason }
     }
 
-    /// Kind.
+    /// Kind of reason.
     pub fn kind(&self) -> InfeasibleKind {
         self.kind
     }
@@ -137,8 +140,8 @@
 ///
 /// # Errors
 ///
-/// The first reason found, with the resource and the limit that it exceeds. A
-/// cell without any worker known refuses nothing for its size.
+/// The first reason found, with the resource and the limit that is exceeded.
+/// While no worker of the cell is known, no job is refused for its size.
 pub fn check(
     spec: &jobs::JobSpec,
     policy: &catalogue::TaskPolicy,
@@ -252,7 +255,7 @@
     }
 }
 
-/// The dimensions in which `size` exceeds `limit`, in words.
+/// Lists the resources of which `size` exceeds `limit`.
 fn excess(size: &sizes::Resources, limit: &sizes::Resources) -> String {
     let mut parts = Vec::new();
     if size.cpu_millis > limit.cpu_millis {
--- a/crates/figscale-core/src/job/placement/gang.rs
+++ b/crates/figscale-core/src/job/placement/gang.rs
@@ -1,20 +1,21 @@
-//! A gang over several holders: room with all of them, or with none.
+//! Reserves resources for a gang on several holders: on all of them or on none.
 //!
-//! The home of the gang asks the holders one after the other, in the order of
-//! their ids, to keep room for as many of the tasks as they can. Only when
-//! every task has room are all asked to commit; nothing starts before all have
-//! done so. Room that is kept expires by the holder's own clock, so a home
-//! that dies leaves nothing idle for longer than that.
+//! The home of the gang asks the holders of shards one after the other, in the order
+//! of their ids, to reserve resources for as many of the tasks as they can. When
+//! every task has a reservation, the home asks all of them to commit. No task is
+//! started before all have committed. A reservation expires by the holder's own
+//! clock, so if the home fails, no resources stay idle for longer than that.
 //!
-//! A home never waits for room: if the last holder has too little, everything
-//! is released at once and tried again later. Two gangs that want the same
-//! room meet at the first holder of both, so neither can hold what the other
-//! needs while it waits for the rest: there is no deadlock. Retries are spread
-//! by chance, so that the two do not keep meeting.
+//! A home never waits for resources: if too few are left at the last holder, it
+//! releases everything at once and tries again later. Two gangs that compete for the
+//! same resources both ask the first holder that they have in common before any later
+//! one, so neither holds what the other needs while it waits for the rest. There is no
+//! deadlock. The delay before the next round is random, so that the two do not keep
+//! colliding.
 //!
-//! Messages may be late and overtake each other, so every try has a number
-//! that grows, also over homes, and a holder ignores what belongs to an
-//! earlier try than the one that it keeps room for.
+//! Messages may be delayed and reordered. Every round has a number that increases,
+//! also when another home takes over, and a holder ignores messages of an earlier
+//! round than the one that it holds a reservation for.
 
 use std::time;
 
@@ -27,108 +28,110 @@
 use super::pass;
 use super::work;
 
-/// Timing of a gang over several holders.
+/// Time limits of the reservations of a gang.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GangConfig {
-    /// How long a holder keeps room that is not committed. Default 2 s.
-    pub hold: time::Duration,
-    /// How long a holder keeps committed room until the task starts.
-    /// Default 10 s.
-    pub start: time::Duration,
-    /// Longest wait for all answers of a try; shorter than `hold`, so that no
-    /// room expires before its commit arrives. Default 1 s.
-    pub patience: time::Duration,
-    /// Wait before another try, at least; at most twice that. Default 500 ms.
-    pub retry: time::Duration,
+    /// How long a reservation that is not committed lasts. Default 2 s.
+    pub reservation_timeout: time::Duration,
+    /// How long a committed reservation lasts unless the task starts. Default
+    /// 10 s.
+    pub start_timeout: time::Duration,
+    /// How long to wait for all responses of a round. It is shorter than
+    /// `reservation_timeout`, so that no reservation expires before its commit
+    /// arrives. Default 1 s.
+    pub response_timeout: time::Duration,
+    /// Shortest delay before the next round; the longest is twice that. Default
+    /// 500 ms.
+    pub min_retry_delay: time::Duration,
 }
 
 impl Default for GangConfig {
     fn default() -> Self {
         Self {
-            hold: time::Duration::from_secs(2),
-            start: time::Duration::from_secs(10),
-            patience: time::Duration::from_secs(1),
-            retry: time::Duration::from_millis(500),
+            reservation_timeout: time::Duration::from_secs(2),
+            start_timeout: time::Duration::from_secs(10),
+            response_timeout: time::Duration::from_secs(1),
+            min_retry_delay: time::Duration::from_millis(500),
         }
     }
 }
 
-/// A request of a gang's home to a holder.
+/// A request from a gang's home to a holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
     /// The holder.
     pub to: ids::MemberId,
-    /// The try that it belongs to.
-    pub number: work::TryNumber,
-    /// Tasks by their position within the job.
+    /// The round that it belongs to.
+    pub number: work::RoundNumber,
+    /// Indices of the tasks within the job.
     pub tasks: Vec<u32>,
 }
 
-/// What a gang's home learns.
+/// Events for a gang's home.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A holder keeps room for these tasks, perhaps for fewer than asked.
-    Held(ids::MemberId, Vec<pass::Placement>),
-    /// A holder committed all that it kept.
+    /// A holder reserved resources for these tasks, possibly fewer than requested.
+    Reserved(ids::MemberId, Vec<pass::Placement>),
+    /// A holder committed all its reservations.
     Committed(ids::MemberId),
-    /// A holder cannot do what it was asked, or cannot be reached.
+    /// A holder refused the request or cannot be reached.
     Refused(ids::MemberId),
-    /// Time went by.
+    /// Time has passed; checks for the end of the round.
     Tick,
 }
 
-/// What a gang's home has to do.
+/// Actions for a gang's home to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Ask a holder to keep room for as many of these tasks as it can.
-    Hold(Request),
-    /// Ask a holder to commit the room of these tasks.
+    /// Ask a holder to reserve resources for as many of these tasks as it can.
+    Reserve(Request),
+    /// Ask a holder to commit the reservations of these tasks.
     Commit(Request),
-    /// Tell a holder to release whatever room these tasks have with it.
+    /// Tell a holder to release any reservations that it has for these tasks.
     Release(Request),
-    /// All tasks have room: start them.
+    /// All reservations are committed: start the tasks.
     Done(Vec<pass::Placement>),
-    /// None has room: try again then.
+    /// The round failed and is released: start the next one at this time.
     Failed(time::Instant),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Holding,
+    Reserving,
     Committing,
     Ended,
 }
 
-/// One holder within a try.
+/// A holder in a round.
 #[derive(Clone, Debug)]
-struct Part {
+struct Participant {
     holder: ids::MemberId,
-    /// Tasks that it was asked for; empty before that.
-    asked: Vec<u32>,
-    held: Vec<pass::Placement>,
+    /// Tasks that it was asked to reserve resources for; empty before that.
+    requested: Vec<u32>,
+    reserved: Vec<pass::Placement>,
     committed: bool,
 }
 
-/// One try to find room for a gang.
+/// One round of reservations for a gang.
 #[derive(Clone, Debug)]
 pub struct Gang {
     config: GangConfig,
-    number: work::TryNumber,
+    number: work::RoundNumber,
     state: State,
-    parts: Vec<Part>,
-    /// The part that was asked last.
-    at: usize,
-    /// Tasks without room.
-    left: Vec<u32>,
+    participants: Vec<Participant>,
+    /// Index of the participant that is asked to reserve.
+    current_index: usize,
+    /// Tasks without a reservation.
+    unplaced: Vec<u32>,
     ends_at: time::Instant,
     jitter: f64,
 }
 
 impl Gang {
-    /// Begins a try for `tasks` with these holders, in whatever order given.
+    /// Starts a round for `tasks` with these holders, given in any order.
     pub fn start(
         config: GangConfig,
-        number: work::TryNumber,
+        number: work::RoundNumber,
         tasks: Vec<u32>,
         mut holders: Vec<ids::MemberId>,
         now: time::Instant,
@@ -136,37 +139,37 @@
     ) -> (Self, Vec<Output>) {
         holders.sort();
         holders.dedup();
-        let part = |holder| Part {
+        let participant = |holder| Participant {
             holder,
-            asked: Vec::new(),
-            held: Vec::new(),
+            requested: Vec::new(),
+            reserved: Vec::new(),
             committed: false,
         };
         let mut gang = Self {
             config,
             number,
-            state: State::Holding,
-            parts: holders.into_iter().map(part).collect(),
-            at: 0,
-            left: tasks,
-            ends_at: now + config.patience,
+            state: State::Reserving,
+            participants: holders.into_iter().map(participant).collect(),
+            current_index: 0,
+            unplaced: tasks,
+            ends_at: now + config.response_timeout,
             jitter: rng.random(),
         };
-        let outputs = gang.ask_next(now);
+        let outputs = gang.reserve_next(now);
         (gang, outputs)
     }
 
-    /// Whether the try is over.
+    /// Whether the round has ended.
     pub fn is_ended(&self) -> bool {
         self.state == State::Ended
     }
 
-    /// When a [`Input::Tick`] is due at the latest.
+    /// Latest time at which an [`Input::Tick`] is due.
     pub fn wakes_at(&self) -> Option<time::Instant> {
         (!self.is_ended()).then_some(self.ends_at)
     }
 
-    /// Takes an input over.
+    /// Processes an event.
     pub fn step(&mut self, input: Input, now: time::Instant) -> Vec<Output> {
         if !self.is_ended() && now >= self.ends_at {
             let mut outputs = self.fail(now);
@@ -174,20 +177,23 @@
             return outputs;
         }
         match (self.state, input) {
-            (State::Holding, Input::Held(from, held)) => self.on_held(&from, held, now),
-            (State::Holding | State::Committing, Input::Refused(from)) => {
+            (State::Reserving, Input::Reserved(from, reserved)) => {
+                self.on_reserved(&from, reserved, now)
+            }
+            (State::Reserving | State::Committing, Input::Refused(from)) => {
                 self.on_refused(&from, now)
             }
             (State::Committing, Input::Committed(from)) => self.on_committed(&from),
-            // Too late: the room must not stay idle until it expires.
-            (State::Ended | State::Committing, Input::Held(from, held)) => {
-                self.on_late(from, &held)
+            // The response came too late. The reservation is released, or the
+            // resources would stay idle until it expires.
+            (State::Ended | State::Committing, Input::Reserved(from, reserved)) => {
+                self.on_late(from, &reserved)
             }
             _ => Vec::new(),
         }
     }
 
-    fn request(&self, to: &ids::MemberId, tasks: Vec<u32>) -> Request {
+    fn holder_request(&self, to: &ids::MemberId, tasks: Vec<u32>) -> Request {
         Request {
             to: to.clone(),
             number: self.number,
@@ -195,138 +201,158 @@
         }
     }
 
-    fn ask_next(&mut self, now: time::Instant) -> Vec<Output> {
-        if self.left.is_empty() {
+    fn reserve_next(&mut self, now: time::Instant) -> Vec<Output> {
+        if self.unplaced.is_empty() {
             return self.commit_all();
         }
-        let Some(part) = self.parts.get_mut(self.at) else {
+        let Some(participant) = self.participants.get_mut(self.current_index) else {
             return self.fail(now);
         };
-        part.asked = self.left.clone();
-        let request = Request {
-            to: part.holder.clone(),
+        participant.requested = self.unplaced.clone();
+        let holder_request = Request {
+            to: participant.holder.clone(),
             number: self.number,
-            tasks: self.left.clone(),
+            tasks: self.unplaced.clone(),
         };
-        vec![Output::Hold(request)]
+        vec![Output::Reserve(holder_request)]
     }
 
-    fn on_held(
+    fn on_reserved(
         &mut self,
         from: &ids::MemberId,
-        held: Vec<pass::Placement>,
+        reserved: Vec<pass::Placement>,
         now: time::Instant,
     ) -> Vec<Output> {
-        let current = self.parts.get_mut(self.at);
-        let Some(part) = current.filter(|part| part.holder == *from) else {
-            return self.on_late(from.clone(), &held);
+        let current = self.participants.get_mut(self.current_index);
+        let Some(participant) = current.filter(|participant| participant.holder == *from) else {
+            return self.on_late(from.clone(), &reserved);
         };
-        let has_room = |index: &u32| held.iter().any(|p| p.task.index == *index);
-        self.left.retain(|index| !has_room(index));
-        part.held = held;
-        self.at += 1;
-        self.ask_next(now)
+        let is_reserved = |index: &u32| reserved.iter().any(|p| p.task.index == *index);
+        self.unplaced.retain(|index| !is_reserved(index));
+        participant.reserved = reserved;
+        self.current_index += 1;
+        self.reserve_next(now)
     }
 
-    /// A holder that has no room is passed over; a commit that fails ends all.
+    /// A refused reservation moves on to the next holder; a refused commit ends
+    /// the round.
     fn on_refused(&mut self, from: &ids::MemberId, now: time::Instant) -> Vec<Output> {
         if self.state == State::Committing {
             return self.fail(now);
         }
-        self.on_held(from, Vec::new(), now)
+        self.on_reserved(from, Vec::new(), now)
     }
 
     fn commit_all(&mut self) -> Vec<Output> {
         self.state = State::Committing;
-        let parts = self.parts.iter().filter(|part| !part.held.is_empty());
-        parts
-            .map(|part| {
-                let tasks = part.held.iter().map(|p| p.task.index).collect();
-                Output::Commit(self.request(&part.holder, tasks))
+        let participants = self
+            .participants
+            .iter()
+            .filter(|participant| !participant.reserved.is_empty());
+        participants
+            .map(|participant| {
+                let tasks = participant.reserved.iter().map(|p| p.task.index).collect();
+                Output::Commit(self.holder_request(&participant.holder, tasks))
             })
             .collect()
     }
 
     fn on_committed(&mut self, from: &ids::MemberId) -> Vec<Output> {
-        for part in &mut self.parts {
-            part.committed |= part.holder == *from;
+        for participant in &mut self.participants {
+            participant.committed |= participant.holder == *from;
         }
-        let mut needed = self.parts.iter().filter(|part| !part.held.is_empty());
-        if !needed.all(|part| part.committed) {
+        let mut needed = self
+            .participants
+            .iter()
+            .filter(|participant| !participant.reserved.is_empty());
+        if !needed.all(|participant| participant.committed) {
             return Vec::new();
         }
         self.state = State::Ended;
-        let held = self.parts.iter().flat_map(|part| part.held.clone());
-        vec![Output::Done(held.collect())]
+        let reserved = self
+            .participants
+            .iter()
+            .flat_map(|participant| participant.reserved.clone());
+        vec![Output::Done(reserved.collect())]
     }
 
-    /// Releases all that was asked for, answered or not.
+    /// Ends the round and releases all that was requested, including requests
+    /// without a response.
     fn fail(&mut self, now: time::Instant) -> Vec<Output> {
-        let asked = self.parts.iter().filter(|part| !part.asked.is_empty());
-        let release = |part: &Part| Output::Release(self.request(&part.holder, part.asked.clone()));
-        let mut outputs: Vec<_> = asked.map(release).collect();
-        let wait = self.config.retry.mul_f64(1.0 + self.jitter);
+        let requested = self
+            .participants
+            .iter()
+            .filter(|participant| !participant.requested.is_empty());
+        let release = |participant: &Participant| {
+            Output::Release(self.holder_request(&participant.holder, participant.requested.clone()))
+        };
+        let mut outputs: Vec<_> = requested.map(release).collect();
+        let wait = self.config.min_retry_delay.mul_f64(1.0 + self.jitter);
         outputs.push(Output::Failed(now + wait));
         self.state = State::Ended;
         outputs
     }
 
-    fn on_late(&self, from: ids::MemberId, held: &[pass::Placement]) -> Vec<Output> {
+    fn on_late(&self, from: ids::MemberId, reserved: &[pass::Placement]) -> Vec<Output> {
         let known = |placement: &&pass::Placement| {
-            let mut parts = self.parts.iter();
-            parts.any(|part| part.holder == from && part.held.contains(placement))
+            let mut participants = self.participants.iter();
+            participants.any(|participant| {
+                participant.holder == from && participant.reserved.contains(placement)
+            })
         };
-        let late = held.iter().filter(|placement| !known(placement));
+        let late = reserved.iter().filter(|placement| !known(placement));
         let tasks: Vec<_> = late.map(|p| p.task.index).collect();
         if tasks.is_empty() {
             return Vec::new();
         }
-        vec![Output::Release(self.request(&from, tasks))]
+        vec![Output::Release(self.holder_request(&from, tasks))]
     }
 }
 
 impl cluster::Cluster {
-    /// Keeps room for as many of a gang's tasks as there is, until `expires`.
+    /// Reserves resources until `expires` for as many of a gang's tasks as fit.
     ///
-    /// Room of an earlier try passes to this one; that of a later one stays.
-    pub fn hold_gang(
+    /// Reservations of an earlier round become part of this one; those of a later
+    /// round stay as they are.
+    pub fn reserve_gang(
         &mut self,
         asks: &[work::Ask],
-        number: work::TryNumber,
+        number: work::RoundNumber,
         now: time::Instant,
         expires: time::Instant,
     ) -> Vec<pass::Placement> {
-        let mut held = Vec::new();
+        let mut reserved = Vec::new();
         for ask in asks {
             let _ = self.try_place(ask, now, Some(expires));
-            let Some(holding) = self.holdings.get_mut(&ask.task) else {
+            let Some(holding) = self.allocations.get_mut(&ask.task) else {
                 continue;
             };
-            let earlier = holding.gang_try.is_none_or(|known| known <= number);
+            let earlier = holding.gang_round.is_none_or(|known| known <= number);
             if holding.expires.is_none() || !earlier {
                 continue;
             }
-            holding.gang_try = Some(number);
+            holding.gang_round = Some(number);
             holding.expires = Some(expires);
-            held.push(pass::Placement {
+            reserved.push(pass::Placement {
                 task: ask.task.clone(),
                 attempt: ask.attempt,
                 worker: holding.worker.clone(),
             });
         }
-        held
+        reserved
     }
 
-    /// Commits the room of a gang's tasks until they start; all or none.
+    /// Commits the reservations of a gang's tasks, all or none: they last until
+    /// `expires`.
     pub fn commit_gang(
         &mut self,
         tasks: &[ids::TaskId],
-        number: work::TryNumber,
+        number: work::RoundNumber,
         expires: time::Instant,
     ) -> bool {
         let of_try = |task: &ids::TaskId| {
-            let holding = self.holdings.get(task);
-            holding.is_some_and(|holding| holding.gang_try == Some(number))
+            let holding = self.allocations.get(task);
+            holding.is_some_and(|holding| holding.gang_round == Some(number))
         };
         let all = tasks.iter().all(of_try);
         if all {
@@ -337,11 +363,11 @@
         all
     }
 
-    /// Releases the room of a gang's tasks unless a later try has it.
-    pub fn release_gang(&mut self, tasks: &[ids::TaskId], number: work::TryNumber) {
+    /// Releases the reservations of a gang's tasks except those of a later round.
+    pub fn release_gang(&mut self, tasks: &[ids::TaskId], number: work::RoundNumber) {
         for task in tasks {
-            let holding = self.holdings.get(task);
-            if holding.is_some_and(|h| h.gang_try.is_some_and(|known| known <= number)) {
+            let holding = self.allocations.get(task);
+            if holding.is_some_and(|h| h.gang_round.is_some_and(|known| known <= number)) {
                 self.release(task);
             }
         }
--- a/crates/figscale-core/src/job/placement/kept.rs
+++ b/crates/figscale-core/src/job/placement/kept.rs
@@ -1,4 +1,6 @@
-//! Room that is kept free for somebody.
+//! State of reservations that last longer than one pass.
+//!
+//! [`super::promise`] creates and applies them.
 
 use std::time;
 
@@ -7,25 +9,25 @@
 
 use super::work;
 
-/// A worker promised to a job.
+/// A worker reserved for a job whose task did not fit.
 #[derive(Clone, Debug)]
-pub(super) struct Promise {
+pub(super) struct WorkerReservation {
     pub(super) job: ids::JobId,
     pub(super) urgency: catalogue::Urgency,
     pub(super) worker: ids::InstanceId,
     pub(super) until: time::Instant,
 }
 
-impl Promise {
-    /// Whether it keeps other work from its worker.
-    pub(super) fn binds(&self, ask: &work::Ask) -> bool {
+impl WorkerReservation {
+    /// Whether it excludes this task from its worker.
+    pub(super) fn applies_to(&self, ask: &work::Ask) -> bool {
         self.job != ask.task.job && self.urgency <= ask.urgency
     }
 }
 
-/// Accelerators that work waits for.
+/// Work that needs accelerators and found none.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Wanted {
+pub(super) struct AcceleratorDemand {
     pub(super) urgency: catalogue::Urgency,
     pub(super) until: time::Instant,
 }
--- a/crates/figscale-core/src/job/placement/learn.rs
+++ b/crates/figscale-core/src/job/placement/learn.rs
@@ -1,13 +1,14 @@
-//! Sizes and run times as seen, against what was declared.
+//! Learns the resource use and the run times of tasks from those that ended.
 //!
-//! For each entry and owner a decaying histogram per dimension keeps what
-//! ended tasks used at their peak and how long they ran. Buckets grow by a
-//! fixed factor and remember the largest value seen in them, so that a
-//! constant use is learned exactly. Each new sample fades the older ones, so a
-//! changed program is learned anew within some dozens of tasks.
+//! For each pair of entry and owner, one decaying histogram per resource records the
+//! peak use of ended tasks, and another one their run times. Bucket bounds grow by
+//! a fixed factor. Each bucket stores the largest value added to it, so that a
+//! constant use is learned exactly. Each new sample reduces the weight of older ones,
+//! so that after a change of the program the new values are learned within some
+//! dozens of tasks.
 //!
-//! What was learned only ever raises a reservation: reports lag, and a task
-//! that ended before its first report looks as if it had used nothing.
+//! A learned size only ever raises a reservation above the declared size: reports
+//! lag, and a task that ends before its first report seems to have used nothing.
 
 use std::time;
 
@@ -16,21 +17,22 @@
 use figscale_types::sizes;
 use indexmap::IndexMap;
 
-/// Buckets for each doubling of the value.
+/// Number of buckets per doubling of the value.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// Weight below which a faded bucket is dropped.
+/// Weight at or below which a bucket is removed.
 const NEGLIGIBLE: f64 = 0.01;
 
-/// How sizes and run times are learned.
+/// Parameters of learning.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LearnConfig {
-    /// Share of samples that the learned value covers. Default 0.95.
+    /// Quantile of the samples that is the learned value. Default 0.95.
     pub quantile: f64,
-    /// Weight that older samples keep with each new one. Default 0.97.
-    pub fade: f64,
-    /// Samples before anything is learned. Default 3.
+    /// Factor applied to the weight of older samples with each new one. Default
+    /// 0.97.
+    pub decay: f64,
+    /// Number of samples needed for a learned value. Default 3.
     pub min_samples: u32,
-    /// Most pairs of entry and owner remembered. Default 4,096.
+    /// Most pairs of entry and owner that are stored. Default 4,096.
     pub max_pairs: usize,
 }
 
@@ -38,19 +40,20 @@
     fn default() -> Self {
         Self {
             quantile: 0.95,
-            fade: 0.97,
+            decay: 0.97,
             min_samples: 3,
             max_pairs: 4_096,
         }
     }
 }
 
-/// What was learned of an entry's tasks for an owner.
+/// Learned size and run time of the tasks of an entry and owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Learned {
-    /// Size; zero where nothing is known. Accelerators are not learned.
+    /// Size; zero for each resource that is not known. Accelerators are not
+    /// learned.
     pub size: sizes::Resources,
-    /// Run time.
+    /// Run time, if known.
     pub run: Option<time::Duration>,
 }
 
@@ -61,7 +64,7 @@
     largest: u64,
 }
 
-/// A decaying histogram of one dimension.
+/// A decaying histogram of one quantity.
 #[derive(Clone, Debug, Default)]
 struct Histogram {
     buckets: Vec<Bucket>,
@@ -69,12 +72,12 @@
 }
 
 impl Histogram {
-    fn add(&mut self, value: u64, fade: f64) {
+    fn add(&mut self, value: u64, decay: f64) {
         if value == 0 {
             return;
         }
         for bucket in &mut self.buckets {
-            bucket.weight *= fade;
+            bucket.weight *= decay;
         }
         self.buckets.retain(|bucket| bucket.weight > NEGLIGIBLE);
         let number = ((value as f64).log2() * BUCKETS_PER_DOUBLING) as u16;
@@ -112,24 +115,24 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct UsageHistory {
     cpu_millis: Histogram,
     memory_bytes: Histogram,
     run_ms: Histogram,
-    /// Count of all samples of all pairs when the last one came.
+    /// Number of the last sample, counted over all pairs.
     last: u64,
 }
 
-/// What was seen of tasks, by entry and owner.
+/// Observed use of tasks, by entry and owner.
 #[derive(Clone, Debug, Default)]
 pub struct Learner {
     config: LearnConfig,
-    pairs: IndexMap<(ids::EntryName, ids::OwnerName), Seen>,
+    pairs: IndexMap<(ids::EntryName, ids::OwnerName), UsageHistory>,
     samples: u64,
 }
 
 impl Learner {
-    /// Nothing learned yet.
+    /// Creates a learner without samples.
     pub fn new(config: LearnConfig) -> Self {
         Self {
             config,
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Takes over what a task used at its peak and, if it ended well, how long
-    /// it ran. Zero stands for not seen.
+    /// Adds the peak use of a task and, if it succeeded, its run time. Zero means
+    /// that the use was not observed.
     pub fn observe(
         &mut self,
         entry: &ids::EntryName,
@@ -151,41 +154,41 @@
             self.forget_oldest();
         }
         self.samples += 1;
-        let fade = self.config.fade;
-        let seen = self.pairs.entry(key).or_default();
-        seen.last = self.samples;
-        seen.cpu_millis.add(peak.cpu_millis.0, fade);
-        seen.memory_bytes.add(peak.memory_bytes.0, fade);
+        let decay = self.config.decay;
+        let history = self.pairs.entry(key).or_default();
+        history.last = self.samples;
+        history.cpu_millis.add(peak.cpu_millis.0, decay);
+        history.memory_bytes.add(peak.memory_bytes.0, decay);
         if let Some(run) = run {
             let run_ms = clock::millis(run);
-            seen.run_ms.add(run_ms, fade);
+            history.run_ms.add(run_ms, decay);
         }
     }
 
-    /// What was learned.
+    /// The learned values of an entry and owner.
     pub fn learned(&self, entry: &ids::EntryName, owner: &ids::OwnerName) -> Learned {
-        let Some(seen) = self.pairs.get(&(entry.clone(), owner.clone())) else {
+        let Some(history) = self.pairs.get(&(entry.clone(), owner.clone())) else {
             return Learned::default();
         };
         let quantile = |histogram: &Histogram| histogram.quantile(&self.config);
         Learned {
             size: sizes::Resources {
-                cpu_millis: sizes::CpuMillis(quantile(&seen.cpu_millis).unwrap_or(0)),
-                memory_bytes: sizes::Bytes(quantile(&seen.memory_bytes).unwrap_or(0)),
+                cpu_millis: sizes::CpuMillis(quantile(&history.cpu_millis).unwrap_or(0)),
+                memory_bytes: sizes::Bytes(quantile(&history.memory_bytes).unwrap_or(0)),
                 accelerators: 0,
             },
-            run: quantile(&seen.run_ms).map(time::Duration::from_millis),
+            run: quantile(&history.run_ms).map(time::Duration::from_millis),
         }
     }
 
-    /// Number of pairs remembered.
+    /// Number of pairs that are stored.
     pub fn pairs(&self) -> usize {
         self.pairs.len()
     }
 
     fn forget_oldest(&mut self) {
         let oldest = self.pairs.values().enumerate();
-        let oldest = oldest.min_by_key(|(_, seen)| seen.last);
+        let oldest = oldest.min_by_key(|(_, history)| history.last);
         if let Some((at, _)) = oldest {
             self.pairs.swap_remove_index(at);
         }
--- a/crates/figscale-core/src/job/placement/line.rs
+++ b/crates/figscale-core/src/job/placement/line.rs
@@ -1,7 +1,8 @@
-//! The order of one pass over the waiting work.
+//! The order in which one pass tries the waiting work.
 //!
-//! Built once per pass from the queue: by level, and within a level either one
-//! list for all or, where owners take turns by fair share, one per owner.
+//! It is built from the queue at the start of a pass. Work is ordered by level.
+//! Within a level there is one list per owner where owners take turns by fair share,
+//! and a single list for all owners otherwise.
 
 use std::time;
 
@@ -19,13 +20,14 @@
     queue::Level::BestEffort,
 ];
 
-/// Sort key of a group: its rank in time, its arrival, its place in the queue.
+/// Sort key of a group: deadline or start of its wait, order of arrival, index
+/// in the queue.
 type Key = (time::Instant, u64, usize);
 
-/// Groups in order, of which a prefix is dealt with.
+/// Groups in order, of which the first `done` have been processed.
 #[derive(Debug)]
 struct List {
-    /// Position of the owner in the queue; the first one's where all share it.
+    /// Index of the owner in the queue; 0 if the list is for all owners.
     owner: usize,
     keys: Vec<Key>,
     done: usize,
@@ -37,15 +39,16 @@
     }
 }
 
-/// Lists of one level; those dealt with are dropped.
+/// Lists of one level; completed lists are removed.
 #[derive(Debug, Default)]
-struct Tier {
+struct LevelLists {
     lists: Vec<List>,
-    /// Where each owner's list stands while the tier is built.
+    /// Index in `lists` of each owner's list; valid only while the order is
+    /// built, since completed lists are removed later.
     by_owner: Vec<Option<usize>>,
 }
 
-impl Tier {
+impl LevelLists {
     fn add(&mut self, owner: usize, key: Key) {
         if self.by_owner.len() <= owner {
             self.by_owner.resize(owner + 1, None);
@@ -62,10 +65,10 @@
     }
 }
 
-/// A group that is next, and the list that it heads.
+/// The next group to try, and the list that it is first in.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Head {
-    /// Position of the group in the queue.
+    /// Index of the group in the queue.
     pub(super) group: usize,
     pub(super) level: queue::Level,
     list: usize,
@@ -73,16 +76,16 @@
 
 /// All waiting groups in the order of one pass.
 #[derive(Debug)]
-pub(super) struct Line {
-    tiers: [Tier; LEVELS.len()],
-    /// Dominant share by weight, by the owner's position in the queue.
+pub(super) struct PassOrder {
+    levels: [LevelLists; LEVELS.len()],
+    /// Dominant share divided by weight, by the owner's index in the queue.
     shares: Vec<f64>,
-    /// Placements so far.
+    /// Number of placements in this pass.
     placed: u32,
     aged_every: u32,
 }
 
-impl Line {
+impl PassOrder {
     pub(super) fn new(
         queue: &queue::Queue,
         cluster: &cluster::Cluster,
@@ -91,8 +94,8 @@
     ) -> Self {
         let none = sizes::Resources::default();
         let share = |owner| shares.share(owner, cluster, &none);
-        let mut line = Self {
-            tiers: Default::default(),
+        let mut order = Self {
+            levels: Default::default(),
             shares: queue.owners.iter().map(share).collect(),
             placed: 0,
             aged_every: queue.config.aged_every,
@@ -101,15 +104,19 @@
             let level = group.work.level(now, &queue.config);
             let owner = if is_fair(level) { group.owner } else { 0 };
             let key = (rank(&group.work, level), group.seq, position);
-            line.tiers[level as usize].add(owner, key);
+            order.levels[level as usize].add(owner, key);
         }
-        for list in line.tiers.iter_mut().flat_map(|tier| &mut tier.lists) {
+        for list in order
+            .levels
+            .iter_mut()
+            .flat_map(|level_lists| &mut level_lists.lists)
+        {
             list.keys.sort_unstable();
         }
-        line
+        order
     }
 
-    /// The group whose turn it is.
+    /// The next group to try. Every `aged_every`-th placement is for aged work.
     pub(super) fn next(&self) -> Option<Head> {
         if self.aged_every > 0 && (self.placed + 1).is_multiple_of(self.aged_every) {
             let aged = self.head_of(queue::Level::Aged);
@@ -120,9 +127,10 @@
         LEVELS.into_iter().find_map(|level| self.head_of(level))
     }
 
-    /// Moves on from the head of a list, past all groups for which `skip` holds.
+    /// Removes the head of a list, and the groups after it as long as `skip` is
+    /// true for them.
     pub(super) fn advance(&mut self, head: Head, skip: impl Fn(usize) -> bool) {
-        let lists = &mut self.tiers[head.level as usize].lists;
+        let lists = &mut self.levels[head.level as usize].lists;
         let Some(list) = lists.get_mut(head.list) else {
             return;
         };
@@ -135,8 +143,8 @@
         }
     }
 
-    /// Counts a placement and takes over the new share of the owner at this
-    /// position in the queue.
+    /// Counts a placement and updates the share of the owner with this index in
+    /// the queue.
     pub(super) fn count_placed(&mut self, owner: usize, share: f64) {
         self.placed += 1;
         if let Some(known) = self.shares.get_mut(owner) {
@@ -144,22 +152,23 @@
         }
     }
 
-    /// The head of the owner with the smallest share.
+    /// First group of the owner with the smallest share.
     fn head_of(&self, level: queue::Level) -> Option<Head> {
         let share = |list: &List| self.shares.get(list.owner).copied().unwrap_or(0.0);
-        let lists = self.tiers[level as usize].lists.iter().enumerate();
+        let lists = self.levels[level as usize].lists.iter().enumerate();
         let (list, least) = lists.min_by(|a, b| share(a.1).total_cmp(&share(b.1)))?;
         let group = least.head()?;
         Some(Head { group, level, list })
     }
 }
 
-/// Whether owners take turns at a level: but where a deadline is near.
+/// Whether owners take turns at a level. Work close to missing its deadline is
+/// ordered by deadline alone.
 fn is_fair(level: queue::Level) -> bool {
     level != queue::Level::Due
 }
 
-/// Rank in time within a list: the deadline, or since when it waits.
+/// Position in time within a list: the deadline, or when the work was queued.
 fn rank(work: &queue::Work, level: queue::Level) -> time::Instant {
     match (level, work.deadline) {
         (queue::Level::Due | queue::Level::Deadline, Some(deadline)) => deadline,
--- a/crates/figscale-core/src/job/placement/mod.rs
+++ b/crates/figscale-core/src/job/placement/mod.rs
@@ -1,20 +1,21 @@
-//! Where tasks run: the decisions of placement.
+//! Placement: decides on which worker each task runs.
 //!
-//! A [`Cluster`] is what one entry instance knows of the workers whose shards
-//! it holds. It is the only place where their room is given away, so the sum
-//! of what was given never exceeds what a worker holds: that is decided in one
-//! memory, without a store write per placement. [`Cluster::place`] filters the
-//! workers, scores those that fit and commits the best. A [`Queue`] holds the
-//! work that waits, and [`Queue::pass`] places what fits in the order of
-//! urgency, deadlines and fair [`Shares`].
+//! A [`Cluster`] is what one entry instance knows of the workers whose shards it
+//! holds. An entry instance that holds a shard is the only one that allocates
+//! resources on the shard's workers. Allocation is therefore decided in the memory
+//! of one process, without a store write per placement, and what is allocated never
+//! exceeds a worker's capacity. [`Cluster::place`] filters the workers, scores those
+//! that fit the task and allocates resources on the best. A [`Queue`] holds the
+//! waiting work, and [`Queue::pass`] places what fits in the order of urgency,
+//! deadlines and fair [`Shares`].
 //!
-//! The other modules are independent of each other and of how their inputs
-//! travel: everything is a plain struct, time is passed in, and chance comes
-//! from a seeded generator that the caller owns.
+//! The other modules do not depend on each other or on how their inputs are
+//! transported: inputs are plain structs, the time is a parameter, and random
+//! numbers come from a seeded generator that the caller owns.
 //!
-//! What this trades away: the part of the cell that other entry instances hold
-//! is seen only through summaries about a second old, so a quota of the whole
-//! cell may be passed by what is placed within that second.
+//! Limitation: the part of the cell that other entry instances hold is known only
+//! through summaries that are about a second old. A quota over the whole cell can
+//! therefore be exceeded by what is placed within that second.
 
 mod cluster;
 mod config;
@@ -44,7 +45,7 @@
 pub use pass::PassInput;
 pub use pass::PassOutcome;
 pub use pass::Placement;
-pub use place::NoPlace;
+pub use place::PlacementError;
 pub use queue::Level;
 pub use queue::Pending;
 pub use queue::Queue;
@@ -56,7 +57,7 @@
 pub use work::Ask;
 pub use work::Guard;
 pub use work::Holding;
-pub use work::TryNumber;
+pub use work::RoundNumber;
 pub use worker::Readiness;
 pub use worker::Standing;
 pub use worker::Worker;
--- a/crates/figscale-core/src/job/placement/no_room.rs
+++ b/crates/figscale-core/src/job/placement/no_room.rs
@@ -1,9 +1,11 @@
-//! What found no room, so that it is not tried again within one pass.
+//! Requirements that no worker could meet, so that they are not tried again within
+//! one pass.
 //!
-//! A size without room rules out every larger one, but only for work that is
-//! no freer to choose a worker: work that must leave room beside accelerators,
-//! may not probe a worker or may not take what is kept for others can fail
-//! where other work of its size finds room.
+//! If a task fails to find resources, so does any task that needs at least as much
+//! and may use no more of the workers. Some tasks may use fewer workers than
+//! others: those that must leave resources for accelerators, those that may not be
+//! used to test an ejected worker, and those that may not use workers reserved for
+//! other work. Such a failure says nothing about tasks without the restriction.
 
 use figscale_types::catalogue;
 use figscale_types::sizes;
@@ -12,20 +14,20 @@
 use super::queue;
 use super::work;
 
-/// A size, and how free the choice of a worker is.
+/// A size, and what restricts the choice of a worker.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Wish {
+pub(super) struct Requirements {
     size: sizes::Resources,
-    keeps_accelerators: bool,
+    must_spare_accelerators: bool,
     may_probe: bool,
     interactive: bool,
 }
 
-impl Wish {
+impl Requirements {
     pub(super) fn of_work(work: &queue::Work, cluster: &cluster::Cluster) -> Self {
         Self {
             size: work.size,
-            keeps_accelerators: cluster.keeps_accelerators(&work.size, work.urgency),
+            must_spare_accelerators: cluster.must_spare_accelerators(&work.size, work.urgency),
             may_probe: work.guard.may_probe(work.class),
             interactive: work.urgency == catalogue::Urgency::Interactive,
         }
@@ -34,33 +36,35 @@
     pub(super) fn of_ask(ask: &work::Ask, cluster: &cluster::Cluster) -> Self {
         Self {
             size: ask.size,
-            keeps_accelerators: cluster.keeps_accelerators(&ask.size, ask.urgency),
+            must_spare_accelerators: cluster.must_spare_accelerators(&ask.size, ask.urgency),
             may_probe: ask.may_probe(),
             interactive: ask.urgency == catalogue::Urgency::Interactive,
         }
     }
 
     fn rules_out(&self, other: &Self) -> bool {
-        let keeps = !self.keeps_accelerators || other.keeps_accelerators;
+        let spares_accelerators = !self.must_spare_accelerators || other.must_spare_accelerators;
         let probes = self.may_probe || !other.may_probe;
         let interactive = self.interactive || !other.interactive;
-        keeps && probes && interactive && other.size.holds(&self.size)
+        spares_accelerators && probes && interactive && other.size.holds(&self.size)
     }
 }
 
-/// Wishes that found no room; none rules out another.
+/// Requirements that could not be met; none of them rules out another.
 #[derive(Debug, Default)]
-pub(super) struct NoRoomList {
-    wishes: Vec<Wish>,
+pub(super) struct UnplaceableSet {
+    failed: Vec<Requirements>,
 }
 
-impl NoRoomList {
-    pub(super) fn rules_out(&self, wish: &Wish) -> bool {
-        self.wishes.iter().any(|known| known.rules_out(wish))
+impl UnplaceableSet {
+    pub(super) fn rules_out(&self, requirements: &Requirements) -> bool {
+        self.failed
+            .iter()
+            .any(|known| known.rules_out(requirements))
     }
 
-    pub(super) fn add(&mut self, wish: Wish) {
-        self.wishes.retain(|known| !wish.rules_out(known));
-        self.wishes.push(wish);
+    pub(super) fn add(&mut self, requirements: Requirements) {
+        self.failed.retain(|known| !requirements.rules_out(known));
+        self.failed.push(requirements);
     }
 }
--- a/crates/figscale-core/src/job/placement/offer.rs
+++ b/crates/figscale-core/src/job/placement/offer.rs
@@ -1,10 +1,10 @@
-//! One pass of a home that holds no workers itself: offers what waits, in
-//! order, to whoever places it.
+//! A pass of a home that holds no workers itself: it offers waiting tasks, in order,
+//! to placers.
 //!
 //! The order, the quotas and the turns of owners are those of
-//! [`super::Queue::pass`]. Where a task may find room is for the caller to
-//! say, from the summaries of the placers; what a placer takes is charged at
-//! once and replaced by its next summary.
+//! [`super::Queue::pass`]. The caller decides which placer may have resources for a
+//! task, from the placers' summaries. What a placer accepts is charged to the owner at
+//! once; the placer's next summary replaces that charge.
 
 use std::time;
 
@@ -17,20 +17,20 @@
 use super::queue;
 use super::shares;
 
-/// What became of a task that was offered.
+/// Result of offering a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It leaves the queue for this placer.
-    Taken(ids::MemberId),
-    /// No placer seems to have room for it or for anything larger.
-    NoRoom,
-    /// It is to wait, for a reason that says nothing of other work.
-    NotNow,
+    /// This placer accepted it; it leaves the queue.
+    Accepted(ids::MemberId),
+    /// No placer seems to have resources for it, or for anything larger.
+    NoCapacity,
+    /// It waits, for a reason that does not apply to other work.
+    Deferred,
 }
 
 impl queue::Queue {
-    /// Offers waiting tasks in order, at most `max_offers`; returns how many
-    /// were taken.
+    /// Offers at most `max_offers` waiting tasks, in order; returns how many were
+    /// accepted.
     pub fn offer(
         &mut self,
         shares: &mut shares::Shares,
@@ -38,13 +38,14 @@
         max_offers: usize,
         mut to: impl FnMut(&queue::Work, &queue::Pending) -> Offer,
     ) -> usize {
-        // All use is known through summaries here, that of the own placer too.
+        // All use is known through summaries, also that of the placer in this
+        // process.
         let nothing_held = cluster::Cluster::default();
-        let mut line = line::Line::new(self, &nothing_held, shares, now);
-        let mut no_room = no_room::NoRoomList::default();
+        let mut order = line::PassOrder::new(self, &nothing_held, shares, now);
+        let mut failed_requirements = no_room::UnplaceableSet::default();
         let mut taken = 0;
         for _ in 0..max_offers {
-            let Some(head) = line.next() else {
+            let Some(head) = order.next() else {
                 break;
             };
             let Some((_, group)) = self.groups.get_index(head.group) else {
@@ -54,26 +55,28 @@
             let admitted = shares.admits(&work.owner, &nothing_held, &work.size);
             let offer = match group.pending.last() {
                 Some(pending) if admitted => to(work, pending),
-                _ => Offer::NotNow,
+                _ => Offer::Deferred,
             };
             match offer {
-                Offer::Taken(placer) => {
+                Offer::Accepted(placer) => {
                     taken += 1;
                     shares.charge_peer(&placer, &work.owner, &work.size);
                     let none = sizes::Resources::default();
                     let share = shares.share(&work.owner, &nothing_held, &none);
-                    line.count_placed(group.owner, share);
+                    order.count_placed(group.owner, share);
                     self.take_at(head.group, 1);
                     continue;
                 }
-                Offer::NoRoom => no_room.add(no_room::Wish::of_work(work, &nothing_held)),
-                Offer::NotNow => {}
+                Offer::NoCapacity => {
+                    failed_requirements.add(no_room::Requirements::of_work(work, &nothing_held))
+                }
+                Offer::Deferred => {}
             }
-            line.advance(head, |position| {
+            order.advance(head, |position| {
                 let group = self.groups.get_index(position);
                 group.is_none_or(|(_, group)| {
-                    let wish = no_room::Wish::of_work(&group.work, &nothing_held);
-                    group.pending.is_empty() || no_room.rules_out(&wish)
+                    let requirements = no_room::Requirements::of_work(&group.work, &nothing_held);
+                    group.pending.is_empty() || failed_requirements.rules_out(&requirements)
                 })
             });
         }
--- a/crates/figscale-core/src/job/placement/pass.rs
+++ b/crates/figscale-core/src/job/placement/pass.rs
@@ -1,13 +1,13 @@
 //! One pass over the waiting work: places what fits, in order.
 //!
-//! A pass is bounded by the number of scans of the cluster. A size that found
-//! no room is remembered for the rest of the pass, so that a long queue of
-//! work that does not fit costs a comparison each, not a scan each.
+//! The number of scans of the cluster bounds the cost of a pass. Requirements that
+//! could not be met are recorded for the rest of the pass, so that each waiting job
+//! that does not fit costs a comparison, not a scan.
 //!
-//! When work of a high level finds no room, a few workers are kept for it
-//! until the pass ends: smaller work behind it would otherwise take every bit
-//! of room that comes free, and the large task would never start. The next
-//! pass begins with that same work, so nothing stays kept for nobody.
+//! When urgent or aged work does not fit, a few workers are reserved for it until the
+//! pass ends. Without this, smaller work behind it would use all resources that
+//! become free, and a large task would never start. The next pass begins with that
+//! same work, so no reservation outlives the need for it.
 
 use std::time;
 
@@ -22,68 +22,68 @@
 use super::shares;
 use super::work;
 
-/// Workers kept for work that found no room: one in so many.
-const HELD_ONE_IN: usize = 8;
-/// Most jobs reported as blocked by one pass.
+/// One worker in this number may be reserved for work that did not fit.
+const RESERVED_ONE_IN: usize = 8;
+/// Most jobs that one pass reports as blocked.
 const MAX_BLOCKED: usize = 16;
 
-/// A task that was given a place.
+/// A task that was placed on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// The task.
     pub task: ids::TaskId,
-    /// Attempt.
+    /// Number of the attempt.
     pub attempt: u32,
-    /// Where.
+    /// The worker that it was placed on.
     pub worker: ids::InstanceId,
 }
 
-/// What a pass did.
+/// Result of a pass.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PassOutcome {
-    /// Tasks that have room now and are to be started.
+    /// Tasks that were placed and are to be started.
     pub placed: Vec<Placement>,
-    /// Interactive and due jobs that found no room here, in order.
+    /// Interactive and due jobs that did not fit on these workers, in order.
     pub blocked: Vec<ids::JobId>,
-    /// Whether the pass ended at its limit with work left to try.
+    /// Whether the pass reached its limit of scans with work left to try.
     pub more: bool,
-    /// Scans of the cluster.
+    /// Number of scans of the cluster.
     pub scans: usize,
 }
 
-/// The inputs of a pass besides the queue.
+/// Inputs of a pass besides the queue.
 #[derive(Debug)]
 pub struct PassInput<'a> {
     /// Workers to place on.
     pub cluster: &'a mut cluster::Cluster,
     /// Shares and quotas of owners.
     pub shares: &'a shares::Shares,
-    /// The time.
+    /// Current time.
     pub now: time::Instant,
-    /// When room is taken back that is not confirmed; `None`: never.
+    /// When an allocation that is not confirmed is released; `None`: never.
     pub expires: Option<time::Instant>,
-    /// Most scans of the cluster.
+    /// Largest number of scans of the cluster.
     pub max_scans: usize,
 }
 
 impl queue::Queue {
     /// Places what fits, in order; placed tasks leave the queue.
     pub fn pass(&mut self, input: PassInput<'_>) -> PassOutcome {
-        let line = line::Line::new(self, input.cluster, input.shares, input.now);
+        let order = line::PassOrder::new(self, input.cluster, input.shares, input.now);
         let waiting = self.groups.values().map(|group| &group.work);
         let accelerated = waiting.filter(|work| work.size.accelerators > 0);
-        let wanted = accelerated.map(|work| work.urgency).min();
-        input.cluster.set_accelerators_wanted(wanted, input.now);
-        let mut holds_left = (input.cluster.workers().len() / HELD_ONE_IN).max(1);
+        let most_urgent = accelerated.map(|work| work.urgency).min();
+        input.cluster.set_accelerator_demand(most_urgent, input.now);
+        let mut reservations_left = (input.cluster.workers().len() / RESERVED_ONE_IN).max(1);
         if input.cluster.workers().len() == 1 {
-            holds_left = 0;
+            reservations_left = 0;
         }
         let mut pass = Pass {
             queue: self,
             input,
-            line,
-            no_room: no_room::NoRoomList::default(),
-            holds_left,
+            order,
+            failed_requirements: no_room::UnplaceableSet::default(),
+            reservations_left,
             outcome: PassOutcome::default(),
         };
         pass.run();
@@ -93,29 +93,29 @@
     }
 }
 
-/// How a try went.
-enum Tried {
-    /// All tasks that were tried have a place.
+/// Result of an attempt to place tasks.
+enum AttemptOutcome {
+    /// All of the tasks were placed.
     Placed,
-    /// Not one has a place.
-    NoRoom(place::NoPlace),
-    /// The owner's quota is used up.
-    Quota,
+    /// None of the tasks was placed.
+    NoCapacity(place::PlacementError),
+    /// The owner's quota does not allow the tasks.
+    QuotaExceeded,
 }
 
 struct Pass<'a> {
     queue: &'a mut queue::Queue,
     input: PassInput<'a>,
-    line: line::Line,
-    /// What found no room in this pass.
-    no_room: no_room::NoRoomList,
-    holds_left: usize,
+    order: line::PassOrder,
+    /// Requirements that could not be met in this pass.
+    failed_requirements: no_room::UnplaceableSet,
+    reservations_left: usize,
     outcome: PassOutcome,
 }
 
 impl Pass<'_> {
     fn run(&mut self) {
-        while let Some(head) = self.line.next() {
+        while let Some(head) = self.order.next() {
             if self.outcome.scans >= self.input.max_scans {
                 self.outcome.more = true;
                 break;
@@ -125,35 +125,36 @@
                 continue;
             };
             match self.attempt(&asks) {
-                Tried::Placed => self.after_placed(head, &asks),
-                Tried::Quota => self.advance(head),
-                Tried::NoRoom(reason) => {
-                    self.after_no_room(head, &asks, reason);
+                AttemptOutcome::Placed => self.on_placed(head, &asks),
+                AttemptOutcome::QuotaExceeded => self.advance(head),
+                AttemptOutcome::NoCapacity(reason) => {
+                    self.on_no_capacity(head, &asks, reason);
                     self.advance(head);
                 }
             }
         }
-        self.input.cluster.clear_holds();
+        self.input.cluster.clear_reservations();
     }
 
-    /// Moves on, past groups that cannot find room and are not to be reported
-    /// or to have workers kept for them.
+    /// Moves on to the next group. Groups that cannot be placed are skipped unless
+    /// they are to be reported as blocked or to get a reservation.
     fn advance(&mut self, head: line::Head) {
         let (queue, cluster) = (&*self.queue, &*self.input.cluster);
-        let no_room = &self.no_room;
+        let failed_requirements = &self.failed_requirements;
         let reports = is_urgent(head.level) && self.outcome.blocked.len() < MAX_BLOCKED;
-        let holds = head.level == queue::Level::Aged && self.holds_left > 0;
-        self.line.advance(head, |position| {
+        let may_reserve = head.level == queue::Level::Aged && self.reservations_left > 0;
+        self.order.advance(head, |position| {
             let group = queue.groups.get_index(position);
             let skips = |(_, group): (_, &queue::Group)| {
-                let hopeless = no_room.rules_out(&no_room::Wish::of_work(&group.work, cluster));
-                group.pending.is_empty() || (hopeless && !reports && !holds)
+                let infeasible = failed_requirements
+                    .rules_out(&no_room::Requirements::of_work(&group.work, cluster));
+                group.pending.is_empty() || (infeasible && !reports && !may_reserve)
             };
             group.is_none_or(skips)
         });
     }
 
-    /// The next task of a group, or all of a gang; `None` if none is left.
+    /// The next task of a group, or all tasks of a gang; `None` if none is left.
     fn asks(&self, group: usize) -> Option<Vec<work::Ask>> {
         let (_, group) = self.queue.groups.get_index(group)?;
         let count = match group.work.class {
@@ -165,9 +166,9 @@
         (!asks.is_empty()).then_some(asks)
     }
 
-    fn attempt(&mut self, asks: &[work::Ask]) -> Tried {
+    fn attempt(&mut self, asks: &[work::Ask]) -> AttemptOutcome {
         let Some(first) = asks.first() else {
-            return Tried::Placed;
+            return AttemptOutcome::Placed;
         };
         let together = asks
             .iter()
@@ -179,11 +180,11 @@
             shares.admits(owner, cluster, &together)
         };
         if !first.owner.as_ref().is_none_or(admits) {
-            return Tried::Quota;
+            return AttemptOutcome::QuotaExceeded;
         }
-        let wish = no_room::Wish::of_ask(first, self.input.cluster);
-        if self.no_room.rules_out(&wish) {
-            return Tried::NoRoom(place::NoPlace::NoRoom);
+        let requirements = no_room::Requirements::of_ask(first, self.input.cluster);
+        if self.failed_requirements.rules_out(&requirements) {
+            return AttemptOutcome::NoCapacity(place::PlacementError::NoCapacity);
         }
         self.outcome.scans += asks.len();
         let (now, expires) = (self.input.now, self.input.expires);
@@ -197,13 +198,13 @@
                         attempt: ask.attempt,
                         worker,
                     }));
-                Tried::Placed
+                AttemptOutcome::Placed
             }
-            Err(reason) => Tried::NoRoom(reason),
+            Err(reason) => AttemptOutcome::NoCapacity(reason),
         }
     }
 
-    fn after_placed(&mut self, head: line::Head, asks: &[work::Ask]) {
+    fn on_placed(&mut self, head: line::Head, asks: &[work::Ask]) {
         self.queue.take_at(head.group, asks.len());
         let Some((_, group)) = self.queue.groups.get_index(head.group) else {
             return;
@@ -211,39 +212,45 @@
         let none = sizes::Resources::default();
         let owner = &group.work.owner;
         let share = self.input.shares.share(owner, self.input.cluster, &none);
-        self.line.count_placed(group.owner, share);
+        self.order.count_placed(group.owner, share);
     }
 
-    fn after_no_room(&mut self, head: line::Head, asks: &[work::Ask], reason: place::NoPlace) {
-        let (Some(first), place::NoPlace::NoRoom) = (asks.first(), reason) else {
+    fn on_no_capacity(
+        &mut self,
+        head: line::Head,
+        asks: &[work::Ask],
+        reason: place::PlacementError,
+    ) {
+        let (Some(first), place::PlacementError::NoCapacity) = (asks.first(), reason) else {
             return;
         };
-        // A gang or a task that avoids workers says nothing of others.
+        // The failure of a gang, or of a task that avoids workers, says nothing
+        // about other work.
         if asks.len() == 1 && first.avoid.is_empty() {
-            let wish = no_room::Wish::of_ask(first, self.input.cluster);
-            self.no_room.add(wish);
+            let requirements = no_room::Requirements::of_ask(first, self.input.cluster);
+            self.failed_requirements.add(requirements);
         }
         let urgent = is_urgent(head.level);
         if urgent && self.outcome.blocked.len() < MAX_BLOCKED {
             self.outcome.blocked.push(first.task.job.clone());
         }
         if urgent || head.level == queue::Level::Aged {
-            self.hold(asks);
+            self.reserve_workers(asks);
         }
     }
 
-    /// Keeps workers for tasks that found no room, as far as any are left.
-    fn hold(&mut self, asks: &[work::Ask]) {
+    /// Reserves workers for tasks that did not fit, up to the limit of the pass.
+    fn reserve_workers(&mut self, asks: &[work::Ask]) {
         for ask in asks {
-            if self.holds_left == 0 || !self.input.cluster.hold_for(ask) {
+            if self.reservations_left == 0 || !self.input.cluster.reserve_worker_for(ask) {
                 return;
             }
-            self.holds_left -= 1;
+            self.reservations_left -= 1;
         }
     }
 }
 
-/// Whether other work is ended for work of this level, if need be.
+/// Whether other work may be preempted for work of this level.
 fn is_urgent(level: queue::Level) -> bool {
     matches!(level, queue::Level::Interactive | queue::Level::Due)
 }
--- a/crates/figscale-core/src/job/placement/place.rs
+++ b/crates/figscale-core/src/job/placement/place.rs
@@ -1,16 +1,16 @@
-//! Filter, score, commit.
+//! Placement of a task: filter the workers, score them, allocate.
 //!
-//! Workers that cannot take a task are filtered out; of the others the one
-//! with the lowest cost gets it. The cost is a sum of shares, so that a
-//! newcomer can read off why a worker won:
+//! Workers that cannot run a task are filtered out. The one with the lowest cost
+//! among the others gets the task. The cost is a sum of these terms:
 //!
-//! - best fit: the share of the task's dominant resource left over afterwards;
-//! - spread, for services: tasks of the same job in the failure domain, in the
-//!   rack and on the worker;
-//! - waste: a worker with accelerators for a task that needs none.
+//! - best fit: the share of the task's dominant resource that stays free on the
+//!   worker;
+//! - spread, for services: the number of tasks of the same job in the failure domain
+//!   and in the rack;
+//! - waste: the worker has accelerators and the task needs none.
 //!
-//! All workers are scanned: at the largest size aimed for the scan takes tens
-//! of microseconds, and an index would have to be kept right at every change.
+//! All workers are scanned. At the largest cell size that is designed for, a scan
+//! takes tens of microseconds; an index would have to be updated on every change.
 
 use std::error;
 use std::fmt;
@@ -28,49 +28,50 @@
 const DOMAIN_COST: f64 = 16.0;
 /// Cost of each task of the same service in the same rack.
 const RACK_COST: f64 = 4.0;
-/// Cost of putting work that needs no accelerator beside one.
+/// Cost of placing work that needs no accelerator on a worker that has them.
 const WASTE_COST: f64 = 2.0;
 
-/// Why a task got no place for now.
+/// Why a task cannot be placed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoPlace {
-    /// The task has a place already.
-    Known,
-    /// No worker has room for it.
-    NoRoom,
-    /// The room that is left is kept for more urgent work.
-    Kept,
+pub enum PlacementError {
+    /// The task is placed already.
+    AlreadyAllocated,
+    /// No worker that may run it has the resources.
+    NoCapacity,
+    /// The free resources are reserved for more urgent work.
+    Reserved,
 }
 
-impl fmt::Display for NoPlace {
+impl fmt::Display for PlacementError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Known => "the task has a place already",
-            Self::NoRoom => "no worker has room for the task",
-            Self::Kept => "the room that is left is kept for more urgent work",
+            Self::AlreadyAllocated => "the task is placed already",
+            Self::NoCapacity => "no worker has the resources for the task",
+            Self::Reserved => "the free resources are reserved for more urgent work",
         })
     }
 }
 
-impl error::Error for NoPlace {}
+impl error::Error for PlacementError {}
 
 impl cluster::Cluster {
-    /// Places a task without keeping anything for it if there is no room.
+    /// Places a task. Unlike [`cluster::Cluster::place`], reserves nothing for it
+    /// if it does not fit.
     pub(super) fn try_place(
         &mut self,
         ask: &work::Ask,
         now: time::Instant,
         expires: Option<time::Instant>,
-    ) -> Result<ids::InstanceId, NoPlace> {
-        if self.holdings.contains_key(&ask.task) {
-            return Err(NoPlace::Known);
+    ) -> Result<ids::InstanceId, PlacementError> {
+        if self.allocations.contains_key(&ask.task) {
+            return Err(PlacementError::AlreadyAllocated);
         }
-        if self.is_kept(ask) {
-            return Err(NoPlace::Kept);
+        if self.exceeds_best_effort_limit(ask) {
+            return Err(PlacementError::Reserved);
         }
-        let id = self.choose(ask).ok_or(NoPlace::NoRoom)?;
+        let id = self.choose(ask).ok_or(PlacementError::NoCapacity)?;
         self.reserve(ask.clone(), &id, now, expires)
-            .map_err(|_| NoPlace::NoRoom)?;
+            .map_err(|_| PlacementError::NoCapacity)?;
         Ok(id)
     }
 
@@ -78,13 +79,13 @@
     ///
     /// # Errors
     ///
-    /// Nothing changes if one of them cannot be placed for now.
+    /// Nothing changes if one of them cannot be placed now.
     pub fn place_all(
         &mut self,
         asks: &[work::Ask],
         now: time::Instant,
         expires: Option<time::Instant>,
-    ) -> Result<Vec<ids::InstanceId>, NoPlace> {
+    ) -> Result<Vec<ids::InstanceId>, PlacementError> {
         let mut placed = Vec::with_capacity(asks.len());
         for ask in asks {
             match self.try_place(ask, now, expires) {
@@ -100,45 +101,47 @@
         Ok(placed)
     }
 
-    /// Keeps, for the rest of a pass, the worker on which a task that found no
-    /// room will fit soonest; returns whether there is one.
-    pub(super) fn hold_for(&mut self, ask: &work::Ask) -> bool {
-        let soonest = self.soonest(ask).map(|worker| worker.id.clone());
-        match soonest.and_then(|id| self.workers.get_mut(&id)) {
+    /// Reserves, for the rest of a pass, the worker that lacks the least to run a
+    /// task that did not fit; returns whether there is one.
+    pub(super) fn reserve_worker_for(&mut self, ask: &work::Ask) -> bool {
+        let closest_to_fitting = self.closest_to_fitting(ask).map(|worker| worker.id.clone());
+        match closest_to_fitting.and_then(|id| self.workers.get_mut(&id)) {
             Some(worker) => {
-                worker.held = Some(ask.urgency);
+                worker.reserved_for = Some(ask.urgency);
                 true
             }
             None => false,
         }
     }
 
-    /// Gives all held workers free again.
-    pub(super) fn clear_holds(&mut self) {
+    /// Ends the reservations of a pass.
+    pub(super) fn clear_reservations(&mut self) {
         for worker in self.workers.values_mut() {
-            worker.held = None;
+            worker.reserved_for = None;
         }
     }
 
-    /// Whether the room left is kept from this task.
-    fn is_kept(&self, ask: &work::Ask) -> bool {
+    /// Whether this is best-effort work that would use resources reserved for
+    /// more urgent work.
+    fn exceeds_best_effort_limit(&self, ask: &work::Ask) -> bool {
         if ask.urgency != catalogue::Urgency::BestEffort {
             return false;
         }
         let after = self.counted.plus(&ask.size);
         let share = share_of_asked(&ask.size, &after, &self.capacity);
-        share > 1.0 - self.config.kept_share()
+        share > 1.0 - self.config.best_effort_headroom()
     }
 
-    /// Whether a task must leave room beside free accelerators: it needs none,
-    /// and work that does waits and is as urgent.
-    pub(super) fn keeps_accelerators(
+    /// Whether a task must leave processors and memory for free accelerators: it
+    /// needs no accelerator, is not interactive, and work that is at least as
+    /// urgent needs accelerators.
+    pub(super) fn must_spare_accelerators(
         &self,
         size: &sizes::Resources,
         urgency: catalogue::Urgency,
     ) -> bool {
-        let wanted = self.accelerators_wanted;
-        let yields = wanted.is_some_and(|wanted| wanted.urgency <= urgency);
+        let demand = self.accelerator_demand;
+        let yields = demand.is_some_and(|demand| demand.urgency <= urgency);
         let may_wait = urgency != catalogue::Urgency::Interactive;
         yields && may_wait && size.accelerators == 0
     }
@@ -149,12 +152,12 @@
             catalogue::JobClass::Service => self.spreads.get(&ask.task.job),
             _ => None,
         };
-        let keeps_accelerators = self.keeps_accelerators(&ask.size, ask.urgency);
-        let promised = self.promised_from(ask);
+        let must_spare_accelerators = self.must_spare_accelerators(&ask.size, ask.urgency);
+        let other_jobs_worker = self.worker_reserved_for_others(ask);
         let mut examined = 0;
         for (position, worker) in self.workers.values().enumerate() {
             examined += 1;
-            if promised == Some(position) || !fits(worker, ask, keeps_accelerators) {
+            if other_jobs_worker == Some(position) || !fits(worker, ask, must_spare_accelerators) {
                 continue;
             }
             let cost = cost(worker, ask, spread);
@@ -168,10 +171,11 @@
     }
 }
 
-/// Largest share of `whole` that `part` takes of a resource in `asked`.
+/// Largest share of `whole` that `part` takes, over the resources that are not
+/// zero in `asked`.
 ///
-/// A resource that a task does not need, such as accelerators that are all in
-/// use, keeps nothing from it.
+/// A resource that a task does not need must not prevent its placement, for
+/// instance when all accelerators are in use.
 fn share_of_asked(
     asked: &sizes::Resources,
     part: &sizes::Resources,
@@ -190,15 +194,15 @@
     part.dominant_share(whole)
 }
 
-fn fits(worker: &worker::Worker, ask: &work::Ask, keeps_accelerators: bool) -> bool {
-    let open = worker.admits(ask) && !worker.is_held_from(ask);
-    let roomy = worker.free().holds(&ask.size)
-        && (!keeps_accelerators || leaves_accelerators_usable(worker, ask));
-    open && roomy && !ask.avoid.contains(&worker.id)
+fn fits(worker: &worker::Worker, ask: &work::Ask, must_spare_accelerators: bool) -> bool {
+    let open = worker.admits(ask) && !worker.is_reserved_against(ask);
+    let has_capacity = worker.free().holds(&ask.size)
+        && (!must_spare_accelerators || leaves_accelerators_usable(worker, ask));
+    open && has_capacity && !ask.avoid.contains(&worker.id)
 }
 
-/// Whether each free accelerator is left its part of the worker's processors
-/// and memory.
+/// Whether the task leaves a proportional part of the worker's processors and
+/// memory for each free accelerator.
 fn leaves_accelerators_usable(worker: &worker::Worker, ask: &work::Ask) -> bool {
     let whole = &worker.capacity;
     let free = worker.free();
@@ -224,7 +228,7 @@
     cost
 }
 
-/// Share of the dominant resource of `size` left over on `worker`.
+/// Share of the dominant resource of `size` that stays free on `worker`.
 fn leftover(worker: &worker::Worker, size: &sizes::Resources) -> f64 {
     let left = worker.free().minus(size);
     let capacity = &worker.capacity;
--- a/crates/figscale-core/src/job/placement/preempt.rs
+++ b/crates/figscale-core/src/job/placement/preempt.rs
@@ -1,15 +1,15 @@
-//! Room for urgent work, taken from less urgent work.
+//! Preemption: frees resources for urgent work at the expense of less urgent work.
 //!
-//! A plan names one worker and what to do to tasks on it, in this order:
-//! checkpoint (little is lost), throttle to the declared share (nothing is
-//! lost but time), stop (the run so far is lost). Each step has a cost in core
-//! seconds, and stops together may not cost more than what the catalogue's
-//! weights allow: a cell that weighs waiting gives up more work than one that
-//! weighs packing. Work that may not run twice and cannot save its state is
-//! never touched, whatever the plan.
+//! A plan names one worker and what to do to tasks on it, in this order of
+//! preference: checkpoint (little work is lost), throttle to the declared share of
+//! processor time (only time is lost), stop (the run so far is lost). Each step has a
+//! cost in core seconds. The stops of one plan may not cost more than a budget that
+//! follows from the catalogue's weights: a cell that weighs waiting higher gives up
+//! more work than one that weighs packing higher. Work that may not run twice and
+//! cannot save its state is never preempted.
 //!
-//! Room that is on its way, because its tasks were asked to end before, is
-//! counted first, so that one need is not met twice.
+//! Tasks that were told to end before count as ended, so that resources are not freed
+//! twice for one task.
 
 use figscale_types::catalogue;
 use figscale_types::ids;
@@ -21,14 +21,14 @@
 use super::work;
 use super::worker;
 
-/// Time that a checkpoint and going on elsewhere cost, in seconds.
+/// Time lost by a checkpoint and the restart on another worker, in seconds.
 const CHECKPOINT_S: f64 = 30.0;
-/// Time for which a throttled task is counted as slowed, in seconds.
+/// Time for which a throttled task is assumed to run slower, in seconds.
 const THROTTLE_S: f64 = 60.0;
-/// Core seconds that stops of one plan may cost when waiting and packing
-/// weigh the same: ten hours of a core.
+/// Most core seconds that the stops of one plan may cost when waiting and packing
+/// have equal weights: ten hours of one core.
 const STOP_BUDGET_CORE_S: f64 = 36_000.0;
-/// Thousandths in a core.
+/// Millicores per core, and milliseconds per second.
 const MILLIS: f64 = 1_000.0;
 
 /// One step of a plan.
@@ -38,22 +38,22 @@
     pub task: ids::TaskId,
     /// What to do to it.
     pub action: protocol::TaskAction,
-    /// What it costs, in core seconds.
+    /// Its cost, in core seconds.
     pub cost_core_s: f64,
-    frees: sizes::Resources,
+    freed: sizes::Resources,
 }
 
-/// How room for a task comes about.
+/// How to free the resources for a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Where the room will be.
+    /// The worker on which the task will fit.
     pub worker: ids::InstanceId,
-    /// What to do, in order; empty if the room is on its way already.
+    /// What to do, in order; empty if tasks that are ending already free enough.
     pub steps: Vec<Step>,
 }
 
 impl Plan {
-    /// What all steps cost, in core seconds.
+    /// Cost of all steps, in core seconds.
     pub fn cost_core_s(&self) -> f64 {
         self.steps.iter().map(|step| step.cost_core_s).sum()
     }
@@ -64,29 +64,30 @@
     }
 }
 
-/// Plans for several tasks of one moment, which do not count on the same room.
+/// Makes plans for several tasks at one time; no two plans use the same
+/// resources.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
-    promised: IndexMap<ids::InstanceId, sizes::Resources>,
+    planned: IndexMap<ids::InstanceId, sizes::Resources>,
 }
 
 impl Planner {
     /// Finds the cheapest plan for a task, and marks its victims as ending.
     ///
-    /// `None` if no allowed step makes room for it.
+    /// `None` if no allowed steps free enough for it.
     pub fn plan(&mut self, cluster: &mut cluster::Cluster, ask: &work::Ask) -> Option<Plan> {
-        let plan = self.best(cluster, ask)?;
-        let promised = self.promised.entry(plan.worker.clone()).or_default();
-        *promised = promised.plus(&ask.size);
+        let plan = self.cheapest(cluster, ask)?;
+        let planned = self.planned.entry(plan.worker.clone()).or_default();
+        *planned = planned.plus(&ask.size);
         for step in &plan.steps {
             cluster.mark_ending(&step.task, step.action);
         }
         Some(plan)
     }
 
-    fn best(&self, cluster: &cluster::Cluster, ask: &work::Ask) -> Option<Plan> {
+    fn cheapest(&self, cluster: &cluster::Cluster, ask: &work::Ask) -> Option<Plan> {
         let budget = stop_budget(&cluster.config.weights);
-        let mut best: Option<((usize, f64), Plan)> = None;
+        let mut cheapest: Option<((usize, f64), Plan)> = None;
         for worker in cluster.workers.values() {
             let usable = worker.takes_work() && worker.capacity.holds(&ask.size);
             if !usable || ask.avoid.contains(&worker.id) {
@@ -96,11 +97,11 @@
                 continue;
             };
             let rank = (plan.stops(), plan.cost_core_s());
-            if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
-                best = Some((rank, plan));
+            if cheapest.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
+                cheapest = Some((rank, plan));
             }
         }
-        best.map(|(_, plan)| plan)
+        cheapest.map(|(_, plan)| plan)
     }
 
     fn plan_on(
@@ -110,16 +111,20 @@
         ask: &work::Ask,
         budget: f64,
     ) -> Option<Plan> {
-        let holdings = worker.tasks.iter().filter_map(|t| cluster.holdings.get(t));
+        let allocations = worker
+            .tasks
+            .iter()
+            .filter_map(|t| cluster.allocations.get(t));
         let mut steps = Vec::new();
-        // What counts against the worker once all that ends has ended.
-        let mut counted = self.promised.get(&worker.id).copied().unwrap_or_default();
-        for holding in holdings {
+        // Resources in use once all tasks that are ending have ended, with those
+        // that earlier plans use for their tasks.
+        let mut counted = self.planned.get(&worker.id).copied().unwrap_or_default();
+        for holding in allocations {
             if holding.ending {
                 continue;
             }
             counted = counted.plus(&holding.counted());
-            if may_take_from(holding, ask) {
+            if may_preempt(holding, ask) {
                 steps.extend(steps_for(holding));
             }
         }
@@ -127,7 +132,7 @@
             let order = (a.action as u8).cmp(&(b.action as u8));
             order.then(a.cost_core_s.total_cmp(&b.cost_core_s))
         });
-        let steps = choose(steps, &counted, &worker.capacity, &ask.size)?;
+        let steps = choose_steps(steps, &counted, &worker.capacity, &ask.size)?;
         let plan = Plan {
             worker: worker.id.clone(),
             steps,
@@ -145,21 +150,22 @@
     STOP_BUDGET_CORE_S * (weights.waiting / weights.packing)
 }
 
-/// Only from less urgent work, and only where that may be ended.
-fn may_take_from(holding: &work::Holding, ask: &work::Ask) -> bool {
+/// Whether a task may be preempted for `ask`: it is less urgent, confirmed, and
+/// allows preemption.
+fn may_preempt(holding: &work::Holding, ask: &work::Ask) -> bool {
     let less_urgent = holding.ask.urgency > ask.urgency;
     less_urgent && holding.expires.is_none() && holding.ask.guard.may_be_preempted()
 }
 
-/// The steps possible for one task; at most one of them is taken.
+/// The possible steps for one task; a plan contains at most one of them.
 fn steps_for(holding: &work::Holding) -> Vec<Step> {
     let counted = holding.counted();
     let cores = counted.cpu_millis.0 as f64 / MILLIS;
-    let step = |action, cost_core_s, frees| Step {
+    let step = |action, cost_core_s, freed| Step {
         task: holding.ask.task.clone(),
         action,
         cost_core_s,
-        frees,
+        freed,
     };
     let ran_s = holding.ran_ms as f64 / MILLIS;
     let mut steps = Vec::new();
@@ -173,19 +179,19 @@
         .0
         .saturating_sub(holding.ask.declared.cpu_millis.0);
     if over > 0 {
-        let frees = sizes::Resources {
+        let freed = sizes::Resources {
             cpu_millis: sizes::CpuMillis(over),
             ..sizes::Resources::default()
         };
         let cost = THROTTLE_S * over as f64 / MILLIS;
-        steps.push(step(protocol::TaskAction::Throttle, cost, frees));
+        steps.push(step(protocol::TaskAction::Throttle, cost, freed));
     }
     steps.push(step(protocol::TaskAction::Stop, ran_s * cores, counted));
     steps
 }
 
-/// Takes steps in order until the size fits, then drops those not needed.
-fn choose(
+/// Adds steps in order until the size fits, then removes those not needed.
+fn choose_steps(
     steps: Vec<Step>,
     counted: &sizes::Resources,
     capacity: &sizes::Resources,
@@ -196,14 +202,14 @@
         if fits(&chosen, counted, capacity, size) {
             break;
         }
-        // A stop takes the place of a throttle of the same task.
+        // A stop replaces a throttle of the same task.
         chosen.retain(|known| known.task != step.task);
         chosen.push(step);
     }
     if !fits(&chosen, counted, capacity, size) {
         return None;
     }
-    // The costliest kinds come last and are dropped first where they can be.
+    // The costliest actions come last and are removed first where possible.
     for at in (0..chosen.len()).rev() {
         let dropped = chosen.remove(at);
         if !fits(&chosen, counted, capacity, size) {
@@ -219,6 +225,6 @@
     capacity: &sizes::Resources,
     size: &sizes::Resources,
 ) -> bool {
-    let left = steps.iter().fold(*counted, |left, s| left.minus(&s.frees));
+    let left = steps.iter().fold(*counted, |left, s| left.minus(&s.freed));
     capacity.holds(&left.plus(size))
 }
--- a/crates/figscale-core/src/job/placement/promise.rs
+++ b/crates/figscale-core/src/job/placement/promise.rs
@@ -1,14 +1,16 @@
-//! Room kept at a placer that is asked for one task at a time.
+//! Placement at a placer, which has no queue and gets one request at a time.
 //!
-//! A placer has no queue: homes ask it again and again. Small tasks would take
-//! every bit of room that comes free before a large one fits, so the worker on
-//! which a task that found no room fits soonest is promised to its job: work
-//! that is no more urgent passes it over. There is one promise at a time, it
-//! goes to more urgent work, and it lapses soon after its job stops asking.
-//! Gangs get none, since the rest of a gang may wait elsewhere.
+//! Homes repeat their requests until a task is placed. Between two requests for a
+//! large task, small tasks would use all resources that become free, and the large
+//! one would never fit. If a task does not fit, the worker that lacks the least for it
+//! is therefore reserved for its job: other work that is not more urgent may not use
+//! that worker. There is one such reservation at a time. More urgent work may
+//! replace it, and it expires soon after its job's last request. Gangs get none, since
+//! the rest of a gang may wait for another placer.
 //!
-//! In the same way a placer remembers for a while that work found no
-//! accelerator, and has plain work leave room beside free ones.
+//! For the same reason a placer records for a while that work needed accelerators
+//! and found none. In this time, other work must leave processors and memory for
+//! the free accelerators.
 
 use std::time;
 
@@ -21,90 +23,102 @@
 use super::work;
 use super::worker;
 
-/// Time that a promise lasts after its job asked last.
-const PROMISE: time::Duration = time::Duration::from_secs(1);
-/// Time for which accelerators count as wanted after work found none.
-const WANTED: time::Duration = time::Duration::from_secs(5);
+/// How long a reservation lasts after the last request of its job.
+const RESERVATION_LIFETIME: time::Duration = time::Duration::from_secs(1);
+/// How long demand for accelerators is recorded after work found none.
+const DEMAND_LIFETIME: time::Duration = time::Duration::from_secs(5);
 
 impl cluster::Cluster {
-    /// Places a task: filter, score, commit.
+    /// Places a task: filters the workers, scores them, allocates.
     ///
     /// # Errors
     ///
-    /// No room is given if no worker can take the task for now; one may be
-    /// kept for it for about a second.
+    /// Nothing is allocated if no worker can run the task now; one may be
+    /// reserved for its job for about a second.
     pub fn place(
         &mut self,
         ask: &work::Ask,
         now: time::Instant,
         expires: Option<time::Instant>,
-    ) -> Result<ids::InstanceId, place::NoPlace> {
-        self.forget_lapsed(now);
+    ) -> Result<ids::InstanceId, place::PlacementError> {
+        self.drop_expired(now);
         let placed = self.try_place(ask, now, expires);
         match placed {
-            Ok(_) if self.promise.as_ref().is_some_and(|p| p.job == ask.task.job) => {
-                self.promise = None;
+            Ok(_)
+                if self
+                    .worker_reservation
+                    .as_ref()
+                    .is_some_and(|p| p.job == ask.task.job) =>
+            {
+                self.worker_reservation = None;
             }
-            Err(place::NoPlace::NoRoom) => {
-                self.want_accelerators(ask, now);
-                self.promise_worker(ask, now);
+            Err(place::PlacementError::NoCapacity) => {
+                self.raise_accelerator_demand(ask, now);
+                self.reserve_worker(ask, now);
             }
             _ => {}
         }
         placed
     }
 
-    /// Position of the worker that is promised to others than this task.
-    pub(super) fn promised_from(&self, ask: &work::Ask) -> Option<usize> {
-        let promise = self.promise.as_ref().filter(|promise| promise.binds(ask))?;
-        self.workers.get_index_of(&promise.worker)
+    /// Index of the worker that is reserved for another job and may not run this
+    /// task.
+    pub(super) fn worker_reserved_for_others(&self, ask: &work::Ask) -> Option<usize> {
+        let worker_reservation = self
+            .worker_reservation
+            .as_ref()
+            .filter(|worker_reservation| worker_reservation.applies_to(ask))?;
+        self.workers.get_index_of(&worker_reservation.worker)
     }
 
-    fn forget_lapsed(&mut self, now: time::Instant) {
-        self.promise = self.promise.take().filter(|promise| promise.until > now);
-        self.accelerators_wanted = self.accelerators_wanted.filter(|wanted| wanted.until > now);
+    fn drop_expired(&mut self, now: time::Instant) {
+        self.worker_reservation = self
+            .worker_reservation
+            .take()
+            .filter(|worker_reservation| worker_reservation.until > now);
+        self.accelerator_demand = self.accelerator_demand.filter(|demand| demand.until > now);
     }
 
-    pub(super) fn set_accelerators_wanted(
+    pub(super) fn set_accelerator_demand(
         &mut self,
         urgency: Option<catalogue::Urgency>,
         now: time::Instant,
     ) {
-        let until = now + WANTED;
-        self.accelerators_wanted = urgency.map(|urgency| kept::Wanted { urgency, until });
+        let until = now + DEMAND_LIFETIME;
+        self.accelerator_demand = urgency.map(|urgency| kept::AcceleratorDemand { urgency, until });
     }
 
-    fn want_accelerators(&mut self, ask: &work::Ask, now: time::Instant) {
+    fn raise_accelerator_demand(&mut self, ask: &work::Ask, now: time::Instant) {
         if ask.size.accelerators == 0 {
             return;
         }
-        let known = self.accelerators_wanted.map(|wanted| wanted.urgency);
+        let known = self.accelerator_demand.map(|demand| demand.urgency);
         let urgency = known.map_or(ask.urgency, |known| known.min(ask.urgency));
-        self.set_accelerators_wanted(Some(urgency), now);
+        self.set_accelerator_demand(Some(urgency), now);
     }
 
-    fn promise_worker(&mut self, ask: &work::Ask, now: time::Instant) {
-        let free = match &self.promise {
+    fn reserve_worker(&mut self, ask: &work::Ask, now: time::Instant) {
+        let free = match &self.worker_reservation {
             None => true,
             Some(known) => known.job == ask.task.job || ask.urgency < known.urgency,
         };
         if !free || ask.class == catalogue::JobClass::Gang {
             return;
         }
-        let soonest = self.soonest(ask).map(|worker| worker.id.clone());
-        self.promise = soonest.map(|worker| kept::Promise {
+        let closest_to_fitting = self.closest_to_fitting(ask).map(|worker| worker.id.clone());
+        self.worker_reservation = closest_to_fitting.map(|worker| kept::WorkerReservation {
             job: ask.task.job.clone(),
             urgency: ask.urgency,
             worker,
-            until: now + PROMISE,
+            until: now + RESERVATION_LIFETIME,
         });
     }
 
-    /// The full worker on which a task will fit soonest, by what is missing.
-    pub(super) fn soonest(&self, ask: &work::Ask) -> Option<&worker::Worker> {
+    /// The worker that lacks the smallest share of its capacity to run a task.
+    pub(super) fn closest_to_fitting(&self, ask: &work::Ask) -> Option<&worker::Worker> {
         let open = |worker: &&worker::Worker| {
-            let usable = worker.takes_work() && worker.held.is_none();
-            // A worker with room for it is closed to it for another reason.
+            let usable = worker.takes_work() && worker.reserved_for.is_none();
+            // A worker on which it fits is closed to it for another reason.
             let full = !worker.free().holds(&ask.size);
             let fits_empty = worker.capacity.holds(&ask.size);
             usable && full && fits_empty && !ask.avoid.contains(&worker.id)
--- a/crates/figscale-core/src/job/placement/queue.rs
+++ b/crates/figscale-core/src/job/placement/queue.rs
@@ -1,20 +1,20 @@
-//! Work that waits for a place, and its order.
+//! The waiting work and its order.
 //!
-//! Tasks of a job are alike, so the queue keeps one group per job: cancelling
-//! a job of 10,000 tasks drops one group, and a task that finds no room tells
-//! the same for its siblings. Groups are ranked anew at the start of every
-//! pass, by [`Level`] first:
+//! Tasks of a job are alike, so the queue has one group per job: cancelling a job of
+//! 10,000 tasks removes one group, and if one task does not fit, neither do the others
+//! of its job. Every pass ranks the groups anew, by [`Level`] first:
 //!
 //! 1. interactive work, by fair share among owners;
 //! 2. work that misses its deadline unless it starts soon, earliest first;
 //! 3. other work with a deadline, by fair share, earliest first within an owner;
-//! 4. best-effort work that waited long, by fair share, oldest first within an
+//! 4. best-effort work that has waited long, by fair share, oldest first within an
 //!    owner;
 //! 5. other best-effort work, by fair share.
 //!
-//! Work whose deadline cannot be met any more ranks with level 4, so that it
-//! does not take others down with it. Every few picks one of level 4 goes
-//! first, so that nothing starves however much urgent work arrives.
+//! Work that can no longer meet its deadline ranks with level 4, so that it does not
+//! make other work miss its deadline as well. One placement in
+//! [`QueueConfig::aged_every`] goes to level 4 first, so that aged work is not starved
+//! by a stream of urgent work.
 
 use std::time;
 
@@ -26,44 +26,45 @@
 
 use super::work;
 
-/// A job that has tasks waiting.
+/// A job that has waiting tasks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
     /// The job.
     pub job: ids::JobId,
-    /// Owner charged for it.
+    /// Owner whose quota and share it counts towards.
     pub owner: ids::OwnerName,
-    /// How its tasks belong together.
+    /// Whether its tasks are independent, start together or form a service.
     pub class: catalogue::JobClass,
-    /// Urgency.
+    /// Urgency of its tasks.
     pub urgency: catalogue::Urgency,
-    /// Room to reserve for a task: the larger of declared and learned.
+    /// Resources to reserve for a task: the larger of the declared and the learned
+    /// size.
     pub size: sizes::Resources,
-    /// Size as declared.
+    /// Size of a task declared by the job.
     pub declared: sizes::Resources,
-    /// What may be done to its tasks once they run.
+    /// How its tasks may be interrupted once they run.
     pub guard: work::Guard,
-    /// When it began to wait; kept when a task comes back.
+    /// When it was first queued; unchanged when a task is queued again.
     pub queued_at: time::Instant,
-    /// When it must be done.
+    /// Deadline for its end.
     pub deadline: Option<time::Instant>,
     /// Expected run time of a task.
     pub run: time::Duration,
 }
 
-/// A task that waits.
+/// A waiting task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pending {
-    /// Position within the job.
+    /// Index within the job.
     pub index: u32,
-    /// Attempt to begin, from 1.
+    /// Number of the next attempt, from 1.
     pub attempt: u32,
     /// Workers on which it failed before.
     pub avoid: Vec<ids::InstanceId>,
 }
 
 impl Pending {
-    /// A task that was never tried.
+    /// A task without earlier attempts.
     pub fn first(index: u32) -> Self {
         Self {
             index,
@@ -73,15 +74,16 @@
     }
 }
 
-/// How waiting work is ranked.
+/// Parameters of the ranking.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueueConfig {
-    /// Wait after which best-effort work ranks higher. Default 10 min.
+    /// Waiting time after which best-effort work is aged and ranks higher. Default
+    /// 10 min.
     pub ageing: time::Duration,
-    /// How long before its latest start work with a deadline ranks higher.
-    /// Default 30 s.
+    /// How long before its latest possible start work with a deadline is due and
+    /// ranks higher. Default 30 s.
     pub due_margin: time::Duration,
-    /// One pick in so many goes to work that waited long. Default 8.
+    /// One placement in this number goes to aged work first; 0: none. Default 8.
     pub aged_every: u32,
 }
 
@@ -95,46 +97,46 @@
     }
 }
 
-/// Rank of waiting work; a lower one goes first.
+/// Rank of waiting work; the lowest is placed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Level {
-    /// Somebody waits for it.
+    /// A caller waits for the result.
     Interactive,
     /// It misses its deadline unless it starts soon.
     Due,
-    /// It has a deadline and time left.
+    /// It has a deadline that is not near.
     Deadline,
-    /// It waited long, or can no longer be in time.
+    /// It has waited long, or can no longer meet its deadline.
     Aged,
-    /// It may wait.
+    /// Other best-effort work.
     BestEffort,
 }
 
-/// A job with its waiting tasks.
+/// The waiting tasks of a job.
 #[derive(Clone, Debug)]
 pub(super) struct Group {
     pub(super) work: Work,
-    /// Waiting tasks; the last one goes first.
+    /// Waiting tasks by descending index; the last one is placed first.
     pub(super) pending: Vec<Pending>,
     /// Order of arrival.
     pub(super) seq: u64,
-    /// Position of the owner among the queue's owners.
+    /// Index of the owner in [`Queue::owners`].
     pub(super) owner: usize,
 }
 
-/// All work that waits.
+/// All waiting work.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     pub(super) config: QueueConfig,
     pub(super) groups: IndexMap<ids::JobId, Group>,
-    /// Every owner that ever had work here.
+    /// Every owner that has ever had work in this queue.
     pub(super) owners: IndexSet<ids::OwnerName>,
     next_seq: u64,
     tasks: usize,
 }
 
 impl Queue {
-    /// A queue with nothing in it.
+    /// Creates an empty queue.
     pub fn new(config: QueueConfig) -> Self {
         Self {
             config,
@@ -142,9 +144,9 @@
         }
     }
 
-    /// Adds tasks of a job; `work` replaces what was known of the job.
+    /// Adds tasks of a job; `work` replaces the earlier description of the job.
     ///
-    /// A task that waits already is not added again.
+    /// A task that is waiting already is not added again.
     pub fn push(&mut self, work: Work, tasks: impl IntoIterator<Item = Pending>) {
         let next_seq = self.next_seq;
         let owner = self.owners.insert_full(work.owner.clone()).0;
@@ -161,7 +163,7 @@
         group.work = work;
         group.owner = owner;
         group.pending.extend(tasks);
-        // Sorted so that the lowest index goes first, from the end.
+        // Tasks are taken from the end, so that the lowest index is first.
         group
             .pending
             .sort_by_key(|task| std::cmp::Reverse(task.index));
@@ -170,7 +172,7 @@
         self.next_seq += 1;
     }
 
-    /// Drops all waiting tasks of a job; returns how many there were.
+    /// Removes all waiting tasks of a job; returns their number.
     pub fn cancel(&mut self, job: &ids::JobId) -> usize {
         let group = self.groups.swap_remove(job);
         let dropped = group.map_or(0, |group| group.pending.len());
@@ -178,7 +180,7 @@
         dropped
     }
 
-    /// Drops one waiting task of a job.
+    /// Removes one waiting task of a job; returns whether it was waiting.
     pub fn cancel_task(&mut self, task: &ids::TaskId) -> bool {
         let Some(group) = self.groups.get_mut(&task.job) else {
             return false;
@@ -196,7 +198,7 @@
         self.tasks
     }
 
-    /// Whether nothing waits.
+    /// Whether no task is waiting.
     pub fn is_empty(&self) -> bool {
         self.tasks == 0
     }
@@ -206,13 +208,13 @@
         self.groups.values().map(|g| (&g.work, g.pending.len()))
     }
 
-    /// What a waiting job asks for.
+    /// The description of a waiting job.
     pub fn work(&self, job: &ids::JobId) -> Option<&Work> {
         self.groups.get(job).map(|group| &group.work)
     }
 
-    /// Takes the next tasks out of the group at a position. The group stays
-    /// where it is until [`Queue::drop_empty`].
+    /// Removes the next tasks of the group at an index. The group itself stays
+    /// until [`Queue::drop_empty`], so that indices of groups remain valid.
     pub(super) fn take_at(&mut self, position: usize, count: usize) {
         if let Some((_, group)) = self.groups.get_index_mut(position) {
             let left = group.pending.len().saturating_sub(count);
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Drops the groups of which no task is left.
+    /// Removes the groups without tasks.
     pub(super) fn drop_empty(&mut self) {
         self.groups.retain(|_, group| !group.pending.is_empty());
     }
@@ -234,7 +236,7 @@
 }
 
 impl Work {
-    /// Its rank at `now`.
+    /// Rank of the work at `now`.
     pub fn level(&self, now: time::Instant, config: &QueueConfig) -> Level {
         let long = now.saturating_duration_since(self.queued_at) >= config.ageing;
         match (self.urgency, self.deadline) {
@@ -255,7 +257,7 @@
         }
     }
 
-    /// The task `pending` as placement wants it.
+    /// The request to place the task `pending`.
     pub fn ask(&self, pending: &Pending) -> work::Ask {
         work::Ask {
             task: ids::TaskId {
--- a/crates/figscale-core/src/job/placement/shares.rs
+++ b/crates/figscale-core/src/job/placement/shares.rs
@@ -1,10 +1,10 @@
-//! Dominant-resource fair shares of owners, over the whole cell.
+//! Fair shares of owners by dominant resource, over the whole cell.
 //!
-//! An owner's share is the largest share that its tasks take of any resource
-//! of the cell, divided by its weight. Use on workers held here is read from
-//! the cluster; use elsewhere comes from the peers' summaries, which are about
-//! a second old. What is placed with a peer in between is charged at once and
-//! replaced by the peer's next summary.
+//! An owner's share is the largest share that its tasks have of any resource of the
+//! cell, divided by the owner's weight. Use on workers held here is read from the
+//! cluster; use on other workers comes from the summaries of peers, which are about a
+//! second old. What is placed with a peer between two summaries is charged at once
+//! and replaced by the peer's next summary.
 
 use figscale_types::catalogue;
 use figscale_types::ids;
@@ -13,63 +13,63 @@
 
 use super::cluster;
 
-/// Use by owner on the workers that one peer holds.
+/// Use by owner on the workers of one peer.
 pub type UsageByOwner = IndexMap<ids::OwnerName, sizes::Resources>;
 
-/// What owners may use and what they use elsewhere.
+/// Weights and quotas of owners, and their use on the workers of peers.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     total: sizes::Resources,
-    owners: IndexMap<ids::OwnerName, Terms>,
+    owners: IndexMap<ids::OwnerName, OwnerPolicy>,
     peers: IndexMap<ids::MemberId, UsageByOwner>,
-    elsewhere: UsageByOwner,
+    peers_total: UsageByOwner,
 }
 
-/// What the catalogue says of an owner.
+/// Weight and quota of an owner, from the catalogue.
 #[derive(Clone, Debug)]
-struct Terms {
+struct OwnerPolicy {
     weight: u32,
     quota: Option<sizes::Resources>,
 }
 
 impl Shares {
-    /// Takes over weights and quotas.
+    /// Replaces weights and quotas by those of the catalogue.
     pub fn set_catalogue(&mut self, catalogue: &catalogue::Catalogue) {
-        let terms = |owner: &catalogue::Owner| Terms {
+        let policy = |owner: &catalogue::Owner| OwnerPolicy {
             weight: owner.weight.max(1),
             quota: owner.quota,
         };
         let owners = catalogue.owners.iter();
-        self.owners = owners.map(|(name, o)| (name.clone(), terms(o))).collect();
+        self.owners = owners.map(|(name, o)| (name.clone(), policy(o))).collect();
     }
 
-    /// Takes over what all workers of the cell hold together.
+    /// Sets the sum of the capacities of all workers of the cell.
     pub fn set_total(&mut self, total: sizes::Resources) {
         self.total = total;
     }
 
-    /// Takes over a peer's whole summary of use.
+    /// Replaces the use at a peer.
     pub fn set_peer(&mut self, peer: ids::MemberId, usage: UsageByOwner) {
         self.peers.insert(peer, usage);
-        self.sum_up();
+        self.sum_peers();
     }
 
-    /// Takes over what changed at a peer since its last summary.
+    /// Updates the use at a peer by what changed since its last summary.
     pub fn update_peer(&mut self, peer: &ids::MemberId, changed: UsageByOwner) {
         let known = self.peers.entry(peer.clone()).or_default();
         for (owner, used) in changed {
             known.insert(owner, used);
         }
-        self.sum_up();
+        self.sum_peers();
     }
 
-    /// Forgets a peer that is gone.
+    /// Removes a peer that is gone.
     pub fn remove_peer(&mut self, peer: &ids::MemberId) {
         self.peers.swap_remove(peer);
-        self.sum_up();
+        self.sum_peers();
     }
 
-    /// Charges what was placed with a peer, until its next summary.
+    /// Adds what was placed with a peer to its use; the next summary replaces it.
     pub fn charge_peer(
         &mut self,
         peer: &ids::MemberId,
@@ -78,49 +78,50 @@
     ) {
         for usage in [
             self.peers.entry(peer.clone()).or_default(),
-            &mut self.elsewhere,
+            &mut self.peers_total,
         ] {
             let used = usage.entry(owner.clone()).or_default();
             *used = used.plus(size);
         }
     }
 
-    /// What an owner uses in the whole cell.
-    pub fn usage(&self, owner: &ids::OwnerName, here: &cluster::Cluster) -> sizes::Resources {
-        let elsewhere = self.elsewhere.get(owner).copied().unwrap_or_default();
-        elsewhere.plus(&here.usage(owner))
+    /// Use of an owner in the whole cell.
+    pub fn usage(&self, owner: &ids::OwnerName, local: &cluster::Cluster) -> sizes::Resources {
+        let peers_total = self.peers_total.get(owner).copied().unwrap_or_default();
+        peers_total.plus(&local.usage(owner))
     }
 
-    /// Dominant share of an owner by its weight, with `more` on top.
+    /// Dominant share of an owner divided by its weight, with `more` added to its
+    /// use.
     pub fn share(
         &self,
         owner: &ids::OwnerName,
-        here: &cluster::Cluster,
+        local: &cluster::Cluster,
         more: &sizes::Resources,
     ) -> f64 {
-        let used = self.usage(owner, here).plus(more);
-        let weight = self.owners.get(owner).map_or(1, |terms| terms.weight);
+        let used = self.usage(owner, local).plus(more);
+        let weight = self.owners.get(owner).map_or(1, |policy| policy.weight);
         used.dominant_share(&self.total) / f64::from(weight)
     }
 
-    /// Whether an owner's quota still has room for `more`.
+    /// Whether an owner's quota allows `more` in addition to its use.
     pub fn admits(
         &self,
         owner: &ids::OwnerName,
-        here: &cluster::Cluster,
+        local: &cluster::Cluster,
         more: &sizes::Resources,
     ) -> bool {
-        let quota = self.owners.get(owner).and_then(|terms| terms.quota);
+        let quota = self.owners.get(owner).and_then(|policy| policy.quota);
         quota.is_none_or(|quota| {
-            let used = self.usage(owner, here).plus(more);
+            let used = self.usage(owner, local).plus(more);
             quota.holds(&used)
         })
     }
 
-    fn sum_up(&mut self) {
-        self.elsewhere.clear();
+    fn sum_peers(&mut self) {
+        self.peers_total.clear();
         for (owner, used) in self.peers.values().flatten() {
-            let sum = self.elsewhere.entry(owner.clone()).or_default();
+            let sum = self.peers_total.entry(owner.clone()).or_default();
             *sum = sum.plus(used);
         }
     }
--- a/crates/figscale-core/src/job/placement/summary.rs
+++ b/crates/figscale-core/src/job/placement/summary.rs
@@ -1,10 +1,12 @@
-//! What entry instances tell each other about their workers, once a second.
+//! Summaries of their workers that entry instances send to each other once a second.
 //!
-//! A summary holds what is free, the largest holes and what owners use. Use is
-//! sent only where it changed since the last summary, and whole every few
-//! summaries, so that its size follows what happens rather than how many
-//! owners there are; a lost summary is made good by the next whole one. The
-//! receiver keeps a view per peer; an old view is not trusted with placements.
+//! A summary contains the free resources, the largest free resources on single
+//! workers ("holes") and the use by owner. Use is sent only for owners whose use has
+//! changed since the last summary, and for all owners every few summaries. The size
+//! of a summary thus depends on the rate of change rather than on the number of
+//! owners. The next whole summary corrects the effect of a lost one. The receiver
+//! stores the last summary of each peer; no task is placed with a peer whose last
+//! summary is too old.
 
 use std::time;
 
@@ -18,38 +20,39 @@
 use super::cluster;
 use super::shares;
 
-/// A whole summary is sent once in so many.
+/// One summary in this number contains the use of all owners.
 const WHOLE_EVERY: u64 = 10;
-/// Age up to which a peer's view is trusted with placements.
+/// Largest age of a peer's summary at which tasks are placed with that peer.
 const MAX_AGE: time::Duration = time::Duration::from_secs(5);
 
-/// What one entry instance has to give.
+/// Free resources and use on the workers of one entry instance.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Number of the summary; grows by one.
+    /// Sequence number; increases by one.
     pub number: u64,
-    /// Whether use is whole rather than only what changed.
+    /// Whether `usage` contains all owners rather than only those that changed.
     pub whole: bool,
-    /// What its workers hold together.
+    /// Sum of the capacities of its workers.
     pub capacity: sizes::Resources,
-    /// What is free on workers that get new work.
+    /// Free resources on workers that accept new work.
     pub free: sizes::Resources,
-    /// Largest holes: by processor share, by memory, by accelerators.
+    /// Largest free resources on a single worker: by processor, by memory and by
+    /// accelerators.
     pub holes: Vec<sizes::Resources>,
     /// Use by owner.
     pub usage: Vec<(ids::OwnerName, sizes::Resources)>,
-    /// Tasks that wait there.
+    /// Number of tasks that wait at that instance.
     pub waiting: u32,
 }
 
 impl Summary {
-    /// Whether a task of this size found room when the summary was made.
+    /// Whether a task of this size fitted on a worker when the summary was made.
     pub fn has_hole(&self, size: &sizes::Resources) -> bool {
         self.holes.iter().any(|hole| hole.holds(size))
     }
 }
 
-/// Makes an entry instance's summaries.
+/// Creates the summaries of an entry instance.
 #[derive(Clone, Debug, Default)]
 pub struct Summarizer {
     number: u64,
@@ -100,7 +103,7 @@
     changed.chain(gone).collect()
 }
 
-/// The largest by each dimension, the others breaking ties.
+/// The largest elements by each resource; another resource breaks ties.
 fn holes(free: &[sizes::Resources]) -> Vec<sizes::Resources> {
     let by_cpu = free.iter().max_by_key(|f| (f.cpu_millis, f.memory_bytes));
     let by_memory = free.iter().max_by_key(|f| (f.memory_bytes, f.cpu_millis));
@@ -115,19 +118,19 @@
 }
 
 #[derive(Clone, Debug)]
-struct View {
+struct PeerView {
     summary: Summary,
-    at: time::Instant,
+    received_at: time::Instant,
 }
 
-/// What peers told last.
+/// The last summary of each peer.
 #[derive(Clone, Debug, Default)]
 pub struct PeerViews {
-    views: IndexMap<ids::MemberId, View>,
+    views: IndexMap<ids::MemberId, PeerView>,
 }
 
 impl PeerViews {
-    /// Takes a summary over, its use into `shares`.
+    /// Stores a summary, and its use in `shares`.
     pub fn apply(
         &mut self,
         from: &ids::MemberId,
@@ -141,11 +144,14 @@
         } else {
             shares.update_peer(from, usage);
         }
-        let view = View { summary, at: now };
+        let view = PeerView {
+            summary,
+            received_at: now,
+        };
         self.views.insert(from.clone(), view);
     }
 
-    /// Forgets a peer that is gone.
+    /// Removes a peer that is gone.
     pub fn remove(&mut self, peer: &ids::MemberId, shares: &mut shares::Shares) {
         self.views.swap_remove(peer);
         shares.remove_peer(peer);
@@ -156,33 +162,34 @@
         self.views.get(peer).map(|view| &view.summary)
     }
 
-    /// A peer that has room for a task: of two drawn by chance among those
-    /// with a hole, the one with the larger share free.
+    /// A peer that has resources for a task: of two chosen at random among the
+    /// peers with a large enough hole, the one with the larger free share.
     pub fn pick(
         &self,
         size: &sizes::Resources,
         now: time::Instant,
         rng: &mut impl rand::Rng,
     ) -> Option<&ids::MemberId> {
-        let fresh = |view: &View| now.saturating_duration_since(view.at) <= MAX_AGE;
-        let roomy: Vec<_> = self
+        let fresh = |view: &PeerView| now.saturating_duration_since(view.received_at) <= MAX_AGE;
+        let candidates: Vec<_> = self
             .views
             .iter()
             .filter(|(_, view)| fresh(view) && view.summary.has_hole(size))
             .collect();
-        if roomy.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         let (a, b) = (
-            roomy[rng.random_range(0..roomy.len())],
-            roomy[rng.random_range(0..roomy.len())],
+            candidates[rng.random_range(0..candidates.len())],
+            candidates[rng.random_range(0..candidates.len())],
         );
-        let share = |view: &View| view.summary.free.dominant_share(&view.summary.capacity);
+        let share = |view: &PeerView| view.summary.free.dominant_share(&view.summary.capacity);
         let better = if share(a.1) >= share(b.1) { a } else { b };
         Some(better.0)
     }
 
-    /// Takes over that a task was sent to a peer, until its next summary.
+    /// Subtracts a task that was sent to a peer from its free resources; the next
+    /// summary replaces them.
     pub fn charge(&mut self, peer: &ids::MemberId, size: &sizes::Resources) {
         if let Some(view) = self.views.get_mut(peer) {
             view.summary.free = view.summary.free.minus(size);
--- a/crates/figscale-core/src/job/placement/sync.rs
+++ b/crates/figscale-core/src/job/placement/sync.rs
@@ -1,4 +1,4 @@
-//! Takes a worker's report over into the cluster.
+//! Updates the cluster from a worker's report.
 
 use std::cmp;
 use std::time;
@@ -11,31 +11,34 @@
 use super::work;
 use super::worker;
 
-/// Steps by which use beyond a reservation is compared, for a whole worker.
+/// Number of steps per whole worker in which use beyond a reservation is compared.
 const EXCESS_STEPS: f64 = 16.0;
 
-/// What a report changed.
+/// Result of a report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SyncOutcome {
-    /// Tasks that ended, with the room that was released.
+    /// Tasks that ended, with the allocations that were released.
     pub ended: Vec<(protocol::TaskPhase, work::Holding)>,
-    /// Running tasks that were not known here and now have room.
+    /// Running tasks that were not known here and got an allocation.
     pub adopted: Vec<ids::TaskId>,
-    /// Running tasks that have room on another worker.
+    /// Running tasks whose allocation is on another worker.
     pub elsewhere: Vec<ids::TaskId>,
-    /// Tasks with room here, given before the report was asked for, that the
-    /// worker does not know. Their room is kept until it is released.
+    /// Tasks allocated to the worker before the report was requested that the
+    /// worker does not know. Their allocations stay until the caller releases
+    /// them.
     pub missing: Vec<ids::TaskId>,
-    /// What to do so that neighbours do not suffer, when use exceeds capacity.
+    /// What to do to tasks when the use exceeds the capacity of the worker, to
+    /// protect the other tasks on it.
     pub relief: Vec<(ids::TaskId, protocol::TaskAction)>,
 }
 
 impl cluster::Cluster {
-    /// Takes over what a worker reports; `asked_at` is when it was asked.
+    /// Applies a report that a worker was asked for at `asked_at`.
     ///
-    /// Tasks that run there but are not known here get room, even beyond the
-    /// worker's capacity, since they run already; until it is clear what they
-    /// are they are protected. The room of ended tasks is released.
+    /// Tasks that run on the worker but are not known here get an allocation, even
+    /// beyond the worker's capacity, since they run already. They are not
+    /// interrupted until [`cluster::Cluster::describe`] says what they are. The
+    /// allocations of ended tasks are released.
     pub fn sync(
         &mut self,
         report: &protocol::WorkerReport,
@@ -43,20 +46,21 @@
         now: time::Instant,
     ) -> SyncOutcome {
         let mut outcome = SyncOutcome::default();
-        if !self.take_state(report) {
+        if !self.apply_worker_state(report) {
             return outcome;
         }
         for task in &report.tasks {
-            self.take_task(&report.worker, task, now, &mut outcome);
+            self.apply_task_report(&report.worker, task, now, &mut outcome);
         }
         self.find_missing(report, asked_at, &mut outcome);
-        self.find_relief(&report.worker, &mut outcome);
+        self.find_overload_actions(&report.worker, &mut outcome);
         outcome
     }
 
-    /// Tells what an adopted task is; its room stays what it was.
+    /// Sets the description of an adopted task; the size of its allocation stays.
+    /// Returns whether the task has an allocation.
     pub fn describe(&mut self, ask: work::Ask) -> bool {
-        let Some(holding) = self.holdings.get_mut(&ask.task) else {
+        let Some(holding) = self.allocations.get_mut(&ask.task) else {
             return false;
         };
         let counted = holding.counted();
@@ -69,21 +73,21 @@
         true
     }
 
-    fn take_state(&mut self, report: &protocol::WorkerReport) -> bool {
+    fn apply_worker_state(&mut self, report: &protocol::WorkerReport) -> bool {
         let Some(worker) = self.workers.get_mut(&report.worker) else {
             return false;
         };
         self.capacity = self.capacity.minus(&worker.capacity).plus(&report.capacity);
         worker.capacity = report.capacity;
         worker.leaving |= report.leaving;
-        // A worker that refused this holder for its epoch is another's.
+        // A worker that refused the epoch of this holder belongs to another.
         if !report.stale {
             worker.readiness = worker::Readiness::Ready;
         }
         true
     }
 
-    fn take_task(
+    fn apply_task_report(
         &mut self,
         id: &ids::InstanceId,
         task: &protocol::TaskReport,
@@ -91,7 +95,7 @@
         outcome: &mut SyncOutcome,
     ) {
         let running = task.phase == protocol::TaskPhase::Running;
-        match self.holdings.get(&task.task) {
+        match self.allocations.get(&task.task) {
             None if running => {
                 self.insert(adopted(id, task, now));
                 outcome.adopted.push(task.task.clone());
@@ -122,7 +126,10 @@
         };
         let reported: indexmap::IndexSet<_> = report.tasks.iter().map(|t| &t.task).collect();
         let unknown = |task: &&ids::TaskId| {
-            let older = self.holdings.get(*task).is_some_and(|h| h.since < asked_at);
+            let older = self
+                .allocations
+                .get(*task)
+                .is_some_and(|h| h.since < asked_at);
             older && !reported.contains(task)
         };
         outcome
@@ -130,37 +137,37 @@
             .extend(worker.tasks.iter().filter(unknown).cloned());
     }
 
-    /// Picks what to do to tasks that use more than was reserved for them, as
-    /// long as the worker is asked for more than it holds.
-    fn find_relief(&self, id: &ids::InstanceId, outcome: &mut SyncOutcome) {
+    /// Chooses actions for tasks that use more than was reserved for them, until
+    /// the use no longer exceeds the worker's capacity.
+    fn find_overload_actions(&self, id: &ids::InstanceId, outcome: &mut SyncOutcome) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
         let mut used = sizes::Resources::default();
         let mut over: Vec<&work::Holding> = Vec::new();
-        for holding in worker.tasks.iter().filter_map(|t| self.holdings.get(t)) {
+        for holding in worker.tasks.iter().filter_map(|t| self.allocations.get(t)) {
             used = used.plus(&holding.used);
             if !holding.ask.size.holds(&holding.used) {
                 over.push(holding);
             }
         }
-        // The worst first: the fewest tasks are touched. Of those that are about
-        // as bad the newest first, or tasks that are alike are all stopped in
-        // turn and none ever comes to its end.
+        // Tasks with the largest excess first, so that the fewest are affected.
+        // Among about equal ones the newest first: otherwise tasks that are
+        // alike would all be stopped in turn and none would ever finish.
         over.sort_by_key(|holding| (cmp::Reverse(excess(holding, worker)), holding.ran_ms));
         for holding in over {
             if worker.capacity.holds(&used) {
                 return;
             }
             let action = relief(holding);
-            let kept = match action {
+            let remaining = match action {
                 protocol::TaskAction::Throttle => sizes::Resources {
                     cpu_millis: holding.ask.size.cpu_millis.min(holding.used.cpu_millis),
                     ..holding.used
                 },
                 _ => sizes::Resources::default(),
             };
-            used = used.minus(&holding.used).plus(&kept);
+            used = used.minus(&holding.used).plus(&remaining);
             outcome.relief.push((holding.ask.task.clone(), action));
         }
     }
@@ -176,17 +183,18 @@
         expires: None,
         ran_ms: task.ran_ms,
         ending: false,
-        gang_try: None,
+        gang_round: None,
     }
 }
 
-/// Use beyond the reservation, in steps of a share of the worker.
+/// Use beyond the reservation, in units of `1 / EXCESS_STEPS` of the worker.
 fn excess(holding: &work::Holding, worker: &worker::Worker) -> u32 {
     let over = holding.used.minus(&holding.ask.size);
     (over.dominant_share(&worker.capacity) * EXCESS_STEPS) as u32
 }
 
-/// Memory cannot be taken back from a running task; processor time can.
+/// Throttling can reduce the processor time of a running task, but not its
+/// memory.
 fn relief(holding: &work::Holding) -> protocol::TaskAction {
     let over_memory = holding.used.memory_bytes > holding.ask.size.memory_bytes;
     match (over_memory, holding.ask.guard.checkpointable) {
--- a/crates/figscale-core/src/job/placement/work.rs
+++ b/crates/figscale-core/src/job/placement/work.rs
@@ -1,4 +1,4 @@
-//! What wants a place, and what has one.
+//! Requests for placement, and the allocations that result from them.
 
 use std::time;
 
@@ -8,24 +8,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What may be done to a task while it runs.
+/// How a running task may be interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guard {
-    /// Whether it may run again after an unknown end.
+    /// Whether it may be run again when it is unknown how it ended.
     pub idempotent: bool,
-    /// Whether it can save its state and go on elsewhere.
+    /// Whether it can save its state and resume on another worker.
     pub checkpointable: bool,
-    /// Whether its entry lets it be stopped for more urgent work.
+    /// Whether its entry in the catalogue allows it to be stopped for more
+    /// urgent work.
     pub preemptible: bool,
 }
 
 impl Guard {
-    /// Whether a worker may be probed with such a task.
+    /// Whether such a task may be used to test an ejected worker.
     pub(super) fn may_probe(self, class: catalogue::JobClass) -> bool {
         self.idempotent && class == catalogue::JobClass::Batch
     }
 
-    /// For a task of which nothing is known: it is left alone.
+    /// For a task of which nothing is known: it is never interrupted.
     pub const PROTECTED: Self = Self {
         idempotent: false,
         checkpointable: false,
@@ -35,42 +36,44 @@
     /// Whether the task may be ended for more urgent work.
     ///
     /// Work that may not run twice and cannot save its state is never ended,
-    /// whatever its entry says.
+    /// even if its entry allows preemption.
     pub fn may_be_preempted(self) -> bool {
         self.preemptible && (self.idempotent || self.checkpointable)
     }
 }
 
-/// A task that wants a place.
+/// A request to place a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
     /// The task.
     pub task: ids::TaskId,
-    /// Attempt, from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Owner charged for it; `None` until it is known.
+    /// Owner whose quota and share it counts towards; `None` until it is known.
     pub owner: Option<ids::OwnerName>,
-    /// How the tasks of its job belong together.
+    /// Class of its job: whether its tasks are independent, start together or
+    /// form a service.
     pub class: catalogue::JobClass,
-    /// Urgency.
+    /// Urgency of its job.
     pub urgency: catalogue::Urgency,
-    /// Room to reserve: the larger of declared and learned.
+    /// Resources to reserve: the larger of the declared and the learned size.
     pub size: sizes::Resources,
-    /// Size as declared.
+    /// Size declared by the job.
     pub declared: sizes::Resources,
-    /// What may be done to it once it runs.
+    /// How it may be interrupted once it runs.
     pub guard: Guard,
     /// Workers on which it failed before.
     pub avoid: Vec<ids::InstanceId>,
 }
 
 impl Ask {
-    /// Whether a worker may be probed with it: it may fail and run again.
+    /// Whether it may be used to test an ejected worker: it may fail and be run
+    /// again.
     pub fn may_probe(&self) -> bool {
         self.guard.may_probe(self.class)
     }
 
-    /// A task found running of which only its room is known.
+    /// A task found running of which only the reserved resources are known.
     pub fn unknown(task: ids::TaskId, attempt: u32, reserved: sizes::Resources) -> Self {
         Self {
             task,
@@ -86,37 +89,39 @@
     }
 }
 
-/// Room that a task has on a worker.
+/// Resources allocated to a task on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holding {
-    /// What was asked for.
+    /// The request that was granted.
     pub ask: Ask,
     /// The worker.
     pub worker: ids::InstanceId,
-    /// What the task was last seen to use.
+    /// Use in the last report.
     pub used: sizes::Resources,
-    /// Largest use seen, with a lag.
+    /// Largest use in any report; reports lag behind the use.
     pub peak: sizes::Resources,
-    /// When the room was given.
+    /// When the resources were allocated.
     pub since: time::Instant,
-    /// When the room is taken back unless the task is confirmed.
+    /// When the resources are released unless the task is confirmed before;
+    /// `None`: never.
     pub expires: Option<time::Instant>,
     /// Time since the task's start, as last reported.
     pub ran_ms: u64,
-    /// Whether it was asked to end.
+    /// Whether the task was told to end.
     pub ending: bool,
-    /// The try of its gang that the room belongs to.
-    pub gang_try: Option<TryNumber>,
+    /// The reservation round of its gang that made the allocation.
+    pub gang_round: Option<RoundNumber>,
 }
 
 impl Holding {
-    /// What is counted against the worker: the larger of reserved and used.
+    /// What it counts for in the sums of the worker, the owner and the cluster:
+    /// the larger of reserved and used resources.
     pub fn counted(&self) -> sizes::Resources {
         self.ask.size.larger(&self.used)
     }
 }
 
-/// Number of a try to find room for a gang. A later try has a higher one, also
-/// after the gang's home has moved.
+/// Number of a round of reservations for a gang. A later round has a higher
+/// number, also after the gang's home has moved to another entry instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct TryNumber(pub u64);
+pub struct RoundNumber(pub u64);
--- a/crates/figscale-core/src/job/placement/worker.rs
+++ b/crates/figscale-core/src/job/placement/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as its holder sees it.
+//! A worker, as known to the entry instance that holds its shard.
 
 use figscale_types::catalogue;
 use figscale_types::ids;
@@ -7,25 +7,26 @@
 
 use super::work;
 
-/// Whether the tasks that a worker runs are known.
+/// Whether it is known which tasks a worker runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It may run tasks of an earlier holder; it gets nothing until it reports.
+    /// It may run tasks of an earlier holder of its shard. It gets no new work
+    /// until it reports.
     Unreported,
     /// Everything that it runs is known.
     Ready,
 }
 
-/// Whether a worker is trusted with work.
+/// Ejection state of a worker: whether its failures exclude it from new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
-    /// It gets work.
+    /// It gets new work.
     #[default]
     InUse,
-    /// It failed what it started; it gets one task that may run again.
+    /// It was ejected and is tested with one task that may be run again.
     Probing,
-    /// It failed what it started and gets nothing.
-    SetAside,
+    /// Too many of its tasks failed; it gets no new work.
+    Ejected,
 }
 
 /// A worker of a shard that this entry instance holds.
@@ -33,84 +34,85 @@
 pub struct Worker {
     pub(super) id: ids::InstanceId,
     pub(super) shard: ids::ShardId,
-    /// Position among the cluster's failure domains.
+    /// Index into the cluster's failure domains.
     pub(super) domain: usize,
-    /// Position among the cluster's racks.
+    /// Index into the cluster's racks.
     pub(super) rack: usize,
     pub(super) capacity: sizes::Resources,
-    /// Sum of what its holdings count for.
+    /// Sum of [`work::Holding::counted`] over its tasks.
     pub(super) counted: sizes::Resources,
     pub(super) readiness: Readiness,
     pub(super) leaving: bool,
     pub(super) standing: Standing,
-    /// Urgency of the work that its room is kept for within one pass.
-    pub(super) held: Option<catalogue::Urgency>,
+    /// Urgency of the work that it is reserved for until the current pass ends.
+    pub(super) reserved_for: Option<catalogue::Urgency>,
     pub(super) tasks: IndexSet<ids::TaskId>,
 }
 
 impl Worker {
-    /// Name.
+    /// Id of the worker.
     pub fn id(&self) -> &ids::InstanceId {
         &self.id
     }
 
-    /// Shard that it belongs to.
+    /// Shard that the worker belongs to.
     pub fn shard(&self) -> &ids::ShardId {
         &self.shard
     }
 
-    /// What it holds.
+    /// Its total resources.
     pub fn capacity(&self) -> sizes::Resources {
         self.capacity
     }
 
-    /// Sum over its tasks of the larger of reserved and used.
+    /// Sum over its tasks of the larger of reserved and used resources.
     pub fn counted(&self) -> sizes::Resources {
         self.counted
     }
 
-    /// What may still be given away, whether or not it gets new work.
+    /// Resources that are not allocated, whether or not the worker gets new work.
     pub fn free(&self) -> sizes::Resources {
         self.capacity.minus(&self.counted)
     }
 
-    /// Tasks that have room on it.
+    /// Tasks that have resources allocated on it.
     pub fn tasks(&self) -> impl Iterator<Item = &ids::TaskId> {
         self.tasks.iter()
     }
 
-    /// Whether it gets new work, of whatever kind.
+    /// Whether it gets new work of any kind.
     pub fn takes_work(&self) -> bool {
-        self.readiness == Readiness::Ready && !self.leaving && !self.is_set_aside()
+        self.readiness == Readiness::Ready && !self.leaving && !self.is_ejected()
     }
 
-    /// Whether it gets this task, if it has room for it.
+    /// Whether it may get this task, not considering its free resources.
     ///
-    /// While it is probed it gets one task at a time, of a kind that may fail.
+    /// While it is probed it gets one task at a time, and only a task that may
+    /// be run again.
     pub fn admits(&self, ask: &work::Ask) -> bool {
         let trusted = match self.standing {
             Standing::InUse => true,
             Standing::Probing => ask.may_probe() && self.tasks.is_empty(),
-            Standing::SetAside => false,
+            Standing::Ejected => false,
         };
         trusted && self.takes_work()
     }
 
-    /// Whether its room is kept from this task. Interactive work passes over
-    /// what is kept for other work.
-    pub(super) fn is_held_from(&self, ask: &work::Ask) -> bool {
+    /// Whether a reservation of the current pass excludes this task.
+    /// Interactive work may use what is reserved for other work.
+    pub(super) fn is_reserved_against(&self, ask: &work::Ask) -> bool {
         let interactive = catalogue::Urgency::Interactive;
-        self.held
-            .is_some_and(|held| held == interactive || ask.urgency != interactive)
+        self.reserved_for
+            .is_some_and(|reserved_for| reserved_for == interactive || ask.urgency != interactive)
     }
 
-    /// Whether it is leaving.
+    /// Whether it is leaving and gets no new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether it was set aside because it fails what it starts.
-    pub fn is_set_aside(&self) -> bool {
-        self.standing == Standing::SetAside
+    /// Whether it was ejected because too many of its tasks failed.
+    pub fn is_ejected(&self) -> bool {
+        self.standing == Standing::Ejected
     }
 }
--- a/crates/figscale-core/tests/placement/faults.rs
+++ b/crates/figscale-core/tests/placement/faults.rs
@@ -1,4 +1,4 @@
-//! The worker's fault is told from the job's fault.
+//! Failures are attributed to the worker or to the job.
 
 use std::time;
 
@@ -11,15 +11,15 @@
 #[derive(serde::Deserialize)]
 struct Case {
     name: String,
-    /// What happens, and what follows from it.
+    /// Each event, and the expected consequence.
     steps: Vec<(String, String)>,
 }
 
-fn told(blame: &fault::Blame) -> String {
+fn describe_blame(blame: &fault::Blame) -> String {
     let word = |standing: &placement::Standing| match standing {
         placement::Standing::InUse => "use",
         placement::Standing::Probing => "probe",
-        placement::Standing::SetAside => "aside",
+        placement::Standing::Ejected => "aside",
     };
     let workers = blame.workers.iter();
     let mut words: Vec<_> = workers.map(|(id, s)| format!("{id} {}", word(s))).collect();
@@ -44,14 +44,14 @@
     }
     let task = words[1].parse().expect("a task");
     let worker = words[2].parse().expect("a worker");
-    told(&match words[0] {
+    describe_blame(&match words[0] {
         "fail" => faults.failed(&task, &worker, *now),
         _ => faults.succeeded(&task, &worker, *now),
     })
 }
 
 #[test]
-fn cases() {
+fn failures_are_attributed_to_the_worker_or_the_job() {
     let text = include_str!("../data/placement/faults.json");
     let cases: Vec<Case> = serde_json::from_str(text).expect("legal cases");
     let start = time::Instant::now();
@@ -60,20 +60,20 @@
         faults.set_total_workers(9);
         let mut now = start;
         for (number, (step, expected)) in case.steps.iter().enumerate() {
-            let told = run(&mut faults, step, start, &mut now);
-            assert_eq!(&told, expected, "{}: step {number}: {step}", case.name);
+            let actual = run(&mut faults, step, start, &mut now);
+            assert_eq!(&actual, expected, "{}: step {number}: {step}", case.name);
         }
     }
 }
 
 #[test]
-fn a_probed_worker_gets_one_harmless_task() {
+fn a_probed_worker_gets_one_task_that_may_run_again() {
     let now = time::Instant::now();
     let mut cluster = kit::cluster(1);
     let id = kit::worker_id(0);
     let size = kit::size(1_000, 1, 0);
     let ask = |index| kit::ask("job", index, size, catalogue::Urgency::Interactive);
-    cluster.set_standing(&id, placement::Standing::SetAside);
+    cluster.set_standing(&id, placement::Standing::Ejected);
     assert!(cluster.place(&ask(0), now, None).is_err());
     cluster.set_standing(&id, placement::Standing::Probing);
     let mut once = ask(1);
--- a/crates/figscale-core/tests/placement/feasible.rs
+++ b/crates/figscale-core/tests/placement/feasible.rs
@@ -1,4 +1,5 @@
-//! What can never run is told at submission, with the reason by resource.
+//! Jobs that can never run are refused at submission, with the resource that is
+//! missing.
 
 use figscale_core::job::placement::feasibility;
 use figscale_types::catalogue;
@@ -19,7 +20,8 @@
     reason: Option<String>,
 }
 
-/// Four plain workers, and two small ones with accelerators.
+/// Four workers without accelerators, two smaller ones with accelerators, and a
+/// large one that is leaving and must not count.
 fn cell() -> feasibility::CellShape {
     let mut list = instances::InstanceList::default();
     for number in 0..6 {
@@ -38,7 +40,7 @@
 }
 
 #[test]
-fn cases() {
+fn jobs_that_can_never_run_are_refused_with_the_reason() {
     let text = include_str!("../data/placement/feasibility.json");
     let cases: Vec<Case> = serde_json::from_str(text).expect("legal cases");
     let cell = cell();
--- a/crates/figscale-core/tests/placement/gangs.rs
+++ b/crates/figscale-core/tests/placement/gangs.rs
@@ -1,4 +1,5 @@
-//! A gang over several holders: all or none, no deadlock, nothing left idle.
+//! Gangs over several holders: reservations on all or none, no deadlock, and nothing
+//! stays reserved.
 
 use std::time;
 
@@ -19,15 +20,16 @@
     format!("entry-{number}").parse().expect("legal")
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 enum Message {
     ToHolder(usize, gang::Output),
     ToHome(usize, gang::Input),
 }
 
-/// Holders, homes of gangs, and messages between them in any order.
-struct Net {
+/// Simulated holders, homes of gangs, and the messages in flight between them,
+/// which are delivered in random order.
+struct Network {
     config: gang::GangConfig,
     now: time::Instant,
     holders: IndexMap<ids::MemberId, placement::Cluster>,
@@ -41,12 +43,12 @@
     rng: StdRng,
 }
 
-impl Net {
-    /// Holders with these numbers of workers, two tasks to a worker.
+impl Network {
+    /// Holders with these numbers of workers, each with resources for two tasks.
     fn new(workers: &[u32], gangs: &[u32], seed: u64) -> Self {
         let holders = workers.iter().enumerate();
         let now = time::Instant::now();
-        let mut net = Self {
+        let mut network = Self {
             config: gang::GangConfig::default(),
             now,
             holders: holders
@@ -62,18 +64,18 @@
             rng: StdRng::seed_from_u64(seed),
         };
         for home in 0..gangs.len() {
-            let (gang, outputs) = net.begin(home);
-            net.homes.push(gang);
-            net.send(home, outputs);
+            let (gang, outputs) = network.begin(home);
+            network.homes.push(gang);
+            network.send(home, outputs);
         }
-        net
+        network
     }
 
     fn begin(&mut self, home: usize) -> (gang::Gang, Vec<gang::Output>) {
         self.tries += 1;
         let tasks = (0..self.sizes[home]).collect();
         let holders = self.holders.keys().rev().cloned().collect();
-        let number = placement::TryNumber(self.tries.into());
+        let number = placement::RoundNumber(self.tries.into());
         gang::Gang::start(self.config, number, tasks, holders, self.now, &mut self.rng)
     }
 
@@ -98,7 +100,7 @@
         ask
     }
 
-    /// Delivers or loses a message drawn by chance.
+    /// Delivers or loses a message chosen at random.
     fn deliver(&mut self, lost: bool) {
         let at = self.rng.random_range(0..self.messages.len());
         let message = self.messages.swap_remove(at);
@@ -118,23 +120,33 @@
         let (now, config) = (self.now, self.config);
         let task = |index: &u32| kit::task(&format!("gang-{home}"), *index);
         let input = match output {
-            gang::Output::Hold(request) => {
-                let asks: Vec<_> = request.tasks.iter().map(|t| Self::ask(home, *t)).collect();
-                let cluster = &mut self.holders[&request.to];
-                let held = cluster.hold_gang(&asks, request.number, now, now + config.hold);
-                gang::Input::Held(request.to, held)
+            gang::Output::Reserve(holder_request) => {
+                let asks: Vec<_> = holder_request
+                    .tasks
+                    .iter()
+                    .map(|t| Self::ask(home, *t))
+                    .collect();
+                let cluster = &mut self.holders[&holder_request.to];
+                let reserved = cluster.reserve_gang(
+                    &asks,
+                    holder_request.number,
+                    now,
+                    now + config.reservation_timeout,
+                );
+                gang::Input::Reserved(holder_request.to, reserved)
             }
-            gang::Output::Commit(request) => {
-                let tasks: Vec<_> = request.tasks.iter().map(task).collect();
-                let cluster = &mut self.holders[&request.to];
-                match cluster.commit_gang(&tasks, request.number, now + config.start) {
-                    true => gang::Input::Committed(request.to),
-                    false => gang::Input::Refused(request.to),
+            gang::Output::Commit(holder_request) => {
+                let tasks: Vec<_> = holder_request.tasks.iter().map(task).collect();
+                let cluster = &mut self.holders[&holder_request.to];
+                match cluster.commit_gang(&tasks, holder_request.number, now + config.start_timeout)
+                {
+                    true => gang::Input::Committed(holder_request.to),
+                    false => gang::Input::Refused(holder_request.to),
                 }
             }
-            gang::Output::Release(request) => {
-                let tasks: Vec<_> = request.tasks.iter().map(task).collect();
-                self.holders[&request.to].release_gang(&tasks, request.number);
+            gang::Output::Release(holder_request) => {
+                let tasks: Vec<_> = holder_request.tasks.iter().map(task).collect();
+                self.holders[&holder_request.to].release_gang(&tasks, holder_request.number);
                 return;
             }
             _ => return,
@@ -159,28 +171,29 @@
         }
     }
 
-    fn held(&self) -> usize {
-        self.holders.values().map(|c| c.holdings().len()).sum()
+    fn reserved(&self) -> usize {
+        self.holders.values().map(|c| c.allocations().len()).sum()
     }
 }
 
-/// Room for one gang of four, wanted by two: both go through, one by one.
+/// Two gangs of four compete for resources that suffice for one: both must run, one
+/// after the other.
 #[test]
-fn two_gangs_that_want_the_same_room_do_not_block_each_other() {
+fn two_gangs_that_compete_for_resources_do_not_deadlock() {
     for seed in 0..20 {
-        let mut net = Net::new(&[1, 1], &[4, 4], seed);
+        let mut network = Network::new(&[1, 1], &[4, 4], seed);
         let mut finished = 0;
         for _ in 0..2_000 {
-            match net.messages.is_empty() {
-                true => net.advance(time::Duration::from_millis(50)),
-                false => net.deliver(false),
+            match network.messages.is_empty() {
+                true => network.advance(time::Duration::from_millis(50)),
+                false => network.deliver(false),
             }
             for home in 0..2 {
-                if let Some(placed) = net.done[home].take() {
+                if let Some(placed) = network.done[home].take() {
                     assert_eq!(placed.len(), 4);
                     finished += 1;
                     for placed in placed {
-                        for cluster in net.holders.values_mut() {
+                        for cluster in network.holders.values_mut() {
                             cluster.release(&placed.task);
                         }
                     }
@@ -190,112 +203,116 @@
                 break;
             }
         }
-        assert_eq!(finished, 2, "seed {seed}, {} tries", net.tries);
+        assert_eq!(finished, 2, "seed {seed}, {} tries", network.tries);
     }
 }
 
 #[test]
-fn an_earlier_try_commits_nothing_of_a_later_one() {
+fn an_earlier_round_commits_nothing_of_a_later_one() {
     let now = time::Instant::now();
     let later = now + time::Duration::from_secs(2);
     let mut cluster = kit::cluster(1);
-    let asks = [Net::ask(0, 0), Net::ask(0, 1)];
+    let asks = [Network::ask(0, 0), Network::ask(0, 1)];
     let tasks = [asks[0].task.clone(), asks[1].task.clone()];
-    let (first, second) = (placement::TryNumber(1), placement::TryNumber(2));
-    assert_eq!(cluster.hold_gang(&asks, first, now, later).len(), 2);
-    assert_eq!(cluster.hold_gang(&asks, second, now, later).len(), 2);
-    assert_eq!(cluster.hold_gang(&asks, first, now, later).len(), 0);
+    let (first, second) = (placement::RoundNumber(1), placement::RoundNumber(2));
+    assert_eq!(cluster.reserve_gang(&asks, first, now, later).len(), 2);
+    assert_eq!(cluster.reserve_gang(&asks, second, now, later).len(), 2);
+    assert_eq!(cluster.reserve_gang(&asks, first, now, later).len(), 0);
     assert!(!cluster.commit_gang(&tasks, first, later));
     assert!(cluster.commit_gang(&tasks, second, later));
 }
 
 #[test]
-fn a_gang_without_room_leaves_nothing_held() {
-    let mut net = Net::new(&[1, 1], &[5], 1);
-    while !net.messages.is_empty() {
-        net.deliver(false);
+fn a_gang_that_does_not_fit_leaves_nothing_reserved() {
+    let mut network = Network::new(&[1, 1], &[5], 1);
+    while !network.messages.is_empty() {
+        network.deliver(false);
     }
-    assert_eq!(net.held(), 0);
-    assert!(net.retry_at[0].is_some());
+    assert_eq!(network.reserved(), 0);
+    assert!(network.retry_at[0].is_some());
 }
 
-/// A release of an earlier try arrives after the commit of a later one.
+/// A release of an earlier round arrives after the commit of a later one.
 #[test]
-fn a_late_release_takes_nothing_from_a_later_try() {
-    let mut net = Net::new(&[1, 1], &[4], 1);
+fn a_late_release_does_not_affect_a_later_round() {
+    let mut network = Network::new(&[1, 1], &[4], 1);
     let other = kit::ask(
         "other",
         0,
         kit::size(CPU, 1, 0),
         catalogue::Urgency::Deadline,
     );
-    let now = net.now;
-    net.holders[1].place(&other, now, None).expect("room");
+    let now = network.now;
+    network.holders[1]
+        .place(&other, now, None)
+        .expect("resources are free");
     let is_release = |m: &Message| matches!(m, Message::ToHolder(_, gang::Output::Release(..)));
     let mut late = Vec::new();
-    while !net.messages.is_empty() {
-        net.deliver(false);
-        let (held_up, rest) = net.messages.drain(..).partition(is_release);
-        net.messages = rest;
+    while !network.messages.is_empty() {
+        network.deliver(false);
+        let (held_up, rest) = network.messages.drain(..).partition(is_release);
+        network.messages = rest;
         late.extend::<Vec<_>>(held_up);
     }
     assert_eq!(late.len(), 2);
-    net.holders[1].release(&other.task);
-    while net.done[0].is_none() {
-        match net.messages.is_empty() {
-            true => net.advance(time::Duration::from_millis(100)),
-            false => net.deliver(false),
+    network.holders[1].release(&other.task);
+    while network.done[0].is_none() {
+        match network.messages.is_empty() {
+            true => network.advance(time::Duration::from_millis(100)),
+            false => network.deliver(false),
         }
     }
-    net.messages = late;
-    while !net.messages.is_empty() {
-        net.deliver(false);
+    network.messages = late;
+    while !network.messages.is_empty() {
+        network.deliver(false);
     }
-    assert_eq!(net.held(), 4);
+    assert_eq!(network.reserved(), 4);
 }
 
 proptest! {
     #![proptest_config(kit::proptest_config(2_000))]
 
-    /// Whatever is lost, late or reordered: what is done is whole and no room
-    /// is given twice; what is not done is free again after the expiry.
+    /// With lost, late and reordered messages: a gang that is done has
+    /// reservations for all its tasks, no worker exceeds its capacity, and
+    /// reservations of all other gangs end with their expiry.
     #[test]
     fn all_or_none_under_losses(
         seed in any::<u64>(),
         gangs in prop::collection::vec(1_u32..7, 1..4),
         steps in prop::collection::vec((0_u8..10, 0_u64..400), 1..120),
     ) {
-        let mut net = Net::new(&[1, 2, 1], &gangs, seed);
+        let mut network = Network::new(&[1, 2, 1], &gangs, seed);
         for (kind, ms) in steps {
-            match (kind, net.messages.is_empty()) {
-                (0, _) | (_, true) => net.advance(time::Duration::from_millis(ms)),
-                (1, false) => net.deliver(true),
-                (_, false) => net.deliver(false),
+            match (kind, network.messages.is_empty()) {
+                (0, _) | (_, true) => network.advance(time::Duration::from_millis(ms)),
+                (1, false) => network.deliver(true),
+                (_, false) => network.deliver(false),
             }
-            for cluster in net.holders.values() {
+            for cluster in network.holders.values() {
                 for worker in cluster.workers() {
                     prop_assert!(worker.capacity().holds(&worker.counted()));
                 }
             }
-            for (home, done) in net.done.iter().enumerate() {
+            for (home, done) in network.done.iter().enumerate() {
                 let Some(placed) = done else { continue };
                 prop_assert_eq!(placed.len(), gangs[home] as usize);
                 let tasks: std::collections::HashSet<_> = placed.iter().map(|p| &p.task).collect();
                 prop_assert_eq!(tasks.len(), placed.len());
-                // Committed room lasts until its expiry, whatever comes late.
-                if net.now < net.done_at[home] + net.config.start - net.config.patience {
-                    let has_room = |task| net.holders.values().any(|c| c.holding(task).is_some());
-                    prop_assert!(tasks.into_iter().all(has_room), "room lost after the commit");
+                // A committed reservation lasts until its expiry, whatever arrives
+                // late.
+                if network.now < network.done_at[home] + network.config.start_timeout - network.config.response_timeout {
+                    let is_reserved = |task| network.holders.values().any(|c| c.holding(task).is_some());
+                    prop_assert!(tasks.into_iter().all(is_reserved), "reservation lost after the commit");
                 }
             }
         }
-        // Everything stops: no message arrives any more, no gang tries again.
-        let idle = net.config.start + net.config.hold;
-        net.now += idle;
-        let now = net.now;
-        for cluster in net.holders.values_mut() {
+        // All homes stop: no further message arrives and no round starts.
+        let idle = network.config.start_timeout + network.config.reservation_timeout;
+        network.now += idle;
+        let now = network.now;
+        for cluster in network.holders.values_mut() {
             cluster.expire(now);
         }
-        prop_assert_eq!(net.held(), 0, "nothing unstarted outlives its expiry");
+        prop_assert_eq!(network.reserved(), 0, "reservations of tasks that never started must expire");
     }
 }
--- a/crates/figscale-core/tests/placement/kit.rs
+++ b/crates/figscale-core/tests/placement/kit.rs
@@ -1,4 +1,4 @@
-//! Small builders shared by the tests of placement.
+//! Test helpers: builders of workers, requests, reports and waiting work.
 
 use std::time;
 
@@ -9,7 +9,7 @@
 use figscale_types::sizes;
 use figscale_types::worker as protocol;
 
-/// Every fourth worker has accelerators.
+/// One worker in this number has accelerators.
 const ACCELERATED: u32 = 4;
 const DOMAINS: u32 = 4;
 const RACKS: u32 = 2;
@@ -30,7 +30,8 @@
     id.as_str()[2..].parse().expect("made by worker_id")
 }
 
-/// A worker of 64 cores and 128 GiB; domains take turns, then racks.
+/// A worker of 64 cores and 128 GiB. The rack alternates with the number, the
+/// failure domain changes with every fourth.
 pub(crate) fn instance(number: u32) -> instances::Instance {
     let accelerators = if number % ACCELERATED == ACCELERATED - 1 {
         4
@@ -159,7 +160,8 @@
     }
 }
 
-/// Cases with a fixed seed, so that every run is the same.
+/// The given number of cases with a fixed seed, so that every run tests the same
+/// ones.
 pub(crate) fn proptest_config(cases: u32) -> proptest::test_runner::Config {
     proptest::test_runner::Config {
         cases,
--- a/crates/figscale-core/tests/placement/learning.rs
+++ b/crates/figscale-core/tests/placement/learning.rs
@@ -1,4 +1,4 @@
-//! Sizes and run times learned from what was seen.
+//! Sizes and run times are learned from tasks that ended.
 
 use std::time;
 
@@ -12,17 +12,17 @@
     format!("entry-{number}").parse().expect("legal")
 }
 
-/// What is learned after these samples of processor use.
+/// The size learned from these samples of processor use.
 #[rstest]
 #[case::nothing(&[], 0)]
 #[case::too_few(&[40_000, 40_000], 0)]
-#[case::not_seen_does_not_count(&[0, 0, 0, 0], 0)]
+#[case::unobserved_use_does_not_count(&[0, 0, 0, 0], 0)]
 #[case::constant_use_is_learned_exactly(&[4_000; 3], 4_000)]
 #[case::ten_times_over_use(&[40_000; 3], 40_000)]
 #[case::one_outlier_in_forty([&[1_000; 39][..], &[50_000][..]].concat().leak(), 1_000)]
 #[case::tenth_of_the_tasks_is_large([1_000, 1_000, 1_000, 1_000, 9_000, 1_000, 1_000, 1_000, 1_000, 1_000].repeat(4).leak(), 9_000)]
 #[case::a_changed_program_is_learned_anew([&[60_000; 50][..], &[2_000; 150][..]].concat().leak(), 2_000)]
-fn processor_use(#[case] samples: &[u64], #[case] expected: u64) {
+fn processor_use_is_learned(#[case] samples: &[u64], #[case] expected: u64) {
     let mut learner = learn::Learner::new(learn::LearnConfig::default());
     for cpu in samples {
         let peak = kit::size(*cpu, 0, 0);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn run_times_are_learned_apart_by_owner() {
+fn run_times_are_learned_separately_by_owner() {
     let mut learner = learn::Learner::new(learn::LearnConfig::default());
     for (owner, run_s) in [("a", 10), ("b", 600)] {
         for _ in 0..5 {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn memory_is_bounded_and_the_oldest_pair_goes_first() {
+fn pairs_are_bounded_and_the_least_recently_sampled_is_removed() {
     let config = learn::LearnConfig {
         max_pairs: 10,
         ..learn::LearnConfig::default()
--- a/crates/figscale-core/tests/placement/main.rs
+++ b/crates/figscale-core/tests/placement/main.rs
@@ -1,4 +1,4 @@
-//! Placement: where tasks run.
+//! Tests of placement: on which workers tasks run.
 
 mod faults;
 mod feasible;
