--- a/crates/figscale-core/tests/placement/order.rs
+++ b/crates/figscale-core/tests/placement/order.rs
@@ -12,14 +12,14 @@
 
 const UNLIMITED: usize = usize::MAX;
 
-struct Bench {
+struct TestCell {
     cluster: placement::Cluster,
     queue: placement::Queue,
     shares: placement::Shares,
     now: time::Instant,
 }
 
-impl Bench {
+impl TestCell {
     fn new(workers: u32) -> Self {
         let cluster = kit::cluster(workers);
         let mut shares = placement::Shares::default();
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn urgent_then_due_then_deadline_then_the_rest() {
-    let mut bench = Bench::new(8);
-    let now = bench.now;
+fn work_is_placed_by_level_then_deadline() {
+    let mut cell = TestCell::new(8);
+    let now = cell.now;
     let mut add = |job: &str, urgency, deadline: Option<u64>, waited: u64| {
         let mut work = kit::work(job, "a", kit::size(1_000, 1, 0), urgency, now);
         work.deadline = deadline.map(|s| now + time::Duration::from_secs(s));
         work.queued_at = now - time::Duration::from_secs(waited);
-        bench.push(work, 1);
+        cell.push(work, 1);
     };
     add("rest", catalogue::Urgency::BestEffort, None, 0);
     add("aged", catalogue::Urgency::BestEffort, None, 700);
@@ -74,35 +74,37 @@
     let order = [
         "check", "due-1", "due-2", "near", "far", "aged", "late", "rest",
     ];
-    assert_eq!(bench.placed_jobs(UNLIMITED), order);
+    assert_eq!(cell.placed_jobs(UNLIMITED), order);
 }
 
 #[test]
-fn one_pick_in_eight_goes_to_work_that_waited_long() {
-    let mut bench = Bench::new(8);
-    let now = bench.now;
+fn one_placement_in_eight_goes_to_aged_work() {
+    let mut cell = TestCell::new(8);
+    let now = cell.now;
     let size = kit::size(1_000, 1, 0);
-    bench.push(
+    cell.push(
         kit::work("flood", "a", size, catalogue::Urgency::Interactive, now),
         100,
     );
     let mut old = kit::work("old", "b", size, catalogue::Urgency::BestEffort, now);
     old.queued_at = now - time::Duration::from_secs(601);
-    bench.push(old, 5);
-    let first = bench.placed_jobs(16);
+    cell.push(old, 5);
+    let first = cell.placed_jobs(16);
     assert_eq!(first.iter().filter(|job| *job == "old").count(), 2);
 }
 
-/// What aged work leaves to others, and a worker kept for it, must not shut
-/// out interactive work behind it, nor the probe of a worker.
+/// Some work must leave resources for accelerators, may not test an ejected worker,
+/// or may not use a worker reserved for other work. If it does not fit for one of
+/// these reasons, work of the same size without the restriction must still be
+/// tried.
 #[test]
-fn no_room_for_one_says_nothing_of_what_is_freer_to_choose() {
-    let mut bench = Bench::new(4);
-    bench.queue = placement::Queue::new(placement::QueueConfig {
+fn work_that_does_not_fit_does_not_exclude_less_restricted_work() {
+    let mut cell = TestCell::new(4);
+    cell.queue = placement::Queue::new(placement::QueueConfig {
         aged_every: 1,
         ..placement::QueueConfig::default()
     });
-    let now = bench.now;
+    let now = cell.now;
     for index in 0..3 {
         let fill = kit::ask(
             "fill",
@@ -110,13 +112,15 @@
             kit::size(64_000, 1, 0),
             catalogue::Urgency::Deadline,
         );
-        bench.cluster.place(&fill, now, None).expect("room");
+        cell.cluster
+            .place(&fill, now, None)
+            .expect("resources are free");
     }
     let mut add = |job: &str, size, urgency, idempotent| {
         let mut work = kit::work(job, "a", size, urgency, now);
         work.guard.idempotent = idempotent;
         work.queued_at = now - time::Duration::from_secs(700);
-        bench.push(work, 1);
+        cell.push(work, 1);
     };
     let best_effort = catalogue::Urgency::BestEffort;
     add("accelerated", kit::size(64_000, 1, 5), best_effort, true);
@@ -127,22 +131,21 @@
         catalogue::Urgency::Interactive,
         true,
     );
-    assert_eq!(bench.placed_jobs(UNLIMITED), ["check"]);
+    assert_eq!(cell.placed_jobs(UNLIMITED), ["check"]);
 
-    let mut bench = Bench::new(1);
-    bench
-        .cluster
+    let mut cell = TestCell::new(1);
+    cell.cluster
         .set_standing(&kit::worker_id(0), placement::Standing::Probing);
     for (job, idempotent) in [("once", false), ("again", true)] {
         let size = kit::size(1_000, 1, 0);
         let mut work = kit::work(job, "a", size, best_effort, now);
         work.guard.idempotent = idempotent;
-        bench.push(work, 1);
+        cell.push(work, 1);
     }
-    assert_eq!(bench.placed_jobs(UNLIMITED), ["again"]);
+    assert_eq!(cell.placed_jobs(UNLIMITED), ["again"]);
 
-    let mut bench = Bench::new(2);
-    bench.queue = placement::Queue::new(placement::QueueConfig {
+    let mut cell = TestCell::new(2);
+    cell.queue = placement::Queue::new(placement::QueueConfig {
         aged_every: 1,
         ..placement::QueueConfig::default()
     });
@@ -153,65 +156,68 @@
             kit::size(cpu, 1, 0),
             catalogue::Urgency::Deadline,
         );
-        bench.cluster.place(&fill, now, None).expect("room");
+        cell.cluster
+            .place(&fill, now, None)
+            .expect("resources are free");
     }
     for (job, cpu, waited_s) in [("large", 64_000, 900), ("small", 1_000, 800)] {
-        // Too late for its deadline, it ranks with work that waited long.
+        // It has missed its deadline and ranks with aged work.
         let urgency = catalogue::Urgency::Deadline;
         let mut work = kit::work(job, "a", kit::size(cpu, 1, 0), urgency, now);
         work.queued_at = now - time::Duration::from_secs(waited_s);
         work.deadline = Some(now);
-        bench.push(work, 1);
+        cell.push(work, 1);
     }
     let size = kit::size(1_000, 1, 0);
-    bench.push(
+    cell.push(
         kit::work("check", "a", size, catalogue::Urgency::Interactive, now),
         1,
     );
-    assert_eq!(bench.placed_jobs(UNLIMITED), ["check"]);
+    assert_eq!(cell.placed_jobs(UNLIMITED), ["check"]);
 }
 
-/// A home offers in the same order, within quotas, and charges at once.
+/// A home offers tasks in the order of a pass and within quotas, and charges each
+/// accepted task at once.
 #[test]
 fn a_home_offers_in_order_and_charges_at_once() {
-    let mut bench = Bench::new(4);
-    let mut text = catalogue::Catalogue::default();
+    let mut cell = TestCell::new(4);
+    let mut new_catalogue = catalogue::Catalogue::default();
     let owner = catalogue::Owner {
         weight: 1,
         rate_per_s: None,
         concurrency: None,
         quota: Some(kit::size(3_000, 100, 0)),
     };
-    text.owners.insert(kit::owner("a"), owner);
-    bench.shares.set_catalogue(&text);
-    let now = bench.now;
+    new_catalogue.owners.insert(kit::owner("a"), owner);
+    cell.shares.set_catalogue(&new_catalogue);
+    let now = cell.now;
     let size = kit::size(1_000, 1, 0);
     let large = kit::size(9_000, 1, 0);
-    bench.push(
+    cell.push(
         kit::work("rest-a", "a", size, catalogue::Urgency::BestEffort, now),
         2,
     );
-    bench.push(
+    cell.push(
         kit::work("rest-b", "b", size, catalogue::Urgency::BestEffort, now),
         2,
     );
-    bench.push(
+    cell.push(
         kit::work("large-b", "b", large, catalogue::Urgency::Deadline, now),
         5,
     );
-    bench.push(
+    cell.push(
         kit::work("check-a", "a", size, catalogue::Urgency::Interactive, now),
         2,
     );
     let placer: ids::MemberId = "entry-1".parse().expect("legal");
     let mut offered = Vec::new();
-    let taken = bench
+    let taken = cell
         .queue
-        .offer(&mut bench.shares, now, UNLIMITED, |work, task| {
+        .offer(&mut cell.shares, now, UNLIMITED, |work, task| {
             offered.push(format!("{}:{}", work.job, task.index));
             match work.size == large {
-                true => placement::Offer::NoRoom,
-                false => placement::Offer::Taken(placer.clone()),
+                true => placement::Offer::NoCapacity,
+                false => placement::Offer::Accepted(placer.clone()),
             }
         });
     let order = [
@@ -223,13 +229,13 @@
         "rest-a:0",
     ];
     assert_eq!(offered, order);
-    assert_eq!((taken, bench.queue.len()), (5, 6));
+    assert_eq!((taken, cell.queue.len()), (5, 6));
 }
 
 #[test]
 fn owners_share_by_dominant_resource_and_weight() {
-    let mut bench = Bench::new(4);
-    let mut text = catalogue::Catalogue::default();
+    let mut cell = TestCell::new(4);
+    let mut new_catalogue = catalogue::Catalogue::default();
     for (name, weight) in [("cpu", 1), ("mem", 1), ("double", 2)] {
         let owner = catalogue::Owner {
             weight,
@@ -237,10 +243,10 @@
             concurrency: None,
             quota: None,
         };
-        text.owners.insert(kit::owner(name), owner);
+        new_catalogue.owners.insert(kit::owner(name), owner);
     }
-    bench.shares.set_catalogue(&text);
-    let now = bench.now;
+    cell.shares.set_catalogue(&new_catalogue);
+    let now = cell.now;
     let wants = [
         ("cpu", kit::size(2_000, 1, 0)),
         ("mem", kit::size(500, 4, 0)),
@@ -248,54 +254,49 @@
     ];
     for (owner, size) in wants {
         let work = kit::work(owner, owner, size, catalogue::Urgency::BestEffort, now);
-        bench.push(work, 1_000);
+        cell.push(work, 1_000);
     }
-    bench.pass(UNLIMITED);
+    cell.pass(UNLIMITED);
     let none = sizes::Resources::default();
-    let share = |owner| {
-        bench
-            .shares
-            .share(&kit::owner(owner), &bench.cluster, &none)
-    };
+    let share = |owner| cell.shares.share(&kit::owner(owner), &cell.cluster, &none);
     let (cpu, mem, double) = (share("cpu"), share("mem"), share("double"));
     assert!((cpu - mem).abs() < 0.02, "{cpu} {mem}");
     assert!((cpu - double).abs() < 0.02, "{cpu} {double}");
 }
 
-/// When all that waits has waited long, an owner with a large backlog must not
-/// go first only because its work is older.
+/// When all waiting work is aged, an owner with a large backlog must not be placed
+/// first only because its work is older.
 #[test]
-fn owners_take_turns_with_work_that_waited_long() {
-    let mut bench = Bench::new(1);
-    let now = bench.now;
+fn owners_take_turns_with_aged_work() {
+    let mut cell = TestCell::new(1);
+    let now = cell.now;
     let size = kit::size(1_000, 1, 0);
     for (owner, waited_s) in [("heavy", 2_000), ("light", 1_000)] {
         let mut work = kit::work(owner, owner, size, catalogue::Urgency::BestEffort, now);
         work.queued_at = now - time::Duration::from_secs(waited_s);
-        bench.push(work, 100);
+        cell.push(work, 100);
     }
-    let placed = bench.placed_jobs(20);
+    let placed = cell.placed_jobs(20);
     assert_eq!(placed.iter().filter(|job| *job == "light").count(), 10);
 }
 
 #[test]
 fn quota_counts_use_at_peers() {
-    let mut bench = Bench::new(4);
-    let mut text = catalogue::Catalogue::default();
+    let mut cell = TestCell::new(4);
+    let mut new_catalogue = catalogue::Catalogue::default();
     let owner = catalogue::Owner {
         weight: 1,
         rate_per_s: None,
         concurrency: None,
         quota: Some(kit::size(10_000, 100, 0)),
     };
-    text.owners.insert(kit::owner("a"), owner);
-    bench.shares.set_catalogue(&text);
+    new_catalogue.owners.insert(kit::owner("a"), owner);
+    cell.shares.set_catalogue(&new_catalogue);
     let peer: ids::MemberId = "entry-2".parse().expect("legal");
     let used = [(kit::owner("a"), kit::size(7_000, 1, 0))];
-    bench
-        .shares
+    cell.shares
         .set_peer(peer.clone(), used.into_iter().collect());
-    let now = bench.now;
+    let now = cell.now;
     let work = kit::work(
         "job",
         "a",
@@ -303,43 +304,43 @@
         catalogue::Urgency::Interactive,
         now,
     );
-    bench.push(work, 10);
-    assert_eq!(bench.pass(UNLIMITED).placed.len(), 3);
-    bench
-        .shares
+    cell.push(work, 10);
+    assert_eq!(cell.pass(UNLIMITED).placed.len(), 3);
+    cell.shares
         .charge_peer(&peer, &kit::owner("a"), &kit::size(500, 1, 0));
-    bench.shares.update_peer(
+    cell.shares.update_peer(
         &peer,
         [(kit::owner("a"), kit::size(2_000, 1, 0))]
             .into_iter()
             .collect(),
     );
-    assert_eq!(bench.pass(UNLIMITED).placed.len(), 5);
-    bench.shares.remove_peer(&peer);
-    assert_eq!(bench.pass(UNLIMITED).placed.len(), 2);
-    assert!(bench.queue.is_empty());
+    assert_eq!(cell.pass(UNLIMITED).placed.len(), 5);
+    cell.shares.remove_peer(&peer);
+    assert_eq!(cell.pass(UNLIMITED).placed.len(), 2);
+    assert!(cell.queue.is_empty());
 }
 
-/// Small tasks that come and go must not keep a large one waiting for ever.
+/// A steady stream of small tasks uses the resources that become free and could
+/// starve a large task.
 #[test]
-fn a_large_task_starts_though_small_ones_keep_coming() {
-    let mut bench = Bench::new(4);
-    let now = bench.now;
+fn a_large_task_is_not_starved_by_a_stream_of_small_ones() {
+    let mut cell = TestCell::new(4);
+    let now = cell.now;
     let mut running = std::collections::VecDeque::new();
     let mut large_at = None;
     for round in 0..400_u32 {
         let job = format!("small-{round}");
         let size = kit::size(8_000, 16, 0);
         let work = kit::work(&job, "a", size, catalogue::Urgency::Deadline, now);
-        bench.push(work, 4);
+        cell.push(work, 4);
         if round == 20 {
             let size = kit::size(64_000, 100, 0);
-            bench.push(
+            cell.push(
                 kit::work("large", "b", size, catalogue::Urgency::Interactive, now),
                 1,
             );
         }
-        for placed in bench.pass(UNLIMITED).placed {
+        for placed in cell.pass(UNLIMITED).placed {
             if placed.task.job.as_str() == "large" {
                 large_at = Some(round);
             }
@@ -347,15 +348,15 @@
         }
         while running.len() > 30 || (running.len() > 28 && round % 2 == 0) {
             let task = running.pop_front().expect("not empty");
-            bench.cluster.release(&task);
+            cell.cluster.release(&task);
         }
         if large_at.is_some() {
             break;
         }
-        // Two end each round, so the room never drains by itself.
+        // Only two more end in each round, so no worker becomes empty by itself.
         for _ in 0..2 {
             if let Some(task) = running.pop_front() {
-                bench.cluster.release(&task);
+                cell.cluster.release(&task);
             }
         }
     }
@@ -364,129 +365,128 @@
 
 #[test]
 fn ten_thousand_cancellations_leave_placements_flowing() {
-    let mut bench = Bench::new(50);
-    let now = bench.now;
+    let mut cell = TestCell::new(50);
+    let now = cell.now;
     let size = kit::size(64_000, 1, 0);
     for number in 0..10_000 {
         let job = format!("wave-{number}");
-        bench.push(
+        cell.push(
             kit::work(&job, "a", size, catalogue::Urgency::Deadline, now),
             1,
         );
     }
-    bench.push(
+    cell.push(
         kit::work("one-job", "a", size, catalogue::Urgency::Deadline, now),
         10_000,
     );
-    let first = bench.pass(UNLIMITED);
-    // After the cell is full one scan finds that out for all that wait.
+    let first = cell.pass(UNLIMITED);
+    // Once the cell is full, one scan establishes this for all waiting work.
     assert_eq!((first.placed.len(), first.scans), (50, 51));
-    let examined = bench.cluster.examined();
+    let examined = cell.cluster.examined();
     assert_eq!(
-        bench.queue.cancel(&"one-job".parse().expect("legal")),
+        cell.queue.cancel(&"one-job".parse().expect("legal")),
         10_000
     );
     for number in 0..10_000 {
         let job = format!("wave-{number}").parse().expect("legal");
-        bench.queue.cancel(&job);
+        cell.queue.cancel(&job);
     }
     assert_eq!(
-        bench.cluster.examined(),
+        cell.cluster.examined(),
         examined,
-        "no scan for a cancellation"
+        "a cancellation must not scan the cluster"
     );
-    assert!(bench.queue.is_empty());
+    assert!(cell.queue.is_empty());
     let task = first.placed[0].task.clone();
-    bench.cluster.release(&task);
-    bench.push(
+    cell.cluster.release(&task);
+    cell.push(
         kit::work("next", "a", size, catalogue::Urgency::Interactive, now),
         1,
     );
-    assert_eq!(bench.placed_jobs(UNLIMITED), ["next"]);
+    assert_eq!(cell.placed_jobs(UNLIMITED), ["next"]);
 }
 
 #[test]
-fn room_is_kept_for_urgent_work_by_weight() {
-    let kept = |waiting: f64, packing: f64| {
-        let mut bench = Bench::new(10);
+fn resources_are_reserved_for_urgent_work_by_weight() {
+    let urgent_beyond_best_effort = |waiting: f64, packing: f64| {
+        let mut cell = TestCell::new(10);
         let weights = catalogue::Weights { waiting, packing };
         let config = placement::Config { weights };
-        bench.cluster.set_config(config);
-        let now = bench.now;
+        cell.cluster.set_config(config);
+        let now = cell.now;
         let size = kit::size(1_000, 1, 0);
-        bench.push(
+        cell.push(
             kit::work("rest", "a", size, catalogue::Urgency::BestEffort, now),
             700,
         );
-        let rest = bench.pass(UNLIMITED).placed.len();
-        bench.push(
+        let rest = cell.pass(UNLIMITED).placed.len();
+        cell.push(
             kit::work("check", "a", size, catalogue::Urgency::Interactive, now),
             700,
         );
-        let urgent = bench.pass(UNLIMITED).placed.len();
-        assert_eq!(rest + urgent, 640, "urgent work gets what was kept");
+        let urgent = cell.pass(UNLIMITED).placed.len();
+        assert_eq!(rest + urgent, 640, "urgent work uses what was reserved");
         urgent
     };
-    assert_eq!(kept(0.0, 1.0), 0);
-    assert_eq!(kept(0.5, 0.5), 64);
-    assert_eq!(kept(1.0, 0.0), 128);
+    assert_eq!(urgent_beyond_best_effort(0.0, 1.0), 0);
+    assert_eq!(urgent_beyond_best_effort(0.5, 0.5), 64);
+    assert_eq!(urgent_beyond_best_effort(1.0, 0.0), 128);
 }
 
 #[test]
-fn a_pass_ends_at_its_limit_and_goes_on() {
-    let mut bench = Bench::new(8);
-    let now = bench.now;
+fn a_pass_stops_at_its_scan_limit_and_the_next_continues() {
+    let mut cell = TestCell::new(8);
+    let now = cell.now;
     let size = kit::size(1_000, 1, 0);
-    bench.push(
+    cell.push(
         kit::work("job", "a", size, catalogue::Urgency::Deadline, now),
         25,
     );
-    let outcome = bench.pass(10);
+    let outcome = cell.pass(10);
     assert_eq!((outcome.placed.len(), outcome.more), (10, true));
-    assert_eq!(bench.pass(UNLIMITED).placed.len(), 15);
+    assert_eq!(cell.pass(UNLIMITED).placed.len(), 15);
 }
 
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
-    let mut bench = Bench::new(4);
-    let now = bench.now;
+    let mut cell = TestCell::new(4);
+    let now = cell.now;
     let size = kit::size(40_000, 8, 0);
     let mut gang = kit::work("gang", "a", size, catalogue::Urgency::Deadline, now);
     gang.class = catalogue::JobClass::Gang;
-    bench.push(gang, 5);
+    cell.push(gang, 5);
     let small = kit::work("small", "a", size, catalogue::Urgency::BestEffort, now);
-    bench.push(small, 1);
-    assert_eq!(bench.placed_jobs(UNLIMITED), ["small"]);
-    assert_eq!(bench.cluster.holdings().len(), 1);
-    bench
-        .cluster
+    cell.push(small, 1);
+    assert_eq!(cell.placed_jobs(UNLIMITED), ["small"]);
+    assert_eq!(cell.cluster.allocations().len(), 1);
+    cell.cluster
         .add_worker(&kit::instance(4), placement::Readiness::Ready);
-    bench
-        .cluster
+    cell.cluster
         .add_worker(&kit::instance(5), placement::Readiness::Ready);
-    assert_eq!(bench.placed_jobs(UNLIMITED), ["gang"; 5]);
+    assert_eq!(cell.placed_jobs(UNLIMITED), ["gang"; 5]);
 }
 
 proptest! {
     #![proptest_config(kit::proptest_config(128))]
 
-    /// Every task is waiting, placed or cancelled, and no quota is passed.
+    /// Every task is waiting, placed or cancelled; no quota is exceeded; no gang is
+    /// placed in part.
     #[test]
     fn tasks_are_conserved(
         jobs in prop::collection::vec((1_u32..20, 1_u64..30_000, 0_u8..3, 0_u8..3, 0_usize..3), 1..20),
         limits in prop::collection::vec(1_usize..40, 1..6),
         cancelled in prop::collection::vec(0_usize..20, 0..4),
     ) {
-        let mut bench = Bench::new(5);
+        let mut cell = TestCell::new(5);
         let quota = kit::size(100_000, 64, 0);
-        let mut text = catalogue::Catalogue::default();
+        let mut new_catalogue = catalogue::Catalogue::default();
         for name in ["o-0", "o-1", "o-2"] {
             let quota = (name != "o-0").then_some(quota);
             let owner = catalogue::Owner { weight: 1, rate_per_s: None, concurrency: None, quota };
-            text.owners.insert(kit::owner(name), owner);
+            new_catalogue.owners.insert(kit::owner(name), owner);
         }
-        bench.shares.set_catalogue(&text);
-        let now = bench.now;
+        cell.shares.set_catalogue(&new_catalogue);
+        let now = cell.now;
         let mut total = 0;
         for (number, (tasks, cpu, urgency, class, owner)) in jobs.iter().enumerate() {
             let urgency = [
@@ -501,24 +501,24 @@
                 catalogue::JobClass::Gang,
                 catalogue::JobClass::Service,
             ][usize::from(*class)];
-            bench.push(work, *tasks);
+            cell.push(work, *tasks);
             total += *tasks as usize;
         }
         let mut gone = 0;
         for limit in limits {
-            bench.pass(limit);
+            cell.pass(limit);
             if let Some(number) = cancelled.first() {
-                gone += bench.queue.cancel(&format!("j-{number}").parse().expect("legal"));
+                gone += cell.queue.cancel(&format!("j-{number}").parse().expect("legal"));
             }
-            prop_assert_eq!(bench.queue.len() + bench.cluster.holdings().len() + gone, total);
+            prop_assert_eq!(cell.queue.len() + cell.cluster.allocations().len() + gone, total);
             for name in ["o-1", "o-2"] {
-                prop_assert!(quota.holds(&bench.cluster.usage(&kit::owner(name))));
+                prop_assert!(quota.holds(&cell.cluster.usage(&kit::owner(name))));
             }
             for (number, (tasks, _, _, class, _)) in jobs.iter().enumerate() {
                 let job: ids::JobId = format!("j-{number}").parse().expect("legal");
-                let held = bench.cluster.holdings().filter(|h| h.ask.task.job == job).count();
+                let held = cell.cluster.allocations().filter(|h| h.ask.task.job == job).count();
                 if *class == 1 {
-                    prop_assert!(held == 0 || held == *tasks as usize, "gang in part");
+                    prop_assert!(held == 0 || held == *tasks as usize, "gang placed in part");
                 }
             }
         }
--- a/crates/figscale-core/tests/placement/preemption.rs
+++ b/crates/figscale-core/tests/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Room for urgent work, never from what may not run twice.
+//! Preemption for urgent work, never of work that may not run twice.
 
 use std::time;
 
@@ -10,7 +10,7 @@
 
 use crate::kit;
 
-/// What fills a worker before the urgent task comes.
+/// A task that uses part of a worker before the urgent task arrives.
 #[derive(Clone, Debug)]
 struct Filler {
     cpu: u64,
@@ -36,8 +36,8 @@
     }
 }
 
-/// A cluster filled task by task; they all run as declared.
-fn filled(workers: u32, fillers: &[Filler]) -> placement::Cluster {
+/// A cluster on which these tasks run, with the use that they declared.
+fn filled_cluster(workers: u32, fillers: &[Filler]) -> placement::Cluster {
     let now = time::Instant::now();
     let mut cluster = kit::cluster(workers);
     let weights = catalogue::Weights {
@@ -79,12 +79,12 @@
 }
 
 #[test]
-fn a_checkpoint_goes_before_a_stop() {
+fn a_checkpoint_is_preferred_to_a_stop() {
     let fillers = [
         filler(32_000, guard(true, false, true), 1),
         filler(32_000, guard(false, true, true), 9_000),
     ];
-    let mut cluster = filled(1, &fillers);
+    let mut cluster = filled_cluster(1, &fillers);
     assert_eq!(
         plan(&mut cluster, 20_000),
         Some(vec![(1, protocol::TaskAction::Checkpoint)])
@@ -92,9 +92,9 @@
 }
 
 #[test]
-fn over_use_is_throttled_before_anything_is_stopped() {
+fn excess_use_is_throttled_before_any_task_is_stopped() {
     let now = time::Instant::now();
-    let mut cluster = filled(1, &[filler(30_000, guard(true, false, true), 10)]);
+    let mut cluster = filled_cluster(1, &[filler(30_000, guard(true, false, true), 10)]);
     let holding = cluster
         .holding(&kit::task("fill", 0))
         .expect("placed")
@@ -112,12 +112,12 @@
 }
 
 #[test]
-fn the_task_with_least_to_lose_is_stopped() {
+fn the_task_with_the_shortest_run_is_stopped() {
     let fillers = [
         filler(32_000, guard(true, false, true), 500),
         filler(32_000, guard(true, false, true), 5),
     ];
-    let mut cluster = filled(1, &fillers);
+    let mut cluster = filled_cluster(1, &fillers);
     assert_eq!(
         plan(&mut cluster, 32_000),
         Some(vec![(1, protocol::TaskAction::Stop)])
@@ -127,8 +127,8 @@
 #[test]
 fn stops_cost_no_more_than_the_weights_allow() {
     let fillers = [filler(64_000, guard(true, false, true), 1_000)];
-    assert_eq!(plan(&mut filled(1, &fillers), 8_000), None);
-    let mut waiting = filled(1, &fillers);
+    assert_eq!(plan(&mut filled_cluster(1, &fillers), 8_000), None);
+    let mut waiting = filled_cluster(1, &fillers);
     waiting.set_config(placement::Config {
         weights: catalogue::Weights {
             waiting: 0.9,
@@ -142,9 +142,9 @@
 }
 
 #[test]
-fn room_on_its_way_is_counted_once() {
+fn resources_of_ending_tasks_are_used_for_one_plan_only() {
     let fillers = [filler(64_000, guard(false, true, true), 10)];
-    let mut cluster = filled(1, &fillers);
+    let mut cluster = filled_cluster(1, &fillers);
     let ask = |index| {
         kit::ask(
             "urgent",
@@ -158,7 +158,9 @@
         .expect("a plan");
     assert_eq!(first.steps.len(), 1);
     let mut planner = preempt::Planner::default();
-    let again = planner.plan(&mut cluster, &ask(0)).expect("on its way");
+    let again = planner
+        .plan(&mut cluster, &ask(0))
+        .expect("tasks are ending already");
     assert_eq!(again.steps.len(), 0);
     assert_eq!(planner.plan(&mut cluster, &ask(1)), None);
 }
@@ -166,10 +168,10 @@
 proptest! {
     #![proptest_config(kit::proptest_config(256))]
 
-    /// Victims are less urgent and may be ended; the room suffices; no step is
-    /// more than needed.
+    /// Tasks in a plan are less urgent and may be preempted, and the plan frees
+    /// enough for the urgent task.
     #[test]
-    fn protected_work_is_never_touched(
+    fn protected_work_is_never_preempted(
         fillers in prop::collection::vec(
             (1_000_u64..40_000, 0_u8..3, any::<[bool; 3]>(), 0_u64..100),
             1..20,
@@ -191,19 +193,19 @@
                 ran_s,
             })
             .collect();
-        let mut cluster = filled(3, &fillers);
+        let mut cluster = filled_cluster(3, &fillers);
         let ask = kit::ask("urgent", 0, kit::size(cpu, 1, 0), urgency_of(urgency));
         let before = cluster.clone();
         if let Some(plan) = preempt::Planner::default().plan(&mut cluster, &ask) {
             let worker = before.worker(&plan.worker).expect("known");
             let mut freed = worker.free();
             for step in &plan.steps {
-                let victim = before.holding(&step.task).expect("has room");
+                let victim = before.holding(&step.task).expect("has an allocation");
                 prop_assert_eq!(&victim.worker, &plan.worker);
                 prop_assert!(victim.ask.urgency > ask.urgency);
                 prop_assert!(victim.ask.guard.preemptible);
                 let may_end = victim.ask.guard.idempotent || victim.ask.guard.checkpointable;
-                prop_assert!(may_end, "protected work touched");
+                prop_assert!(may_end, "protected work preempted");
                 freed = freed.plus(&victim.counted());
             }
             prop_assert!(freed.holds(&ask.size));
--- a/crates/figscale-core/tests/placement/room.rs
+++ b/crates/figscale-core/tests/placement/room.rs
@@ -1,4 +1,4 @@
-//! Room on workers: never over capacity, nothing lost between the sums.
+//! Allocations on workers: capacity is never exceeded, and all sums agree.
 
 use std::time;
 
@@ -46,7 +46,7 @@
     ]
 }
 
-/// Every sum is the sum of its parts.
+/// The sums of the cluster and of each worker equal the sums over their tasks.
 fn check_sums(cluster: &placement::Cluster) {
     let mut total = sizes::Resources::default();
     let mut capacity = sizes::Resources::default();
@@ -54,7 +54,9 @@
     for worker in cluster.workers() {
         let mut sum = sizes::Resources::default();
         for task in worker.tasks() {
-            let holding = cluster.holding(task).expect("a task of a worker has room");
+            let holding = cluster
+                .holding(task)
+                .expect("a task of a worker has an allocation");
             assert_eq!(&holding.worker, worker.id());
             sum = sum.plus(&holding.ask.size.larger(&holding.used));
             tasks += 1;
@@ -65,15 +67,17 @@
     }
     assert_eq!(total, cluster.counted());
     assert_eq!(capacity, cluster.capacity());
-    assert_eq!(tasks, cluster.holdings().len());
+    assert_eq!(tasks, cluster.allocations().len());
 }
 
-/// What was reserved, apart from what reports added, fits.
+/// Reserved resources, without use beyond them, fit on each worker.
 fn check_reserved(cluster: &placement::Cluster) {
     for worker in cluster.workers() {
         let mut sum = sizes::Resources::default();
         for task in worker.tasks() {
-            let holding = cluster.holding(task).expect("a task of a worker has room");
+            let holding = cluster
+                .holding(task)
+                .expect("a task of a worker has an allocation");
             sum = sum.plus(&holding.ask.size);
         }
         assert!(
@@ -95,7 +99,10 @@
                 .collect();
             if let Ok(id) = cluster.place(&ask, start, Some(expires)) {
                 let (_, free) = free.iter().find(|(w, _)| *w == id).expect("known");
-                assert!(free.holds(&size), "placed beyond what was free by use");
+                assert!(
+                    free.holds(&size),
+                    "task placed on a worker with too few free resources"
+                );
                 let worker = cluster.worker(&id).expect("known");
                 assert!(worker.takes_work());
             }
@@ -129,7 +136,7 @@
     #![proptest_config(kit::proptest_config(256))]
 
     #[test]
-    fn room_is_conserved_and_never_overbooked(steps in prop::collection::vec(step(), 1..120)) {
+    fn sums_agree_and_no_worker_is_overcommitted(steps in prop::collection::vec(step(), 1..120)) {
         let start = time::Instant::now();
         let mut cluster = kit::cluster(WORKERS);
         for step in steps {
@@ -141,7 +148,7 @@
 }
 
 #[test]
-fn over_use_by_ten_times_closes_the_worker_and_names_the_task() {
+fn tenfold_use_closes_the_worker_and_stops_the_task() {
     let now = time::Instant::now();
     let mut cluster = kit::cluster(1);
     let big = kit::ask(
@@ -156,8 +163,10 @@
         kit::size(4_000, 10, 0),
         catalogue::Urgency::Deadline,
     );
-    cluster.place(&big, now, None).expect("room");
-    cluster.place(&small, now, None).expect("room");
+    cluster.place(&big, now, None).expect("resources are free");
+    cluster
+        .place(&small, now, None)
+        .expect("resources are free");
     let holding = cluster.holding(&big.task).expect("placed").clone();
     let neighbour = cluster.holding(&small.task).expect("placed").clone();
     let worker = cluster.worker(&holding.worker).expect("known");
@@ -181,12 +190,12 @@
     );
     assert_eq!(
         cluster.place(&next, now, None),
-        Err(placement::NoPlace::NoRoom)
+        Err(placement::PlacementError::NoCapacity)
     );
 }
 
 #[test]
-fn a_worker_taken_over_gets_nothing_before_it_reports() {
+fn an_acquired_worker_gets_nothing_before_it_reports() {
     let now = time::Instant::now();
     let mut cluster = placement::Cluster::new(placement::Config::default());
     cluster.add_worker(&kit::instance(0), placement::Readiness::Unreported);
@@ -198,7 +207,7 @@
     );
     assert_eq!(
         cluster.place(&ask, now, None),
-        Err(placement::NoPlace::NoRoom)
+        Err(placement::PlacementError::NoCapacity)
     );
     let old = kit::running_task(kit::task("old", 3), kit::size(63_500, 1, 0));
     let worker = cluster.worker(&kit::worker_id(0)).expect("known");
@@ -211,14 +220,17 @@
         kit::size(1, 0, 0),
         catalogue::Urgency::Interactive,
     );
-    assert!(cluster.place(&tiny, now, None).is_err(), "another holds it");
+    assert!(
+        cluster.place(&tiny, now, None).is_err(),
+        "the worker belongs to another holder"
+    );
     let worker = cluster.worker(&kit::worker_id(0)).expect("known");
     let report = kit::report(worker, vec![old]);
     let outcome = cluster.sync(&report, now, now);
     assert_eq!(outcome.adopted, [kit::task("old", 3)]);
     assert_eq!(
         cluster.place(&ask, now, None),
-        Err(placement::NoPlace::NoRoom)
+        Err(placement::PlacementError::NoCapacity)
     );
     let small = kit::ask(
         "job",
@@ -243,7 +255,7 @@
             catalogue::Urgency::Interactive,
         );
         ask.class = catalogue::JobClass::Service;
-        let id = cluster.place(&ask, now, None).expect("room");
+        let id = cluster.place(&ask, now, None).expect("resources are free");
         let shard = cluster.worker(&id).expect("known").shard().clone();
         let instance = kit::instance(kit::worker_number(&id));
         *domains.entry(instance.failure_domain).or_default() += 1;
@@ -251,7 +263,7 @@
         let most = index / 4 + 1;
         assert!(
             domains.values().all(|count| *count <= most),
-            "failure domains before racks: {domains:?}"
+            "tasks must be spread over failure domains first: {domains:?}"
         );
     }
     assert!(
@@ -262,7 +274,7 @@
 }
 
 #[test]
-fn accelerators_are_kept_from_work_that_needs_none() {
+fn work_without_accelerators_uses_other_workers_first() {
     let now = time::Instant::now();
     let mut cluster = kit::cluster(16);
     for index in 0..12 {
@@ -272,7 +284,7 @@
             kit::size(60_000, 8, 0),
             catalogue::Urgency::Deadline,
         );
-        let id = cluster.place(&ask, now, None).expect("room");
+        let id = cluster.place(&ask, now, None).expect("resources are free");
         let worker = cluster.worker(&id).expect("known");
         assert_eq!(worker.capacity().accelerators, 0, "task {index}");
     }
@@ -284,12 +296,12 @@
     );
     assert!(
         cluster.place(&ask, now, None).is_ok(),
-        "used rather than left idle"
+        "a worker with accelerators must be used rather than left idle"
     );
 }
 
 #[test]
-fn leaving_worker_gets_nothing() {
+fn a_leaving_worker_gets_nothing() {
     let now = time::Instant::now();
     let mut cluster = kit::cluster(1);
     let mut leaving = kit::instance(0);
@@ -303,13 +315,14 @@
     );
     assert_eq!(
         cluster.place(&ask, now, None),
-        Err(placement::NoPlace::NoRoom)
+        Err(placement::PlacementError::NoCapacity)
     );
 }
 
-/// Accelerators that are all in use say nothing of plain work.
+/// When all accelerators are in use, best-effort work that needs none must still be
+/// placed.
 #[test]
-fn room_is_kept_by_the_resources_that_a_task_needs() {
+fn only_resources_that_a_task_needs_are_reserved_from_it() {
     let now = time::Instant::now();
     let mut cluster = kit::cluster(4);
     let all = kit::ask(
@@ -318,7 +331,7 @@
         kit::size(1_000, 1, 4),
         catalogue::Urgency::Deadline,
     );
-    cluster.place(&all, now, None).expect("room");
+    cluster.place(&all, now, None).expect("resources are free");
     let plain = kit::ask(
         "plain",
         0,
@@ -334,15 +347,15 @@
     );
     assert_eq!(
         cluster.place(&more, now, None),
-        Err(placement::NoPlace::Kept)
+        Err(placement::PlacementError::Reserved)
     );
 }
 
-/// At a placer, which is asked for one task at a time, small tasks that come
-/// and go must not keep a large one waiting for ever; and room that is kept
-/// for it must not stay idle once nobody asks any more.
+/// At a placer, which gets one request at a time, a steady stream of small tasks
+/// must not starve a large one. The worker reserved for the large task must not stay
+/// idle when the requests for it end.
 #[test]
-fn a_large_task_finds_room_though_small_ones_keep_coming() {
+fn a_placer_does_not_starve_a_large_task_or_leave_its_reservation_idle() {
     let mut now = time::Instant::now();
     let mut cluster = kit::cluster(4);
     let urgency = catalogue::Urgency::Deadline;
@@ -376,20 +389,24 @@
     now += time::Duration::from_secs(2);
     let small = |index| kit::ask("more", index, kit::size(4_000, 1, 0), urgency);
     let more = (0..64).filter(|index| cluster.place(&small(*index), now, None).is_ok());
-    assert!(more.count() > 0, "room was free");
+    assert!(more.count() > 0, "resources were free");
     let full = |worker: &placement::Worker| worker.free().cpu_millis.0 < 4_000;
-    assert!(cluster.workers().all(full), "kept for nobody");
+    assert!(
+        cluster.workers().all(full),
+        "a worker stays reserved for a task that is no longer requested"
+    );
 }
 
-/// Plain work leaves room beside accelerators after a task found none there.
+/// After a task found no accelerators, work without accelerators leaves processors and
+/// memory for them.
 #[test]
-fn a_placer_remembers_that_accelerators_are_wanted() {
+fn a_placer_reserves_processors_for_accelerators_in_demand() {
     let now = time::Instant::now();
     let mut cluster = placement::Cluster::new(placement::Config::default());
     cluster.add_worker(&kit::instance(3), placement::Readiness::Ready);
     let urgency = catalogue::Urgency::Deadline;
     let fill = kit::ask("fill", 0, kit::size(40_000, 1, 1), urgency);
-    cluster.place(&fill, now, None).expect("room");
+    cluster.place(&fill, now, None).expect("resources are free");
     let gang = kit::ask("gang", 0, kit::size(40_000, 1, 2), urgency);
     cluster
         .place(&gang, now, None)
@@ -403,10 +420,12 @@
     assert!(cluster.place(&plain(0), later, None).is_ok());
 }
 
-/// Tasks that all use ten times what they declare, on a worker that holds one
-/// of them so; each report has what does not fit stopped, and others placed.
+/// All tasks use ten times what they declare, and the worker has the capacity for one
+/// such task. After each report the tasks that do not fit are stopped, and new ones
+/// are placed. Tasks that are alike must be
+/// stopped newest first: stopped in turn, none would ever finish.
 #[test]
-fn over_use_by_all_lets_them_end_one_after_another() {
+fn tasks_finish_one_by_one_when_all_exceed_their_size() {
     const ROUND_MS: u64 = 250;
     const RUN_MS: u64 = 1_000;
     const ROUNDS: u32 = 40;
--- a/crates/figscale-core/tests/placement/summaries.rs
+++ b/crates/figscale-core/tests/placement/summaries.rs
@@ -1,4 +1,4 @@
-//! What entry instances tell each other.
+//! Summaries that entry instances send to each other.
 
 use std::time;
 
@@ -15,8 +15,9 @@
     format!("entry-{number}").parse().expect("legal")
 }
 
-/// Owners, as many as the size aimed for has, each with a task.
-fn busy(owners: u32) -> placement::Cluster {
+/// A cluster in which each of this number of owners has one task; at most the number
+/// of owners at the cell size that is designed for.
+fn cluster_with_owners(owners: u32) -> placement::Cluster {
     let mut cluster = kit::cluster(58);
     for number in 0..owners {
         let size = kit::size(2_000, 1, 0);
@@ -24,14 +25,14 @@
         ask.owner = Some(kit::owner(&format!("team-{number}")));
         cluster
             .place(&ask, time::Instant::now(), None)
-            .expect("room");
+            .expect("resources are free");
     }
     cluster
 }
 
 #[test]
-fn only_changes_are_sent_between_whole_summaries() {
-    let mut cluster = busy(92);
+fn only_changed_owners_are_sent_between_whole_summaries() {
+    let mut cluster = cluster_with_owners(92);
     let mut summarizer = summary::Summarizer::default();
     let mut lengths = Vec::new();
     for number in 0..11 {
@@ -43,7 +44,7 @@
 
 #[test]
 fn shares_follow_the_summaries_of_peers() {
-    let mut cluster = busy(3);
+    let mut cluster = cluster_with_owners(3);
     let here = kit::cluster(0);
     let mut summarizer = summary::Summarizer::default();
     let mut views = summary::PeerViews::default();
@@ -70,14 +71,14 @@
 }
 
 #[test]
-fn a_task_goes_to_a_peer_with_a_hole_and_a_fresh_view() {
+fn a_task_goes_to_a_peer_with_a_recent_summary_and_enough_resources() {
     let now = time::Instant::now();
     let mut views = summary::PeerViews::default();
     let mut shares = placement::Shares::default();
     let mut full = kit::cluster(1);
     let size = kit::size(60_000, 100, 0);
     let ask = kit::ask("job", 0, size, catalogue::Urgency::Deadline);
-    full.place(&ask, now, None).expect("room");
+    full.place(&ask, now, None).expect("resources are free");
     let mut rng = StdRng::seed_from_u64(6);
     for (number, cluster) in [(0, &full), (1, &kit::cluster(2))] {
         let summary = summary::Summarizer::default().next(cluster, 0);
@@ -87,9 +88,17 @@
         assert_eq!(views.pick(&size, now, &mut rng), Some(&member(1)));
     }
     views.charge(&member(1), &size);
-    assert_eq!(views.pick(&size, now, &mut rng), None, "its hole is taken");
+    assert_eq!(
+        views.pick(&size, now, &mut rng),
+        None,
+        "the free resources of the peer are used up"
+    );
     let small = kit::size(1_000, 1, 0);
     assert!(views.pick(&small, now, &mut rng).is_some());
     let later = now + time::Duration::from_secs(6);
-    assert_eq!(views.pick(&small, later, &mut rng), None, "too old");
+    assert_eq!(
+        views.pick(&small, later, &mut rng),
+        None,
+        "the summary is too old"
+    );
 }
