--- a/crates/figscale-core/src/job/placement/kept.rs
+++ b/crates/figscale-core/src/job/placement/kept.rs
@@ -1,6 +1,6 @@
 //! State of reservations that last longer than one pass.
 //!
-//! [`super::promise`] creates and applies them.
+//! [`super::Cluster::place`] creates and applies them.
 
 use std::time;
 
--- a/crates/figscale-core/src/job/placement/sync.rs
+++ b/crates/figscale-core/src/job/placement/sync.rs
@@ -159,7 +159,7 @@
             if worker.capacity.holds(&used) {
                 return;
             }
-            let action = relief(holding);
+            let action = overload_action(holding);
             let remaining = match action {
                 protocol::TaskAction::Throttle => sizes::Resources {
                     cpu_millis: holding.ask.size.cpu_millis.min(holding.used.cpu_millis),
@@ -195,7 +195,7 @@
 
 /// Throttling can reduce the processor time of a running task, but not its
 /// memory.
-fn relief(holding: &work::Holding) -> protocol::TaskAction {
+fn overload_action(holding: &work::Holding) -> protocol::TaskAction {
     let over_memory = holding.used.memory_bytes > holding.ask.size.memory_bytes;
     match (over_memory, holding.ask.guard.checkpointable) {
         (false, _) => protocol::TaskAction::Throttle,
