--- a/crates/figscale-core/src/job/placement/fault.rs
+++ b/crates/figscale-core/src/job/placement/fault.rs
@@ -1,10 +1,10 @@
 //! Attributes failures to a worker or to a job.
 //!
-//! A worker is blamed for the failures since its last success. Only the failures
-//! of some jobs count: those that succeeded somewhere or failed on no other worker. A job is blamed when one of its tasks fails on several
-//! workers that no other job failed on, or when it never succeeded and failed on
-//! many such workers. When a job is found at fault, its failures no longer count
-//! against workers.
+//! A worker is blamed for the failures since its last success. Only the failures of
+//! some jobs count: those that succeeded somewhere or failed on no other worker. A
+//! job is blamed when one of its tasks fails on several workers that no other job
+//! failed on, or when it never succeeded and failed on many such workers. When a job
+//! is found at fault, its failures no longer count against workers.
 //!
 //! A blamed worker is ejected and tested with one task after a delay, which doubles
 //! with each failed test. The share of workers that may be ejected is limited: when
