--- a/crates/figscale-core/src/job/message.rs
+++ b/crates/figscale-core/src/job/message.rs
@@ -1,8 +1,8 @@
-//! What homes and placers say to each other.
+//! Messages between homes and placers.
 //!
-//! Every message may be lost, repeated or late. Tasks are named with their
-//! attempt and every message with the epoch of the job shard's holder, so that
-//! a repeat is recognized and an earlier home is refused.
+//! Every message may be lost, repeated or late. A task is identified together
+//! with its attempt, so that a repeat is recognized, and the messages of a home
+//! carry the epoch of its job shard, so that an earlier home is refused.
 
 use figscale_types::catalogue;
 use figscale_types::ids;
@@ -19,15 +19,15 @@
     pub epoch: ids::Epoch,
 }
 
-/// What bounds a call that has tasks placed, however late it arrives.
+/// Limits on the effect of a call to place tasks, however late it arrives.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scope {
-    /// Number of the call; one that an inventory has overtaken is refused.
+    /// Number of the call; refused if a later inventory call has arrived first.
     pub call: u64,
-    /// Whether the same orders were sent before: they are looked up, not placed.
+    /// Whether the same orders were sent before: they are only looked up, not placed.
     pub repeat: bool,
-    /// Worker shards, with the epochs under which the home takes the placer to
-    /// hold them; others are not used.
+    /// Worker shards that may be used, with the epochs under which the home
+    /// believes the placer to hold them.
     pub shards: Vec<(ids::ShardId, ids::Epoch)>,
 }
 
@@ -40,7 +40,7 @@
     pub number: u32,
 }
 
-/// What a placer has to know of a task.
+/// A task to place, with all that its placer needs to know of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskOrder {
     /// The attempt.
@@ -49,46 +49,46 @@
     pub owner: ids::OwnerName,
     /// Catalogue entry.
     pub entry: ids::EntryName,
-    /// How the tasks of the job belong together.
+    /// Whether the tasks of the job are independent, a gang or a service.
     pub class: catalogue::JobClass,
     /// Urgency.
     pub urgency: catalogue::Urgency,
-    /// Room to reserve.
+    /// Resources to reserve.
     pub resources: sizes::Resources,
     /// Declared run time.
     pub run_ms: u64,
-    /// Longest run.
+    /// Longest permitted run time.
     pub max_run_ms: u64,
     /// Opaque to figscale.
     pub command: String,
-    /// Whether to go on from a checkpoint.
+    /// Whether to resume from a checkpoint.
     pub resume: bool,
-    /// Whether the task may run again after an unknown end.
+    /// Whether the task may run again when it is unknown how the last run ended.
     pub idempotent: bool,
     /// Whether it can save its state.
     pub checkpointable: bool,
     /// Whether it may be stopped for more urgent work.
     pub preemptible: bool,
-    /// Whether to reserve only, and start when told to by [`Question::Go`].
+    /// Whether to only reserve resources; the start then follows on [`Question::Go`].
     pub hold: bool,
-    /// Workers that failed this task and are better left out.
+    /// Workers on which this task failed; used only if no other has capacity.
     pub avoid: Vec<ids::InstanceId>,
 }
 
-/// What became of one order.
+/// The result of one order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderAnswer {
-    /// Room is reserved; unless held, the start is on its way.
+    /// Resources are reserved; unless the order is held, the start is in flight.
     Placed(Place),
-    /// No worker of this placer has room now.
+    /// No worker of this placer has free capacity for it now.
     NoRoom,
     /// Nothing was done: its owner's quota is used up.
     OverQuota,
     /// Nothing was done: the home's epoch is not the highest seen.
     StaleHome,
-    /// Nothing was done: an older attempt of the task has not ended here.
+    /// Nothing was done: an attempt of the task is active here, or one as recent is known.
     Busy,
-    /// The order, a repeat, is not known here; it may have been before.
+    /// The order is a repeat and not known here; it may have been known earlier.
     NotKnown,
 }
 
@@ -101,10 +101,10 @@
     pub worker: ids::InstanceId,
 }
 
-/// What became of a held reservation that was told to start.
+/// The result of starting a held reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GoAnswer {
-    /// The start is on its way, or was already.
+    /// The start is in flight, or was sent before.
     Going,
     /// The reservation is gone; nothing of this attempt was or will be started.
     NotStarted,
@@ -113,9 +113,9 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum End {
-    /// It ended well.
+    /// It succeeded.
     Done,
-    /// It ended badly.
+    /// It failed.
     Failed,
     /// It was stopped by an action.
     Stopped,
@@ -123,18 +123,18 @@
     Checkpointed,
     /// It ran, and was stopped by its worker when its lease lapsed.
     Lapsed,
-    /// It never began.
+    /// It was never started.
     NotStarted,
-    /// It cannot be running any more; how far it came is unknown.
+    /// It is no longer running; how far it progressed is unknown.
     Lost,
 }
 
 /// State of an attempt at a placer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Room is reserved, nothing was sent.
+    /// Resources are reserved, no start was sent.
     Held,
-    /// The start was sent; whether it runs is not known.
+    /// The start was sent; whether the task runs is not known.
     Starting,
     /// It runs.
     Running,
@@ -142,38 +142,38 @@
     Ended(End),
 }
 
-/// News of an attempt.
+/// Status update of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskEvent {
     /// The attempt.
     pub attempt: Attempt,
-    /// Where.
+    /// Where it was placed.
     pub place: Place,
     /// State.
     pub state: TaskState,
 }
 
-/// What a placer holds of a home's tasks on one worker shard.
+/// The tasks of a home that a placer has on one worker shard.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardInventory {
     /// Worker shard.
     pub shard: ids::ShardId,
     /// Epoch under which the placer holds it.
     pub epoch: ids::Epoch,
-    /// Whether no task of the home can run on the shard without being listed.
+    /// Whether every task of the home that can run on the shard is listed.
     pub complete: bool,
     /// The home's attempts there, ended ones not yet acknowledged included.
     pub tasks: Vec<TaskEvent>,
 }
 
-/// Free room of a placer, pushed to homes.
+/// Free resources of a placer, pushed to homes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Largest free room of any one worker, by dimension.
+    /// Largest free amount on any one worker, by dimension.
     pub largest_free: sizes::Resources,
-    /// Free room of all workers together.
+    /// Sum of the free resources of all workers.
     pub free: sizes::Resources,
-    /// Workers in use.
+    /// Number of workers that take new tasks.
     pub workers: u32,
 }
 
@@ -184,31 +184,31 @@
     Place(HomeKey, Scope, Vec<TaskOrder>),
     /// Home to placer: start these held tasks.
     Go(HomeKey, Vec<Attempt>),
-    /// Home to placer: these are to end; reservations are given back.
+    /// Home to placer: end these tasks and release their reservations.
     Stop(HomeKey, Vec<ids::TaskId>),
-    /// Home to placer: what do you hold of mine? With the number of the call.
+    /// Home to placer: list the tasks of this home. With the number of the call.
     Inventory(HomeKey, u64),
-    /// Home to placer: these ends are dealt with.
+    /// Home to placer: the ends of these attempts are processed.
     Acknowledge(HomeKey, Vec<Attempt>),
-    /// Home to placer: what tasks are that the placer took over.
+    /// Home to placer: descriptions of tasks that the placer found running.
     Describe(HomeKey, Vec<TaskOrder>),
-    /// Placer to home: news.
+    /// Placer to home: status updates.
     Tell(ids::ShardId, Vec<TaskEvent>),
 }
 
 /// The answer to a [`Question`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// To [`Question::Place`], in its order, with the placer's free room.
+    /// To [`Question::Place`], in the order of its tasks, with the placer's free resources.
     Place(Vec<OrderAnswer>, Summary),
-    /// To [`Question::Go`], in its order.
+    /// To [`Question::Go`], in the order of its attempts.
     Go(Vec<GoAnswer>),
     /// To [`Question::Inventory`].
     Inventory(Vec<ShardInventory>),
-    /// Taken note of.
+    /// Received and applied.
     Noted,
-    /// The home that asked is not the latest.
+    /// The calling home has a stale epoch.
     StaleHome,
-    /// Not held here.
+    /// The shard is not held here, or the call is not one for this role.
     NotHere,
 }
--- a/crates/figscale-core/src/job/mod.rs
+++ b/crates/figscale-core/src/job/mod.rs
@@ -1,10 +1,11 @@
-//! Placement of tasks and the life of jobs.
+//! Placement of tasks and the life cycle of jobs.
 //!
-//! Two roles share the work. The *home* of a job keeps it in the store and
-//! queues its tasks; the *placer* holds workers, commits placements in its
-//! memory and keeps the tasks' leases. Both are pure: they are given messages
-//! and the time, and return actions. [`message`] has what they say to each
-//! other.
+//! Two roles share the work. The *home* of a job stores the job and queues its
+//! tasks. The *placer* holds worker shards, commits placements in memory and
+//! renews the leases of the tasks on its workers. Both are state machines
+//! without input or output: they take messages and the current time, and return
+//! actions for an adapter to perform. [`message`] defines the messages between
+//! them.
 
 pub mod home;
 pub mod message;
--- a/crates/figscale-core/src/job/placer/mod.rs
+++ b/crates/figscale-core/src/job/placer/mod.rs
@@ -1,18 +1,18 @@
-//! The placer: commits tasks to the workers of the shards held here.
+//! The placer: commits tasks to the workers of the shards held by this process.
 //!
-//! A worker is used only after it has answered a call that carried the shard's
-//! present epoch. From then on it refuses every earlier holder, its answer
-//! lists all that it runs, and its clock is known. Every start and renewal is
-//! bounded by a reading of that clock, so that nothing written late, by a
-//! paused process or through a slow network, takes effect after the moment
-//! that this placer counts with.
+//! A worker is used only after it has answered a call that carried the current
+//! epoch of its shard. From then on it refuses every earlier holder; its answer
+//! lists every task that it runs and gives a reading of its clock. Every start
+//! and renewal carries a bound on that clock, so that a message that is written
+//! late by a paused process or delayed by the network takes no effect after the
+//! time that this placer assumes.
 //!
-//! A task that a worker does not speak of any more is given up as
-//! [`message::End::Lost`] only when its lease must have lapsed. Ends are kept
-//! here, and at the worker, until the task's home has written them.
+//! A task of a worker that no longer reports is taken as
+//! [`message::End::Lost`] only once its lease must have lapsed. Ends are
+//! retained here, and at the worker, until the task's home has written them.
 //!
-//! What this trades away: a worker that cannot be reached keeps its tasks from
-//! running elsewhere for one dispatch window and one lease.
+//! The cost: tasks of an unreachable worker cannot run elsewhere for one
+//! dispatch window, one lease and a margin.
 
 mod orders;
 mod poll;
@@ -34,21 +34,21 @@
 
 pub use report::StartOutcome;
 
-/// Times that placers and homes count with; the same in all entry instances.
+/// Time limits of placers and homes; they must be the same in all entry instances.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Life of a task's lease after each renewal. Default 6 s.
+    /// Duration of a task's lease from each renewal. Default 6 s.
     pub lease: time::Duration,
     /// Time between renewals. Default 1.5 s.
     pub renew: time::Duration,
-    /// Longest time from writing a start or renewal to its receipt. Default 1 s.
+    /// Longest time from sending a start or renewal to its receipt. Default 1 s.
     pub window: time::Duration,
-    /// Allowance for clock rates and scheduling. Default 0.5 s.
+    /// Allowance for clock drift and scheduling delays. Default 0.5 s.
     pub margin: time::Duration,
-    /// Life of a reservation that was not told to start. Default 5 s.
-    pub hold: time::Duration,
-    /// Time after which news is told again. Default 1 s.
-    pub tell: time::Duration,
+    /// Time after which a reservation that was not started expires. Default 5 s.
+    pub hold_timeout: time::Duration,
+    /// Time after which an unconfirmed status update is repeated. Default 1 s.
+    pub notify_interval: time::Duration,
 }
 
 impl Default for Config {
@@ -58,8 +58,8 @@
             renew: time::Duration::from_millis(1_500),
             window: time::Duration::from_secs(1),
             margin: time::Duration::from_millis(500),
-            hold: time::Duration::from_secs(5),
-            tell: time::Duration::from_secs(1),
+            hold_timeout: time::Duration::from_secs(5),
+            notify_interval: time::Duration::from_secs(1),
         }
     }
 }
@@ -69,33 +69,33 @@
 pub struct HeldShard {
     /// Epoch under which it is held.
     pub epoch: ids::Epoch,
-    /// Latest moment at which an earlier holder can have dispatched.
+    /// Latest time at which an earlier holder can have dispatched a task.
     pub last_foreign_dispatch: time::Instant,
-    /// Its workers, as listed.
+    /// Its registered workers.
     pub workers: Vec<instances::Instance>,
 }
 
-/// What the adapter is to do.
+/// What the adapter must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a start, unless `bound` has passed or authority has ended.
+    /// Send a start, unless its `bound` has passed or the authority of this process has ended.
     Start(StartCall),
-    /// Send a renewal, likewise.
+    /// Send a renewal, under the same conditions.
     Renew(RenewCall),
     /// Send an action on a task.
     Act(ActCall),
-    /// Tell the holder of a job shard.
+    /// Send status updates to the holder of a job shard.
     Tell(ids::ShardId, Vec<message::TaskEvent>),
 }
 
-/// Where a call goes.
+/// The destination of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// Worker.
     pub worker: ids::InstanceId,
-    /// Where it listens.
+    /// Its address.
     pub address: net::SocketAddr,
-    /// Epoch that the call carries.
+    /// Epoch of the shard, which the call carries.
     pub epoch: ids::Epoch,
 }
 
@@ -104,7 +104,7 @@
 pub struct StartCall {
     /// Worker.
     pub target: Target,
-    /// Moment after which it is not to be written.
+    /// Time after which it must not be sent.
     pub bound: time::Instant,
     /// Body.
     pub start: worker::StartTask,
@@ -115,7 +115,7 @@
 pub struct RenewCall {
     /// Worker.
     pub target: Target,
-    /// Moment after which it is not to be written.
+    /// Time after which it must not be sent.
     pub bound: time::Instant,
     /// Body.
     pub renew: worker::Renew,
@@ -130,22 +130,22 @@
     pub act: worker::ActOnTask,
 }
 
-/// A shard in use.
+/// State of a held shard.
 #[derive(Clone, Debug)]
 struct Shard {
     epoch: ids::Epoch,
-    /// When every task of an earlier holder that was not renewed has lapsed.
+    /// When every task of an earlier holder that was not renewed since has lapsed.
     lapsed_at: time::Instant,
-    /// Whether no new task is placed on it.
+    /// Whether it takes no new tasks, as it is about to be handed over.
     draining: bool,
 }
 
-/// The latest of a home that was seen.
+/// The latest known state of the home of a job shard.
 #[derive(Clone, Copy, Debug, Default)]
-struct HomeSeen {
+struct KnownHome {
     epoch: ids::Epoch,
-    /// Number of its last inventory call.
-    inventory: u64,
+    /// Highest number of its inventory calls.
+    last_inventory: u64,
 }
 
 /// The placer of a process.
@@ -155,26 +155,26 @@
     shards: IndexMap<ids::ShardId, Shard>,
     sessions: IndexMap<ids::InstanceId, session::Session>,
     tasks: IndexMap<ids::TaskId, task::Task>,
-    /// Room on the workers.
+    /// Workers and their reserved resources.
     cluster: placement::Cluster,
     /// Preemption for the orders of one call.
     planner: placement::preempt::Planner,
-    /// What owners use and may use.
+    /// Usage and quotas of owners.
     shares: placement::Shares,
-    /// Whose fault failures were.
+    /// Attributes failures to workers or tasks.
     faults: placement::fault::Faults,
-    /// What tasks were seen to use.
+    /// Measured resource usage of tasks.
     learner: placement::learn::Learner,
-    /// Sizes of the workers held here, which bound what is reserved.
+    /// Sizes of the workers held here, which limit the size of a reservation.
     sizes: placement::feasibility::CellShape,
-    /// What was seen of each home.
-    homes: IndexMap<ids::ShardId, HomeSeen>,
+    /// The latest known state of each home.
+    homes: IndexMap<ids::ShardId, KnownHome>,
     actions: Vec<Action>,
     duplicates: u64,
 }
 
 impl Placer {
-    /// A placer without shards.
+    /// Creates a placer without shards.
     pub fn new(config: Config) -> Self {
         Self {
             config,
@@ -193,15 +193,15 @@
         }
     }
 
-    /// Takes over the shards held now and their workers as listed.
+    /// Sets the shards that are held now, with their registered workers.
     pub fn set_shards(&mut self, now: time::Instant, held: &IndexMap<ids::ShardId, HeldShard>) {
-        let lost: Vec<_> = self
+        let gone: Vec<_> = self
             .shards
             .iter()
             .filter(|(id, shard)| held.get(*id).is_none_or(|new| new.epoch != shard.epoch))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &lost {
+        for id in &gone {
             self.drop_shard(id);
         }
         for (id, new) in held {
@@ -210,15 +210,15 @@
                 lapsed_at: new.last_foreign_dispatch + self.config.lapse_time(),
                 draining: false,
             });
-            self.list_workers(now, id, &new.workers);
+            self.update_workers(now, id, &new.workers);
         }
         self.faults.set_total_workers(self.sessions.len());
         let workers = held.values().flat_map(|shard| &shard.workers);
         self.sizes = placement::feasibility::CellShape::of_all(workers);
-        self.open_workers(now);
+        self.update_open_workers(now);
     }
 
-    /// Forgets a shard: its next holder finds the tasks at the workers.
+    /// Drops a shard: its next holder finds the tasks at the workers.
     fn drop_shard(&mut self, id: &ids::ShardId) {
         self.shards.swap_remove(id);
         self.sessions.retain(|_, session| session.shard != *id);
@@ -226,7 +226,7 @@
         self.tasks.retain(|_, task| task.shard != *id);
     }
 
-    fn list_workers(
+    fn update_workers(
         &mut self,
         now: time::Instant,
         shard: &ids::ShardId,
@@ -241,7 +241,7 @@
             self.cluster
                 .add_worker(instance, placement::Readiness::Unreported);
             match self.sessions.get_mut(&instance.id) {
-                Some(session) if session.shard == *shard => session.list(instance),
+                Some(session) if session.shard == *shard => session.update_listing(instance),
                 _ => {
                     let session = session::Session::new(now, shard.clone(), instance);
                     self.sessions.insert(instance.id.clone(), session);
@@ -250,16 +250,16 @@
         }
     }
 
-    /// Stops placing on a shard, before it is handed over.
+    /// Stops placing tasks on a shard and ends its reservations, before it is handed over.
     pub fn drain(&mut self, shard: &ids::ShardId) {
         if let Some(shard) = self.shards.get_mut(shard) {
             shard.draining = true;
         }
-        let of_shard = |session: &&session::Session| session.shard == *shard;
+        let on_shard = |session: &&session::Session| session.shard == *shard;
         let closed: Vec<_> = self
             .sessions
             .iter()
-            .filter(|(_, session)| of_shard(session))
+            .filter(|(_, session)| on_shard(session))
             .map(|(id, _)| id.clone())
             .collect();
         for id in closed {
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Whether no start on the shard is without an answer.
+    /// Whether every start on the shard has been answered.
     pub fn is_drained(&self, shard: &ids::ShardId) -> bool {
         !self
             .tasks
@@ -284,23 +284,23 @@
             .any(|task| task.shard == *shard && task.state == message::TaskState::Starting)
     }
 
-    /// Notes the epoch of a home, as the claims tell it; earlier ones are refused.
+    /// Records the epoch of a home; returns `false` if a later one is known.
     pub fn note_home(&mut self, home: &message::HomeKey) -> bool {
         let known = self.homes.entry(home.shard.clone()).or_default();
         if home.epoch < known.epoch {
             return false;
         }
         if home.epoch > known.epoch {
-            *known = HomeSeen {
+            *known = KnownHome {
                 epoch: home.epoch,
-                inventory: 0,
+                last_inventory: 0,
             };
             self.drop_reservations_before(home);
         }
         true
     }
 
-    /// A reservation that only an earlier home could start is given back.
+    /// Releases reservations that only an earlier home could start.
     fn drop_reservations_before(&mut self, home: &message::HomeKey) {
         let old: Vec<_> = self
             .tasks
@@ -318,33 +318,33 @@
         }
     }
 
-    /// Notes how an attempt ended; its home is told until it acknowledges.
+    /// Records how an attempt ended; its home is notified until it acknowledges.
     fn end(&mut self, id: &ids::TaskId, end: message::End) {
         if let Some(task) = self.tasks.get_mut(id) {
             task.state = message::TaskState::Ended(end);
-            task.told_at = None;
+            task.notified_at = None;
             self.cluster.release(id);
         }
     }
 
-    /// Tasks that were found running although they had room elsewhere.
+    /// Number of times that a task was found running although it was placed elsewhere.
     pub fn duplicates(&self) -> u64 {
         self.duplicates
     }
 
-    /// The workers and their room.
+    /// The workers and their reserved resources.
     pub fn cluster(&self) -> &placement::Cluster {
         &self.cluster
     }
 
-    /// Attempts that are not known to have ended.
+    /// Number of attempts that are not known to have ended.
     pub fn active(&self) -> usize {
         self.tasks.values().filter(|task| task.is_active()).count()
     }
 }
 
 impl Config {
-    /// Time after the last dispatch by which a task that was not renewed has stopped.
+    /// Time after the last dispatch by which a task that was not renewed has lapsed.
     pub fn lapse_time(&self) -> time::Duration {
         self.window + self.lease + self.margin
     }
--- a/crates/figscale-core/src/job/placer/orders.rs
+++ b/crates/figscale-core/src/job/placer/orders.rs
@@ -1,4 +1,4 @@
-//! What homes ask of the placer.
+//! Calls from homes: place, start, stop, acknowledge, describe, inventory.
 
 use std::time;
 
@@ -22,7 +22,7 @@
         match question {
             message::Question::Place(home, scope, orders) => {
                 self.planner = placement::preempt::Planner::default();
-                let admitted = self.note_home(&home) && !self.is_overtaken(&home, &scope);
+                let admitted = self.note_home(&home) && !self.was_overtaken(&home, &scope);
                 let answers = orders
                     .into_iter()
                     .map(|order| match admitted {
@@ -33,11 +33,11 @@
                 message::Answer::Place(answers, self.summary())
             }
             message::Question::Tell(..) => message::Answer::NotHere,
-            other => self.answer_known_home(now, valid_until, other),
+            other => self.answer_current_home(now, valid_until, other),
         }
     }
 
-    fn answer_known_home(
+    fn answer_current_home(
         &mut self,
         now: time::Instant,
         valid_until: time::Instant,
@@ -81,7 +81,7 @@
             }
             message::Question::Inventory(_, call) => {
                 if let Some(seen) = self.homes.get_mut(&home.shard) {
-                    seen.inventory = seen.inventory.max(call);
+                    seen.last_inventory = seen.last_inventory.max(call);
                 }
                 message::Answer::Inventory(self.inventory(now, &home))
             }
@@ -89,11 +89,11 @@
         }
     }
 
-    /// Whether an inventory was taken that the call should have come before.
-    fn is_overtaken(&self, home: &message::HomeKey, scope: &message::Scope) -> bool {
+    /// Whether the call was sent before an inventory call that arrived earlier.
+    fn was_overtaken(&self, home: &message::HomeKey, scope: &message::Scope) -> bool {
         self.homes
             .get(&home.shard)
-            .is_some_and(|seen| scope.call < seen.inventory)
+            .is_some_and(|seen| scope.call < seen.last_inventory)
     }
 
     fn place(
@@ -113,7 +113,8 @@
             if known.is_active() || known.attempt >= order.attempt.number {
                 return message::OrderAnswer::Busy;
             }
-            // A later attempt says that the end of the earlier one is dealt with.
+            // An order for a later attempt shows that the home has processed the end
+            // of the earlier one.
             let earlier = message::Attempt {
                 task: id.clone(),
                 number: known.attempt,
@@ -129,8 +130,8 @@
         if !self.admits(&order) {
             return message::OrderAnswer::OverQuota;
         }
-        let Some(worker) = self.find_room(now, scope, &order) else {
-            self.make_room(scope, &order);
+        let Some(worker) = self.reserve(now, scope, &order) else {
+            self.preempt_for(scope, &order);
             return message::OrderAnswer::NoRoom;
         };
         let Some(session) = self.sessions.get(&worker) else {
@@ -147,14 +148,14 @@
             state: message::TaskState::Held,
             entry: Some(order.entry.clone()),
             order: Some(Box::new(order)),
-            hold_until: Some(now + self.config.hold),
+            hold_until: Some(now + self.config.hold_timeout),
             start_bound: None,
-            known_at: None,
+            seen_running_at: None,
             ends_at: None,
             may_run_until: now,
             action: None,
-            told_at: None,
-            noted: true,
+            notified_at: None,
+            home_informed: true,
         };
         let place = task.event(&id).place;
         self.tasks.insert(id.clone(), task);
@@ -234,7 +235,7 @@
         self.actions.push(super::Action::Start(call));
     }
 
-    /// Ends a task by its home's wish.
+    /// Ends a task at the request of its home.
     fn stop(&mut self, id: &ids::TaskId) {
         let Some(task) = self.tasks.get_mut(id) else {
             return;
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Sends what is wanted of a task to its worker.
+    /// Sends the requested action on a task to its worker, if there is one.
     pub(super) fn send_action(&mut self, id: &ids::TaskId) {
         let Some(task) = self.tasks.get(id) else {
             return;
@@ -273,7 +274,7 @@
         }));
     }
 
-    /// Forgets an end that its home has dealt with.
+    /// Drops an end that its home has processed, and lets the worker drop it too.
     fn acknowledge(&mut self, attempt: &message::Attempt) {
         let Some(task) = self.tasks.get(&attempt.task) else {
             return;
--- a/crates/figscale-core/src/job/placer/poll.rs
+++ b/crates/figscale-core/src/job/placer/poll.rs
@@ -1,4 +1,4 @@
-//! What becomes due with time.
+//! Timed work: expiry of reservations and leases, renewals, notification of homes.
 
 use std::time;
 
@@ -13,19 +13,19 @@
 use super::task;
 use crate::job::message;
 
-/// Time given to a task beyond its declared run time before its end is asked for.
+/// Time beyond a task's declared run time after which its worker is asked for a report.
 const END_GRACE: time::Duration = time::Duration::from_millis(20);
 
 impl Placer {
-    /// Everything to be done now; call after each input and at least every 100 ms.
+    /// Returns the actions due now; call after each input and at least every 100 ms.
     pub fn poll(&mut self, now: time::Instant, valid_until: time::Instant) -> Vec<Action> {
         self.expire(now);
         self.renew(now, valid_until);
-        self.tell(now);
+        self.notify_homes(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Gives back reservations and gives up tasks whose lease must have lapsed.
+    /// Releases expired reservations and ends tasks whose lease must have lapsed.
     fn expire(&mut self, now: time::Instant) {
         let margin = self.config.margin;
         let due: Vec<_> = self
@@ -43,14 +43,14 @@
         for (id, end) in due {
             self.end(&id, end);
         }
-        self.forget_unlisted();
-        self.open_workers(now);
+        self.drop_unlisted();
+        self.update_open_workers(now);
         self.probe_workers(now);
-        self.empty_leaving();
+        self.vacate_leaving_workers();
     }
 
-    /// Forgets workers that are no more listed and have nothing left here.
-    fn forget_unlisted(&mut self) {
+    /// Drops workers that are no longer registered and have no tasks here.
+    fn drop_unlisted(&mut self) {
         let busy = |id: &ids::InstanceId| self.tasks.values().any(|task| task.worker == *id);
         let gone: Vec<_> = self
             .sessions
@@ -74,10 +74,10 @@
         let due: Vec<_> = self
             .sessions
             .iter()
-            .filter(|(_, session)| !session.fenced && session.asked_at.is_none())
+            .filter(|(_, session)| !session.fenced && session.in_flight_since.is_none())
             .filter(|(id, session)| {
                 let busy = !session.proven && self.tasks.values().any(|t| t.worker == **id);
-                let pause = match session.hurry || busy || ending.contains(*id) {
+                let pause = match session.report_wanted || busy || ending.contains(*id) {
                     true => self.config.renew / 8,
                     false => self.config.renew,
                 };
@@ -90,10 +90,10 @@
         }
     }
 
-    /// Workers on which a task should have ended since they were last asked.
+    /// Workers on which a task should have ended since the last renewal was sent.
     ///
-    /// One call more for an end frees its room at once, instead of at the next
-    /// renewal.
+    /// The additional call frees the task's resources at once, instead of at the
+    /// next regular renewal.
     fn workers_with_ends(&self, now: time::Instant) -> IndexSet<ids::InstanceId> {
         let due = |task: &&task::Task| {
             let sent = self.sessions.get(&task.worker).and_then(|s| s.sent_at);
@@ -112,22 +112,22 @@
             return;
         };
         session.sent_at = Some(now);
-        session.asked_at = Some(now);
-        session.hurry = !session.has_reported();
-        // A worker that does not answer gets no more renewals: its tasks are to
-        // lapse at a time that is known.
-        let answers = now.saturating_duration_since(session.heard_at) < self.config.lease;
+        session.in_flight_since = Some(now);
+        session.report_wanted = !session.has_reported();
+        // Tasks of a worker that does not respond are no longer renewed, so that
+        // they lapse at a known time.
+        let responsive = now.saturating_duration_since(session.last_report_at) < self.config.lease;
         let not_after = session.clock_at(bound);
         let mut tasks = Vec::new();
-        let mut wanted = Vec::new();
+        let mut with_action = Vec::new();
         for (task_id, task) in &mut self.tasks {
             if task.worker != *id || !task.may_run() {
                 continue;
             }
             if task.action.is_some() {
-                wanted.push(task_id.clone());
+                with_action.push(task_id.clone());
             }
-            if answers && not_after.is_some() {
+            if responsive && not_after.is_some() {
                 task.may_run_until = task.may_run_until.max(bound + self.config.lease);
                 tasks.push(task_id.clone());
             }
@@ -148,42 +148,43 @@
                 not_after,
             },
         }));
-        for task in wanted {
+        for task in with_action {
             self.send_action(&task);
         }
     }
 
-    /// Tells homes what they have not acknowledged.
-    fn tell(&mut self, now: time::Instant) {
-        let mut news: IndexMap<ids::ShardId, Vec<message::TaskEvent>> = IndexMap::new();
+    /// Sends homes the status updates that they have not confirmed.
+    fn notify_homes(&mut self, now: time::Instant) {
+        let mut updates: IndexMap<ids::ShardId, Vec<message::TaskEvent>> = IndexMap::new();
         for (id, task) in &mut self.tasks {
             let ended = !task.is_active();
-            let wanted = ended || !task.noted;
+            let unconfirmed = ended || !task.home_informed;
             let due = task
-                .told_at
-                .is_none_or(|told| now >= told + self.config.tell);
-            if !wanted || !due {
+                .notified_at
+                .is_none_or(|sent| now >= sent + self.config.notify_interval);
+            if !unconfirmed || !due {
                 continue;
             }
-            task.told_at = Some(now);
-            news.entry(task.home.clone())
+            task.notified_at = Some(now);
+            updates
+                .entry(task.home.clone())
                 .or_default()
                 .push(task.event(id));
         }
-        let tells = news
+        let calls = updates
             .into_iter()
             .map(|(home, events)| Action::Tell(home, events));
-        self.actions.extend(tells);
+        self.actions.extend(calls);
     }
 
-    /// Notes that a home took note of attempts that run.
+    /// Records that a home has received status updates.
     pub fn on_told(&mut self, events: &[message::TaskEvent]) {
         for event in events {
             if let Some(task) = self.tasks.get_mut(&event.attempt.task)
                 && task.attempt == event.attempt.number
                 && task.state == event.state
             {
-                task.noted = true;
+                task.home_informed = true;
             }
         }
     }
--- a/crates/figscale-core/src/job/placer/report.rs
+++ b/crates/figscale-core/src/job/placer/report.rs
@@ -1,4 +1,4 @@
-//! What workers answer.
+//! Answers of workers: starts and reports.
 
 use std::time;
 
@@ -11,22 +11,22 @@
 use super::task;
 use crate::job::message;
 
-/// Time for which a task must run before its worker counts as proven.
+/// Run time of a task after which its worker counts as proven.
 const PROVEN_AFTER_MS: u64 = 1_000;
 
-/// What became of a start.
+/// The result of a start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartOutcome {
     /// The worker answered.
     Answered(worker::StartAnswer),
-    /// No byte of it was written.
+    /// Nothing of it was sent.
     NotSent,
-    /// Nobody can tell.
+    /// The answer was lost; the worker may have received the start.
     Unknown,
 }
 
 impl Placer {
-    /// Takes a worker's answer to a start.
+    /// Applies the result of a start.
     pub fn on_start(
         &mut self,
         now: time::Instant,
@@ -50,14 +50,14 @@
             }
             StartOutcome::Answered(_) => {
                 task.state = message::TaskState::Running;
-                task.known_at = Some(now);
-                task.noted = false;
-                task.told_at = None;
+                task.seen_running_at = Some(now);
+                task.home_informed = false;
+                task.notified_at = None;
             }
             StartOutcome::NotSent => self.end(&attempt.task, message::End::NotStarted),
             StartOutcome::Unknown => {
                 if let Some(session) = self.sessions.get_mut(&target.worker) {
-                    session.hurry = true;
+                    session.report_wanted = true;
                 }
             }
         }
@@ -72,20 +72,21 @@
             worker::StartRefusal::Leaving => session.leaving = true,
             worker::StartRefusal::RunsAlready
             | worker::StartRefusal::Full
-            | worker::StartRefusal::Late => session.hurry = true,
+            | worker::StartRefusal::Late => session.report_wanted = true,
         }
     }
 
-    /// Notes that a renewal or an action got no answer.
+    /// Records that the renewal sent at `asked_at` is no longer in flight; called when
+    /// it got no answer.
     pub fn on_no_report(&mut self, target: &Target, asked_at: time::Instant) {
         if let Some(session) = self.sessions.get_mut(&target.worker)
-            && session.asked_at == Some(asked_at)
+            && session.in_flight_since == Some(asked_at)
         {
-            session.asked_at = None;
+            session.in_flight_since = None;
         }
     }
 
-    /// Takes a worker's report, asked for at `asked_at` under the target's epoch.
+    /// Applies a worker's report to a call sent at `asked_at` under the target's epoch.
     pub fn on_report(
         &mut self,
         now: time::Instant,
@@ -105,26 +106,28 @@
             session.fenced = true;
             return;
         }
-        let earlier_life = session.life().filter(|life| *life != report.clock.life);
-        if !session.read_clock(now, report.clock) {
+        let earlier_incarnation = session
+            .incarnation()
+            .filter(|known| *known != report.clock.life);
+        if !session.record_clock(now, report.clock) {
             return;
         }
-        session.heard_at = now;
+        session.last_report_at = now;
         session.leaving |= report.leaving;
         for task in forgotten {
             session.forget.swap_remove(task);
         }
-        if let Some(proven) = proof(report) {
+        if let Some(proven) = proven_by_report(report) {
             session.proven = proven;
         }
         let outcome = self.cluster.sync(report, asked_at, now);
         self.learn(&outcome.ended);
-        for line in &report.tasks {
-            self.on_line(now, target, line);
+        for reported in &report.tasks {
+            self.on_task_report(now, target, reported);
         }
-        self.relieve(outcome.relief);
-        self.find_missing(target, asked_at, earlier_life.is_some(), report);
-        self.open_workers(now);
+        self.request_actions(outcome.relief);
+        self.end_missing(target, asked_at, earlier_incarnation.is_some(), report);
+        self.update_open_workers(now);
     }
 
     /// Whether the shard is still held under the epoch that a call carried.
@@ -135,51 +138,56 @@
             .is_some_and(|shard| shard.epoch == target.epoch)
     }
 
-    fn on_line(&mut self, now: time::Instant, target: &Target, line: &worker::TaskReport) {
-        match self.tasks.get(&line.task) {
-            Some(known) if known.worker == target.worker && known.attempt == line.attempt => {
-                self.on_known(now, line);
+    fn on_task_report(
+        &mut self,
+        now: time::Instant,
+        target: &Target,
+        reported: &worker::TaskReport,
+    ) {
+        match self.tasks.get(&reported.task) {
+            Some(known) if known.worker == target.worker && known.attempt == reported.attempt => {
+                self.on_known_task(now, reported);
             }
-            Some(known) if known.is_active() || known.attempt > line.attempt => {
-                self.on_duplicate(target, line);
+            Some(known) if known.is_active() || known.attempt > reported.attempt => {
+                self.on_duplicate(target, reported);
             }
-            _ => self.adopt(now, target, line),
+            _ => self.adopt(now, target, reported),
         }
     }
 
-    fn on_known(&mut self, now: time::Instant, line: &worker::TaskReport) {
-        let Some(task) = self.tasks.get_mut(&line.task) else {
+    fn on_known_task(&mut self, now: time::Instant, reported: &worker::TaskReport) {
+        let Some(task) = self.tasks.get_mut(&reported.task) else {
             return;
         };
-        let ended = end_of(line.phase);
+        let ended = end_of(reported.phase);
         match (task.state, ended) {
-            // It had been given up, yet runs: it must not go on.
+            // It was taken as ended but still runs: it must be stopped.
             (message::TaskState::Ended(_), None) => {
                 task.action = Some(worker::TaskAction::Stop);
-                self.send_action(&line.task);
+                self.send_action(&reported.task);
             }
-            // What was given up as lost turns out to have ended.
+            // It was taken as lost, and the worker now reports how it ended.
             (message::TaskState::Ended(message::End::Lost), Some(end)) => {
-                self.end(&line.task, end);
+                self.end(&reported.task, end);
             }
             (message::TaskState::Ended(_), Some(_)) => {}
             (_, Some(end)) => {
                 let worker = task.worker.clone();
-                self.judge(now, &worker, &line.task, end);
-                self.end(&line.task, end);
+                self.record_worker_outcome(now, &worker, &reported.task, end);
+                self.end(&reported.task, end);
             }
             (message::TaskState::Running, None) => {}
             (_, None) => {
                 task.state = message::TaskState::Running;
-                task.known_at = Some(now);
-                task.noted = false;
-                task.told_at = None;
+                task.seen_running_at = Some(now);
+                task.home_informed = false;
+                task.notified_at = None;
             }
         }
     }
 
-    /// Holds an end for or against the worker.
-    fn judge(
+    /// Counts a success or a failure for the worker.
+    fn record_worker_outcome(
         &mut self,
         now: time::Instant,
         worker: &ids::InstanceId,
@@ -191,14 +199,14 @@
             message::End::Failed => self.faults.failed(task, worker, now),
             _ => return,
         };
-        self.take_blame(blame);
+        self.apply_blame(blame);
     }
 
-    /// The task has room on another worker, or a later attempt of it is known.
-    fn on_duplicate(&mut self, target: &Target, line: &worker::TaskReport) {
-        if end_of(line.phase).is_some() {
+    /// Stops a task that is placed on another worker or has a later attempt.
+    fn on_duplicate(&mut self, target: &Target, reported: &worker::TaskReport) {
+        if end_of(reported.phase).is_some() {
             if let Some(session) = self.sessions.get_mut(&target.worker) {
-                session.forget.insert(line.task.clone());
+                session.forget.insert(reported.task.clone());
             }
             return;
         }
@@ -214,15 +222,15 @@
             },
             act: worker::ActOnTask {
                 epoch: target.epoch,
-                task: line.task.clone(),
+                task: reported.task.clone(),
                 action: worker::TaskAction::Stop,
             },
         }));
     }
 
-    /// Takes over a task of an earlier holder, or one that was given up.
-    fn adopt(&mut self, now: time::Instant, target: &Target, line: &worker::TaskReport) {
-        let Some(home) = jobs::shard_of(&line.task.job) else {
+    /// Adds a task that is not known here: one of an earlier holder, or one that was dropped.
+    fn adopt(&mut self, now: time::Instant, target: &Target, reported: &worker::TaskReport) {
+        let Some(home) = jobs::shard_of(&reported.task.job) else {
             return;
         };
         let Some(session) = self.sessions.get(&target.worker) else {
@@ -231,19 +239,19 @@
         let Some(shard) = self.shards.get(&session.shard) else {
             return;
         };
-        if session.forget.contains(&line.task) && end_of(line.phase).is_some() {
+        if session.forget.contains(&reported.task) && end_of(reported.phase).is_some() {
             return;
         }
-        // After the lapse its home may have placed it elsewhere.
+        // After that time its home may have placed it elsewhere.
         let too_late = now >= shard.lapsed_at;
-        let state = match end_of(line.phase) {
+        let state = match end_of(reported.phase) {
             Some(end) => message::TaskState::Ended(end),
             None => message::TaskState::Running,
         };
         let task = task::Task {
-            attempt: line.attempt,
+            attempt: reported.attempt,
             home,
-            home_epoch: line.home_epoch,
+            home_epoch: reported.home_epoch,
             shard: session.shard.clone(),
             worker: target.worker.clone(),
             state,
@@ -251,27 +259,28 @@
             order: None,
             hold_until: None,
             start_bound: None,
-            known_at: Some(now),
+            seen_running_at: Some(now),
             ends_at: None,
             may_run_until: now + self.config.window + self.config.lease,
             action: (too_late && state == message::TaskState::Running)
                 .then_some(worker::TaskAction::Stop),
-            told_at: None,
-            noted: false,
+            notified_at: None,
+            home_informed: false,
         };
-        self.tasks.insert(line.task.clone(), task);
-        self.send_action(&line.task);
+        self.tasks.insert(reported.task.clone(), task);
+        self.send_action(&reported.task);
     }
 
-    /// Ends tasks that the worker should list, but does not.
-    fn find_missing(
+    /// Ends tasks that are missing from a report that should list them.
+    fn end_missing(
         &mut self,
         target: &Target,
         asked_at: time::Instant,
-        reborn: bool,
+        restarted: bool,
         report: &worker::WorkerReport,
     ) {
-        let listed: indexmap::IndexSet<_> = report.tasks.iter().map(|line| &line.task).collect();
+        let listed: indexmap::IndexSet<_> =
+            report.tasks.iter().map(|reported| &reported.task).collect();
         let missing: Vec<_> = self
             .tasks
             .iter()
@@ -279,7 +288,7 @@
                 task.worker == target.worker && task.may_run() && !listed.contains(id)
             })
             .filter_map(|(id, task)| {
-                let end = missing_end(task, asked_at, reborn, report)?;
+                let end = missing_end(task, asked_at, restarted, report)?;
                 Some((id.clone(), end))
             })
             .collect();
@@ -289,38 +298,42 @@
     }
 }
 
-/// What the absence of a task from a report tells, if anything.
+/// How a task that is missing from a report ended; `None` if that is still open.
 fn missing_end(
     task: &task::Task,
     asked_at: time::Instant,
-    reborn: bool,
+    restarted: bool,
     report: &worker::WorkerReport,
 ) -> Option<message::End> {
     match (task.state, task.start_bound) {
         (message::TaskState::Starting, Some(bound)) if bound.life == report.clock.life => {
-            // Later than its bound the worker refuses the start.
+            // After the bound of the start the worker refuses it.
             (report.clock.elapsed_ms > bound.elapsed_ms).then_some(message::End::NotStarted)
         }
         (message::TaskState::Starting, _) => Some(message::End::Lost),
-        _ if reborn => Some(message::End::Lost),
-        // A report asked for earlier may have been made before the start.
+        _ if restarted => Some(message::End::Lost),
+        // A report requested earlier may have been made before the start.
         _ => task
-            .known_at
-            .is_some_and(|known_at| asked_at >= known_at)
+            .seen_running_at
+            .is_some_and(|seen_running_at| asked_at >= seen_running_at)
             .then_some(message::End::Lost),
     }
 }
 
-/// What a report tells of whether the worker does its work; failures weigh more.
-fn proof(report: &worker::WorkerReport) -> Option<bool> {
+/// Whether a report shows that tasks run properly on the worker.
+///
+/// Any task that succeeded or has run for long enough shows that it does;
+/// failures without such a task show that it does not. Otherwise the report
+/// shows neither.
+fn proven_by_report(report: &worker::WorkerReport) -> Option<bool> {
     let failed = |task: &worker::TaskReport| task.phase == worker::TaskPhase::Failed;
-    let well = |task: &worker::TaskReport| match task.phase {
+    let is_proof = |task: &worker::TaskReport| match task.phase {
         worker::TaskPhase::Done => true,
         worker::TaskPhase::Running => task.ran_ms >= PROVEN_AFTER_MS,
         _ => false,
     };
     let tasks = &report.tasks;
-    match (tasks.iter().any(failed), tasks.iter().any(well)) {
+    match (tasks.iter().any(failed), tasks.iter().any(is_proof)) {
         (true, false) => Some(false),
         (_, true) => Some(true),
         (false, false) => None,
--- a/crates/figscale-core/src/job/placer/room.rs
+++ b/crates/figscale-core/src/job/placer/room.rs
@@ -1,4 +1,4 @@
-//! Room on workers, which the cluster gives away.
+//! Resources on workers: reservation, preemption, usage, and which workers take tasks.
 
 use std::time;
 
@@ -10,83 +10,83 @@
 use crate::job::message;
 use crate::job::placement;
 
-/// Tasks on a worker that has not yet kept one running.
+/// Most tasks on a worker that is not proven: one that has not yet run a task properly.
 const MAX_UNPROVEN_TASKS: usize = 8;
 
 impl Placer {
-    /// Takes over what placement weighs and what owners may use.
+    /// Sets the placement weights and the quotas of owners.
     pub fn set_catalogue(&mut self, catalogue: &catalogue::Catalogue) {
         let weights = catalogue.weights;
         self.cluster.set_config(placement::Config { weights });
         self.shares.set_catalogue(catalogue);
     }
 
-    /// What owners use on the workers held here, for the other placers.
+    /// Usage of owners on the workers held here, for the other placers.
     pub fn usage(&self) -> placement::UsageByOwner {
         let all = self.cluster.usage_by_owner();
         all.map(|(owner, used)| (owner.clone(), *used)).collect()
     }
 
-    /// Takes over what owners use on the workers that a peer holds.
+    /// Sets the usage of owners on the workers that a peer holds.
     pub fn set_peer_usage(&mut self, peer: ids::MemberId, usage: placement::UsageByOwner) {
         self.shares.set_peer(peer, usage);
     }
 
-    /// Forgets what owners use at a peer that is gone.
+    /// Drops the usage of owners at a peer that is gone.
     pub fn remove_peer(&mut self, peer: &ids::MemberId) {
         self.shares.remove_peer(peer);
     }
 
-    /// Whether the owner's quota has room for the order.
+    /// Whether the order fits into the owner's quota.
     pub(super) fn admits(&self, order: &message::TaskOrder) -> bool {
         self.shares
             .admits(&order.owner, &self.cluster, &order.resources)
     }
 
-    /// Gives an order room on a worker.
-    pub(super) fn find_room(
+    /// Reserves resources for an order on a worker.
+    pub(super) fn reserve(
         &mut self,
         now: time::Instant,
         scope: &message::Scope,
         order: &message::TaskOrder,
     ) -> Option<ids::InstanceId> {
-        let barred = self.barred(scope, order);
-        let mut ask = self.ask(order);
-        ask.avoid.extend(barred.iter().cloned());
-        if let Ok(worker) = self.cluster.place(&ask, now, None) {
+        let excluded = self.excluded_workers(scope, order);
+        let mut request = self.request_of(order);
+        request.avoid.extend(excluded.iter().cloned());
+        if let Ok(worker) = self.cluster.place(&request, now, None) {
             return Some(worker);
         }
         if order.avoid.is_empty() {
             return None;
         }
-        // Better on a worker where it failed than nowhere.
-        ask.avoid = barred;
-        self.cluster.place(&ask, now, None).ok()
+        // A worker on which it failed is still better than none.
+        request.avoid = excluded;
+        self.cluster.place(&request, now, None).ok()
     }
 
-    /// Ends or slows less urgent tasks, so that the order fits when it comes again.
-    pub(super) fn make_room(&mut self, scope: &message::Scope, order: &message::TaskOrder) {
+    /// Preempts or throttles less urgent tasks, so that the order fits when it is repeated.
+    pub(super) fn preempt_for(&mut self, scope: &message::Scope, order: &message::TaskOrder) {
         if order.urgency == catalogue::Urgency::BestEffort {
             return;
         }
-        let mut ask = self.ask(order);
-        ask.avoid = self.barred(scope, order);
-        let Some(plan) = self.planner.plan(&mut self.cluster, &ask) else {
+        let mut request = self.request_of(order);
+        request.avoid = self.excluded_workers(scope, order);
+        let Some(plan) = self.planner.plan(&mut self.cluster, &request) else {
             return;
         };
         let steps = plan.steps.into_iter();
-        self.relieve(steps.map(|step| (step.task, step.action)).collect());
+        self.request_actions(steps.map(|step| (step.task, step.action)).collect());
     }
 
-    /// Takes over what a task is that was found running.
+    /// Applies the description of a task that was found running.
     pub(super) fn describe(&mut self, order: &message::TaskOrder) {
         if let Some(task) = self.tasks.get_mut(&order.attempt.task) {
             task.entry = Some(order.entry.clone());
         }
-        self.cluster.describe(self.ask(order));
+        self.cluster.describe(self.request_of(order));
     }
 
-    /// Takes over what ended tasks used, for those that are placed later.
+    /// Learns the usage of ended tasks, for the reservations of later ones.
     pub(super) fn learn(&mut self, ended: &[(worker::TaskPhase, placement::Holding)]) {
         for (phase, holding) in ended {
             let task = self.tasks.get(&holding.ask.task);
@@ -100,8 +100,8 @@
         }
     }
 
-    /// What an order wants, by what was learned of the like.
-    fn ask(&self, order: &message::TaskOrder) -> placement::Ask {
+    /// The placement request of an order, with the size learned from similar tasks.
+    fn request_of(&self, order: &message::TaskOrder) -> placement::Ask {
         let learned = self.learner.learned(&order.entry, &order.owner);
         let size = self.sizes.reservation(&order.resources, &learned.size);
         placement::Ask {
@@ -121,9 +121,10 @@
         }
     }
 
-    /// Moves tasks off workers that are leaving: what can be saved is saved,
-    /// services are started elsewhere, the rest runs to its end.
-    pub(super) fn empty_leaving(&mut self) {
+    /// Moves tasks off workers that are leaving: checkpointable tasks are
+    /// checkpointed, tasks of services are stopped to be started elsewhere, and
+    /// all others run to their end.
+    pub(super) fn vacate_leaving_workers(&mut self) {
         let mut wanted = Vec::new();
         for (id, task) in &self.tasks {
             let session = self.sessions.get(&task.worker);
@@ -140,12 +141,16 @@
                 wanted.push((id.clone(), worker::TaskAction::Stop));
             }
         }
-        self.relieve(wanted);
+        self.request_actions(wanted);
     }
 
-    /// Workers that the order may not use, though they take work.
-    fn barred(&self, scope: &message::Scope, order: &message::TaskOrder) -> Vec<ids::InstanceId> {
-        let named = |id: &ids::ShardId| {
+    /// Workers that take tasks but must not be used for the order.
+    fn excluded_workers(
+        &self,
+        scope: &message::Scope,
+        order: &message::TaskOrder,
+    ) -> Vec<ids::InstanceId> {
+        let in_scope = |id: &ids::ShardId| {
             let epoch = self.shards.get(id).map(|shard| shard.epoch);
             epoch.is_some_and(|epoch| {
                 scope
@@ -154,43 +159,44 @@
                     .any(|known| *known == (id.clone(), epoch))
             })
         };
-        let unnamed: indexmap::IndexSet<_> = self.shards.keys().filter(|id| !named(id)).collect();
-        // A worker that fails everything would lose all that fits on it before
-        // the first report of a failure.
-        let tried_enough = |id: &ids::InstanceId, session: &super::session::Session| {
+        let out_of_scope: indexmap::IndexSet<_> =
+            self.shards.keys().filter(|id| !in_scope(id)).collect();
+        // A worker on which every task fails would otherwise be filled, and fail
+        // all these tasks, before the first failure is reported.
+        let at_unproven_limit = |id: &ids::InstanceId, session: &super::session::Session| {
             let tasks = self.cluster.worker(id).map_or(0, |w| w.tasks().count());
             !session.proven && tasks >= MAX_UNPROVEN_TASKS
         };
         self.sessions
             .iter()
             .filter(|(id, session)| {
-                unnamed.contains(&session.shard)
+                out_of_scope.contains(&session.shard)
                     || session.forget.contains(&order.attempt.task)
-                    || tried_enough(id, session)
+                    || at_unproven_limit(id, session)
             })
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    /// Opens workers to new tasks, or closes them.
-    pub(super) fn open_workers(&mut self, now: time::Instant) {
-        let silence = self.config.lease;
+    /// Updates which workers take new tasks.
+    pub(super) fn update_open_workers(&mut self, now: time::Instant) {
+        let max_contact_age = self.config.lease;
         for (id, session) in &mut self.sessions {
             let shard = self.shards.get(&session.shard);
             let draining = shard.is_none_or(|shard| shard.draining);
-            let open = !draining && session.takes_work(now, silence);
+            let open = !draining && session.takes_work(now, max_contact_age);
             self.cluster.set_leaving(id, !open);
         }
     }
 
-    /// Takes over whom failures and successes speak against.
-    pub(super) fn take_blame(&mut self, blame: placement::fault::Blame) {
+    /// Applies the workers' standings that follow from failures and successes.
+    pub(super) fn apply_blame(&mut self, blame: placement::fault::Blame) {
         for (worker, standing) in blame.workers {
             self.cluster.set_standing(&worker, standing);
         }
     }
 
-    /// Tries workers again that were set aside.
+    /// Starts to probe ejected workers that are due for it.
     pub(super) fn probe_workers(&mut self, now: time::Instant) {
         for worker in self.faults.probes(now) {
             self.cluster
@@ -198,9 +204,11 @@
         }
     }
 
-    /// Acts on tasks that use more than they may, before their neighbours suffer.
-    pub(super) fn relieve(&mut self, relief: Vec<(ids::TaskId, worker::TaskAction)>) {
-        for (id, action) in relief {
+    /// Requests actions on tasks: on those that use more than they may, before others
+    /// on the worker suffer, on preempted ones and on those of leaving workers. An
+    /// action requested earlier stays.
+    pub(super) fn request_actions(&mut self, requests: Vec<(ids::TaskId, worker::TaskAction)>) {
+        for (id, action) in requests {
             let Some(task) = self.tasks.get_mut(&id) else {
                 continue;
             };
@@ -211,7 +219,7 @@
         }
     }
 
-    /// Free room, for homes.
+    /// Free resources, for homes.
     pub fn summary(&self) -> message::Summary {
         let mut summary = message::Summary::default();
         for worker in self.cluster.workers().filter(|worker| worker.takes_work()) {
--- a/crates/figscale-core/src/job/placer/session.rs
+++ b/crates/figscale-core/src/job/placer/session.rs
@@ -1,4 +1,4 @@
-//! A worker as its placer sees it.
+//! What a placer knows of a worker.
 
 use std::time;
 
@@ -8,7 +8,7 @@
 use figscale_types::worker;
 use indexmap::IndexSet;
 
-/// A reading of a worker's clock and when its answer arrived.
+/// A reading of a worker's clock and when the answer with it arrived.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     clock: worker::WorkerClock,
@@ -22,26 +22,26 @@
     pub(super) address: std::net::SocketAddr,
     pub(super) listed: bool,
     pub(super) leaving: bool,
-    /// A later holder was seen at the worker.
+    /// Whether the worker has seen a later holder of the shard.
     pub(super) fenced: bool,
-    /// Known since it first answered under the shard's epoch.
+    /// Latest clock reading; set once it has answered under the shard's epoch.
     reading: Option<Reading>,
     /// When the renewal in flight was sent.
-    pub(super) asked_at: Option<time::Instant>,
+    pub(super) in_flight_since: Option<time::Instant>,
     /// When the last renewal was sent.
     pub(super) sent_at: Option<time::Instant>,
-    /// When it last answered.
-    pub(super) heard_at: time::Instant,
-    /// Whether it was seen to keep a task running, or end well, since one failed.
+    /// When its last report arrived.
+    pub(super) last_report_at: time::Instant,
+    /// Whether a task has succeeded or run for long enough on it since one failed.
     pub(super) proven: bool,
-    /// Whether a report is wanted at once.
-    pub(super) hurry: bool,
-    /// Ended tasks that the worker may forget.
+    /// Whether a report is needed before the next regular renewal.
+    pub(super) report_wanted: bool,
+    /// Ended tasks that the worker may drop.
     pub(super) forget: IndexSet<ids::TaskId>,
 }
 
 impl Session {
-    /// A worker that has not answered yet.
+    /// Creates the state of a worker that has not answered yet.
     pub(super) fn new(
         now: time::Instant,
         shard: ids::ShardId,
@@ -54,17 +54,17 @@
             leaving: instance.life == instances::Life::Leaving,
             fenced: false,
             reading: None,
-            asked_at: None,
+            in_flight_since: None,
             sent_at: None,
-            heard_at: now,
+            last_report_at: now,
             proven: false,
-            hurry: true,
+            report_wanted: true,
             forget: IndexSet::new(),
         }
     }
 
-    /// Takes over its line of the list; a sign of leaving is kept.
-    pub(super) fn list(&mut self, instance: &instances::Instance) {
+    /// Updates it from the list of workers; once leaving, it stays so.
+    pub(super) fn update_listing(&mut self, instance: &instances::Instance) {
         self.listed = true;
         self.address = instance.address;
         self.leaving |= instance.life == instances::Life::Leaving;
@@ -75,17 +75,17 @@
         self.reading.is_some()
     }
 
-    /// Whether it may get new tasks.
-    pub(super) fn takes_work(&self, now: time::Instant, silence: time::Duration) -> bool {
+    /// Whether it may get new tasks; not if its last report is `max_contact_age` old.
+    pub(super) fn takes_work(&self, now: time::Instant, max_contact_age: time::Duration) -> bool {
         self.has_reported()
             && self.listed
             && !self.leaving
             && !self.fenced
-            && now.saturating_duration_since(self.heard_at) < silence
+            && now.saturating_duration_since(self.last_report_at) < max_contact_age
     }
 
-    /// Notes a reading; `false` when it is older than one already seen.
-    pub(super) fn read_clock(&mut self, now: time::Instant, clock: worker::WorkerClock) -> bool {
+    /// Records a reading; returns `false` if it is older than the latest one.
+    pub(super) fn record_clock(&mut self, now: time::Instant, clock: worker::WorkerClock) -> bool {
         if let Some(known) = self.reading
             && known.clock.life == clock.life
             && known.clock.elapsed_ms > clock.elapsed_ms
@@ -99,15 +99,15 @@
         true
     }
 
-    /// The life that last answered.
-    pub(super) fn life(&self) -> Option<u64> {
+    /// The incarnation that last answered.
+    pub(super) fn incarnation(&self) -> Option<u64> {
         self.reading.map(|reading| reading.clock.life)
     }
 
-    /// The worker's clock at `bound`, or a little earlier.
+    /// The time on the worker's clock at `bound`, or slightly earlier.
     ///
-    /// The reading was made before its answer arrived, so counting from the
-    /// arrival errs on the early side.
+    /// The reading was taken before its answer arrived, so extrapolating from
+    /// the arrival gives a time that is too early rather than too late.
     pub(super) fn clock_at(&self, bound: time::Instant) -> Option<worker::WorkerClock> {
         let reading = self.reading?;
         let ahead = bound.saturating_duration_since(reading.answered_at);
--- a/crates/figscale-core/src/job/placer/task.rs
+++ b/crates/figscale-core/src/job/placer/task.rs
@@ -1,4 +1,4 @@
-//! An attempt as its placer sees it.
+//! What a placer knows of a task.
 
 use std::time;
 
@@ -7,41 +7,41 @@
 
 use crate::job::message;
 
-/// An attempt with room on a worker, or ended and not yet acknowledged.
+/// An attempt that is placed on a worker, or has ended and is not yet acknowledged.
 #[derive(Clone, Debug)]
 pub(super) struct Task {
     pub(super) attempt: u32,
-    /// Job shard, and the highest epoch of its home that spoke of the task.
+    /// Job shard of the task, and the latest epoch of its home seen in an order or report.
     pub(super) home: ids::ShardId,
     pub(super) home_epoch: ids::Epoch,
     pub(super) shard: ids::ShardId,
     pub(super) worker: ids::InstanceId,
     pub(super) state: message::TaskState,
-    /// Catalogue entry; `None` until the home has told what a task is that was
-    /// found running.
+    /// Catalogue entry; `None` for a task that was found running and that its
+    /// home has not described yet.
     pub(super) entry: Option<ids::EntryName>,
-    /// What to start once told to.
+    /// The order, until the start is sent.
     pub(super) order: Option<Box<message::TaskOrder>>,
-    /// When a reservation is given back.
+    /// When the reservation expires.
     pub(super) hold_until: Option<time::Instant>,
-    /// Bound that the start carried.
+    /// Bound of the start, on the worker's clock.
     pub(super) start_bound: Option<worker::WorkerClock>,
-    /// When it became known that it runs.
-    pub(super) known_at: Option<time::Instant>,
-    /// When it ends if it runs as long as it declared.
+    /// When the worker was first known to run it.
+    pub(super) seen_running_at: Option<time::Instant>,
+    /// When it ends if it runs for its declared run time.
     pub(super) ends_at: Option<time::Instant>,
-    /// When it must have stopped, as far as anything sent tells.
+    /// When its lease lapses, by the latest start or renewal that was sent.
     pub(super) may_run_until: time::Instant,
-    /// What its home, or the placer itself, wants done to it.
+    /// Action requested by its home or by the placer.
     pub(super) action: Option<worker::TaskAction>,
-    /// When its home was last told of its state.
-    pub(super) told_at: Option<time::Instant>,
-    /// Whether its home need not be told again.
-    pub(super) noted: bool,
+    /// When its home was last notified of its state.
+    pub(super) notified_at: Option<time::Instant>,
+    /// Whether its home knows that it runs, so that no update is needed.
+    pub(super) home_informed: bool,
 }
 
 impl Task {
-    /// Whether it has room on its worker.
+    /// Whether it has resources reserved on its worker.
     pub(super) fn is_active(&self) -> bool {
         !matches!(self.state, message::TaskState::Ended(_))
     }
@@ -54,7 +54,7 @@
         )
     }
 
-    /// Its news.
+    /// Its status update.
     pub(super) fn event(&self, id: &ids::TaskId) -> message::TaskEvent {
         message::TaskEvent {
             attempt: message::Attempt {
--- a/crates/figscale-core/tests/job_faults/cell/claims.rs
+++ b/crates/figscale-core/tests/job_faults/cell/claims.rs
@@ -1,4 +1,4 @@
-//! Who holds which shard, and what entry instances know of it.
+//! Which entry instance holds which shard, and when each learns of it.
 
 use std::time;
 
@@ -20,9 +20,9 @@
 use crate::worker;
 
 impl Cell {
-    /// Renews members' leases and moves the shards of those that lapsed.
+    /// Renews members' leases and moves the shards of members whose lease lapsed.
     ///
-    /// Claims go on while the store is down, as promises among peers allow.
+    /// Claims continue while the store is down, as commitments among peers allow.
     pub(super) fn step_claims(&mut self) {
         let now = self.now;
         for entry in &mut self.entries {
@@ -42,12 +42,12 @@
         self.finish_hand_overs();
     }
 
-    /// The shards of a member whose lease lapsed go to others, or wait.
+    /// Moves the shards of a member whose lease lapsed to others, if there are any.
     pub(super) fn take_over_from(&mut self, index: usize) {
         let last = self.entries[index].renewed_at + ENTRY_LEASE;
         let entry = &self.entries[index];
-        // A process that finds itself out comes back as the member it was, with
-        // all that it knew, or started anew.
+        // A process that is still running joins again, either with its state or,
+        // as often, as a restarted process without it.
         if entry.alive && entry.frozen_until.is_none() {
             let incarnation = entry.key.incarnation.0;
             if self.rng.random_bool(0.5) {
@@ -73,7 +73,7 @@
                 shard.draining_to = None;
             }
         }
-        self.push_views();
+        self.schedule_view_updates();
     }
 
     pub(super) fn finish_hand_overs(&mut self) {
@@ -99,19 +99,19 @@
             moved = true;
         }
         if moved {
-            self.push_views();
+            self.schedule_view_updates();
         }
     }
 
-    pub(super) fn push_views(&mut self) {
+    pub(super) fn schedule_view_updates(&mut self) {
         for index in 0..self.entries.len() {
             let at = self.now + self.millis(0, 300);
             self.deliveries.push((at, Delivery::View(index)));
         }
     }
 
-    /// An entry takes over the claims as they are now.
-    pub(super) fn push_view(&mut self, index: usize) {
+    /// Applies the current claims to an entry instance.
+    pub(super) fn update_view(&mut self, index: usize) {
         let now = self.home_now();
         let own_worker_shards = self
             .shards
@@ -170,9 +170,9 @@
                 entry.homes.insert(id, home::Home::new(config, key));
             }
         }
-        let me = entry.key.clone();
+        let own_key = entry.key.clone();
         for home in entry.homes.values_mut() {
-            home.set_shards(now, &me, &holders);
+            home.set_shards(now, &own_key, &holders);
         }
     }
 
--- a/crates/figscale-core/tests/job_faults/cell/faults.rs
+++ b/crates/figscale-core/tests/job_faults/cell/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in the cell, and how it passes.
+//! Faults of the simulated cell: how they begin and end.
 
 use std::time;
 
@@ -58,10 +58,10 @@
     }
 
     pub(crate) fn restart_worker(&mut self, index: usize) {
-        self.next_life += 1;
+        self.next_incarnation += 1;
         let worker = &mut self.workers[index];
-        worker.life = self.next_life;
-        worker.born_at = self.now;
+        worker.incarnation = self.next_incarnation;
+        worker.booted_at = self.now;
         worker.epoch = ids::Epoch(0);
         worker.tasks.clear();
     }
@@ -79,8 +79,8 @@
             return;
         }
         shard.draining_to = Some(to);
-        // The shard is taken off the held ones before it is drained.
-        self.push_view(from);
+        // The shard is removed from the holder's shards before it is drained.
+        self.update_view(from);
         let entry = &mut self.entries[from];
         entry.placer.drain(&id);
         if let Some(home) = entry.homes.get_mut(&id) {
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn thaw(&mut self) {
+    pub(super) fn end_faults(&mut self) {
         let now = self.now;
         for worker in &mut self.workers {
             if worker.frozen_until.is_some_and(|until| now >= until) {
--- a/crates/figscale-core/tests/job_faults/cell/mod.rs
+++ b/crates/figscale-core/tests/job_faults/cell/mod.rs
@@ -1,5 +1,5 @@
-//! Entry instances, workers, a store and a network that does its worst, in one
-//! process and on a clock that only the test moves.
+//! A simulated cell: entry instances, workers, a store and a faulty network, in one
+//! process and on a clock that only the test advances.
 
 mod claims;
 mod faults;
@@ -29,7 +29,7 @@
 const ENTRY_MARGIN: time::Duration = time::Duration::from_millis(200);
 const ENTRY_RENEW: time::Duration = time::Duration::from_millis(400);
 
-/// What goes wrong, as chances in each step.
+/// Probability of each fault, per step, message or answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     pub(crate) lose_message: f64,
@@ -58,11 +58,11 @@
     holder: usize,
     epoch: ids::Epoch,
     last_foreign_dispatch: time::Instant,
-    /// Until when the holder's drain is under way, to hand over.
+    /// Entry instance that gets the shard once its holder has drained it.
     draining_to: Option<usize>,
 }
 
-/// A call under way.
+/// A call in flight.
 #[derive(Clone)]
 enum Call {
     Start(placer::StartCall),
@@ -99,7 +99,7 @@
     View(usize),
 }
 
-/// A job as its submitter sees it.
+/// The state of a submission as its caller knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Submitted {
     Waiting,
@@ -123,7 +123,7 @@
     requests: IndexMap<u64, Pending>,
     deliveries: Vec<(time::Instant, Delivery)>,
     next_call: u64,
-    next_life: u64,
+    next_incarnation: u64,
     tickets: IndexMap<home::Ticket, ids::JobId>,
     pub(crate) submitted: IndexMap<ids::JobId, Submitted>,
     pub(crate) specs: IndexMap<ids::JobId, jobs::JobSpec>,
@@ -131,7 +131,7 @@
     started_on: Vec<usize>,
     pub(crate) violations: Vec<String>,
     pub(crate) writes: u64,
-    /// Orders that homes sent to placers, repeats included.
+    /// Number of orders that homes sent to placers, repeats included.
     pub(crate) orders: usize,
 }
 
@@ -142,8 +142,8 @@
         renew: millis(400),
         window: millis(400),
         margin: millis(200),
-        hold: millis(2_000),
-        tell: millis(400),
+        hold_timeout: millis(2_000),
+        notify_interval: millis(400),
     }
 }
 
@@ -165,7 +165,7 @@
             requests: IndexMap::new(),
             deliveries: Vec::new(),
             next_call: 0,
-            next_life: 0,
+            next_incarnation: 0,
             tickets: IndexMap::new(),
             submitted: IndexMap::new(),
             specs: IndexMap::new(),
@@ -187,7 +187,7 @@
             cell.add_shard(shard, number as usize % entries);
         }
         for entry in 0..entries {
-            cell.push_view(entry);
+            cell.update_view(entry);
         }
         cell
     }
@@ -208,13 +208,13 @@
     }
 
     fn add_worker(&mut self, index: usize) {
-        self.next_life += 1;
+        self.next_incarnation += 1;
         let id: ids::InstanceId = format!("worker-{index}").parse().expect("a legal name");
         self.workers.push(worker::Worker {
             id,
             capacity: resources(4_000),
-            life: self.next_life,
-            born_at: self.now,
+            incarnation: self.next_incarnation,
+            booted_at: self.now,
             clock_skew: self.rng.random_range(-5..=5),
             epoch: ids::Epoch(0),
             leaving: false,
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Submits a job to the present holder of its shard.
+    /// Submits a job to the current holder of its shard.
     pub(crate) fn submit(&mut self, id: &str, spec: jobs::JobSpec, terms: jobs::JobTerms) {
         let id: ids::JobId = id.parse().expect("a legal name");
         let now = self.home_now();
@@ -278,7 +278,7 @@
         home.submit(now, ticket, home::Submission { id, spec, terms });
     }
 
-    /// Cancels a job at the present holder of its shard.
+    /// Cancels a job at the current holder of its shard.
     pub(crate) fn cancel(&mut self, id: &str) {
         let id: ids::JobId = id.parse().expect("a legal name");
         let now = self.home_now();
@@ -288,7 +288,7 @@
         home.cancel(now, home::Ticket(u64::MAX), &id);
     }
 
-    /// Starts seen by a worker.
+    /// Number of starts that a worker has accepted.
     pub(crate) fn starts_on(&self, index: usize) -> usize {
         self.started_on[index]
     }
@@ -300,7 +300,7 @@
         shard
     }
 
-    /// The status of a job, from its present home.
+    /// The status of a job, from its current home.
     pub(crate) fn status(&self, id: &ids::JobId) -> Option<jobs::JobStatus> {
         let shard = self.shard_of_job(id);
         let entry = &self.entries[self.shards[&shard].holder];
@@ -317,7 +317,7 @@
     pub(crate) fn step(&mut self) {
         self.now += STEP;
         self.cause_faults();
-        self.thaw();
+        self.end_faults();
         self.step_claims();
         self.deliver();
         for worker in &mut self.workers {
@@ -328,7 +328,7 @@
         for index in 0..self.entries.len() {
             self.poll_entry(index);
         }
-        self.judge_capacity();
+        self.check_capacity();
     }
 
     /// Jobs that were accepted.
@@ -340,7 +340,7 @@
             .collect()
     }
 
-    /// Draws a number below `limit`.
+    /// Draws a random number below `limit`.
     pub(crate) fn draw(&mut self, limit: u64) -> u64 {
         self.rng.random_range(0..limit)
     }
--- a/crates/figscale-core/tests/job_faults/cell/network.rs
+++ b/crates/figscale-core/tests/job_faults/cell/network.rs
@@ -1,5 +1,5 @@
-//! Calls under way: what entry instances ask, when it arrives, what is
-//! answered and how the answer is taken in.
+//! Calls in flight: sending, delivery, the answers of the other side, and their
+//! delivery to the caller.
 
 use figscale_core::job::home;
 use figscale_core::job::message;
@@ -61,14 +61,14 @@
             });
         }
         for (ticket, outcome) in answers {
-            self.take_answer(ticket, &outcome);
+            self.record_outcome(ticket, &outcome);
         }
         for call in wanted {
             self.send(caller.clone(), call);
         }
     }
 
-    pub(super) fn take_answer(&mut self, ticket: home::Ticket, outcome: &home::Outcome) {
+    pub(super) fn record_outcome(&mut self, ticket: home::Ticket, outcome: &home::Outcome) {
         let Some(id) = self.tickets.get(&ticket) else {
             return;
         };
@@ -81,7 +81,7 @@
         self.submitted.insert(id.clone(), state);
     }
 
-    /// Puts a call on the network; it may be lost, late, or late to answer.
+    /// Sends a call over the network, which may lose or delay it or its answer.
     pub(super) fn send(&mut self, caller: ids::MemberKey, call: Call) {
         self.next_call += 1;
         let id = self.next_call;
@@ -93,7 +93,7 @@
         let timeout = self.now + RPC_TIMEOUT;
         self.deliveries.push((timeout, Delivery::Timeout(id)));
         if !self.chance(self.faults.lose_message) {
-            // Now and then a message is on its way for long.
+            // Some messages may take longer than the timeout.
             let slow = self.chance(self.faults.lose_message);
             let at = self.now + self.millis(0, if slow { 3_000 } else { 30 });
             self.requests.insert(id, Pending { caller, call });
@@ -117,7 +117,7 @@
         }
     }
 
-    pub(super) fn later(&mut self, delivery: Delivery) {
+    pub(super) fn retry_next_step(&mut self, delivery: Delivery) {
         self.deliveries.push((self.now + STEP, delivery));
     }
 
@@ -125,10 +125,10 @@
         match delivery {
             Delivery::View(index) => {
                 if self.entries[index].frozen_until.is_some() {
-                    return self.later(delivery);
+                    return self.retry_next_step(delivery);
                 }
                 if self.entries[index].alive {
-                    self.push_view(index);
+                    self.update_view(index);
                 }
             }
             Delivery::Request(id) => self.deliver_request(id),
@@ -141,7 +141,7 @@
         let Some(request) = self.requests.swap_remove(&id) else {
             return;
         };
-        let busy = match &request.call {
+        let frozen = match &request.call {
             Call::Start(call) => self.is_worker_frozen(&call.target),
             Call::Renew(_, call) => self.is_worker_frozen(&call.target),
             Call::Act(_, call) => self.is_worker_frozen(&call.target),
@@ -149,9 +149,9 @@
             Call::Tell(to, ..) => self.entries[*to].frozen_until.is_some(),
             Call::Read(_) | Call::Write(..) => false,
         };
-        if busy {
+        if frozen {
             self.requests.insert(id, request);
-            return self.later(Delivery::Request(id));
+            return self.retry_next_step(Delivery::Request(id));
         }
         let Some(reply) = self.answer(&request) else {
             return;
@@ -192,7 +192,7 @@
                 }
                 let answer = self.workers[index].start(self.now, &call.start);
                 if answer == protocol::StartAnswer::Started {
-                    self.judge_start(index, &call.start);
+                    self.check_start(index, &call.start);
                 }
                 Some(Reply::Start(answer))
             }
@@ -284,15 +284,15 @@
                 Some(reply) => Delivery::Reply(id, reply),
                 None => Delivery::Timeout(id),
             };
-            return self.later(delivery);
+            return self.retry_next_step(delivery);
         }
         let Some(pending) = self.pending.swap_remove(&id) else {
             return;
         };
-        self.take_reply(index, pending.call, reply);
+        self.handle_reply(index, pending.call, reply);
     }
 
-    pub(super) fn take_reply(&mut self, index: usize, call: Call, reply: Option<Reply>) {
+    pub(super) fn handle_reply(&mut self, index: usize, call: Call, reply: Option<Reply>) {
         let now = self.home_now();
         let entry = &mut self.entries[index];
         match (call, reply) {
--- a/crates/figscale-core/tests/job_faults/worker.rs
+++ b/crates/figscale-core/tests/job_faults/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that keeps the protocol to the letter, and writes down what ran.
+//! A simulated worker that follows the protocol exactly and records what ran.
 
 use std::time;
 
@@ -7,8 +7,8 @@
 use figscale_types::worker;
 use indexmap::IndexMap;
 
-/// Time for which a task runs before its use is seen.
-const WARM: time::Duration = time::Duration::from_millis(300);
+/// Run time after which a task uses `use_factor` times its reservation.
+const WARM_UP: time::Duration = time::Duration::from_millis(300);
 
 /// A task on the worker.
 pub(crate) struct Task {
@@ -21,19 +21,19 @@
     pub(crate) lease_until: time::Instant,
 }
 
-/// A worker.
+/// A simulated worker.
 pub(crate) struct Worker {
     pub(crate) id: ids::InstanceId,
     pub(crate) capacity: sizes::Resources,
-    pub(crate) life: u64,
-    pub(crate) born_at: time::Instant,
-    /// Thousandths by which its clock runs fast or slow.
+    pub(crate) incarnation: u64,
+    pub(crate) booted_at: time::Instant,
+    /// Clock drift in thousandths; positive is fast.
     pub(crate) clock_skew: i64,
     pub(crate) epoch: ids::Epoch,
     pub(crate) leaving: bool,
     /// Whether every task fails soon after its start.
     pub(crate) fails: bool,
-    /// What tasks use of what was declared for them, once they are warm.
+    /// Usage of warmed-up tasks, as a multiple of their reservation.
     pub(crate) use_factor: u64,
     pub(crate) frozen_until: Option<time::Instant>,
     pub(crate) cut_until: Option<time::Instant>,
@@ -41,11 +41,11 @@
 }
 
 impl Worker {
-    /// Its own clock, whose rate is a little wrong.
+    /// The worker's own clock, with its drift.
     pub(crate) fn clock(&self, now: time::Instant) -> worker::WorkerClock {
-        let real = now.saturating_duration_since(self.born_at).as_millis() as i64;
+        let real = now.saturating_duration_since(self.booted_at).as_millis() as i64;
         worker::WorkerClock {
-            life: self.life,
+            life: self.incarnation,
             elapsed_ms: (real + real * self.clock_skew / 1_000) as u64,
         }
     }
@@ -56,7 +56,7 @@
         now + time::Duration::from_millis(real as u64)
     }
 
-    /// Ends what is over and stops what has lapsed.
+    /// Ends tasks that have reached their run time, and those whose lease has lapsed.
     pub(crate) fn tick(&mut self, now: time::Instant) {
         for task in self.tasks.values_mut() {
             if task.phase != worker::TaskPhase::Running {
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Whether a task of it may be running.
+    /// Whether the task is running on this worker.
     pub(crate) fn runs(&self, id: &ids::TaskId, now: time::Instant) -> bool {
         self.tasks.get(id).is_some_and(|task| {
             task.phase == worker::TaskPhase::Running && now < task.lease_until && now < task.ends_at
         })
     }
 
-    /// Room of what runs.
+    /// Resources reserved for running tasks.
     pub(crate) fn used(&self, now: time::Instant) -> sizes::Resources {
         self.tasks
             .iter()
@@ -178,7 +178,7 @@
     }
 
     fn use_of(&self, task: &Task, now: time::Instant) -> sizes::Resources {
-        let factor = match ran(task, now) >= WARM {
+        let factor = match ran(task, now) >= WARM_UP {
             true => self.use_factor,
             false => 1,
         };
@@ -190,7 +190,7 @@
     }
 
     fn report(&self, now: time::Instant, stale: bool) -> worker::WorkerReport {
-        let line = |(id, task): (&ids::TaskId, &Task)| worker::TaskReport {
+        let to_report = |(id, task): (&ids::TaskId, &Task)| worker::TaskReport {
             task: id.clone(),
             attempt: task.attempt,
             phase: task.phase,
@@ -205,7 +205,7 @@
             stale,
             capacity: self.capacity,
             leaving: self.leaving,
-            tasks: self.tasks.iter().map(line).collect(),
+            tasks: self.tasks.iter().map(to_report).collect(),
             clock: self.clock(now),
         }
     }
