--- a/crates/figscale-core/src/job/home/gang.rs
+++ b/crates/figscale-core/src/job/home/gang.rs
@@ -1,10 +1,10 @@
-//! Gangs: all tasks get room, or those that have it give it back.
+//! Gangs: either all tasks get resources, or the reservations of all are released.
 //!
-//! A home reserves for one gang at a time, so that two of its own never starve
-//! each other. Gangs of different homes can still meet; whoever lacks room for
-//! too long gives back all that it has and comes again after a pause that
-//! grows and differs between jobs. Reservations also expire at the placers, so
-//! that a home that dies leaves no room idle.
+//! A home reserves for one gang at a time, so that two of its own gangs cannot
+//! starve each other. Gangs of different homes can still compete; a gang that
+//! stays incomplete for too long releases all its reservations and retries
+//! after a pause that grows and differs between jobs. Reservations also expire
+//! at the placers, so that the end of a home's process leaves no resources idle.
 
 use std::time;
 
@@ -16,76 +16,76 @@
 use super::job;
 use crate::job::message;
 
-/// Doublings of the pause at most.
+/// Most doublings of the pause.
 const MAX_DOUBLINGS: u32 = 4;
-/// Different pauses of jobs that meet.
+/// Number of different pauses, so that competing jobs rarely have the same one.
 const PAUSES: u32 = 8;
 
 impl Home {
-    /// Ends the turn of a gang that has its room, or has given it back.
-    pub(super) fn end_gang_turn(&mut self) {
+    /// Lets the next gang reserve once the current one is complete, paused or ended.
+    pub(super) fn update_reserving_gang(&mut self) {
         let Some(id) = &self.gang else {
             return;
         };
-        let reserves = |job: &job::Job| {
+        let is_reserving = |job: &job::Job| {
             let open = job.record.ended.is_none() && !job.gang_is_complete();
             open && job.gang_pause_until.is_none()
         };
-        if !self.jobs.get(id).is_some_and(reserves) {
+        if !self.jobs.get(id).is_some_and(is_reserving) {
             self.gang = None;
         }
     }
 
-    /// Whether tasks of the job may reserve room now.
-    pub(super) fn is_gangs_turn(&self, id: &ids::JobId) -> bool {
+    /// Whether tasks of the job may be placed now: no other gang reserves, or it is no gang.
+    pub(super) fn may_reserve(&self, id: &ids::JobId) -> bool {
         let is_gang = self.jobs.get(id).is_some_and(job::Job::is_gang);
         !is_gang || self.gang.as_ref().is_none_or(|gang| gang == id)
     }
 
-    /// Gives the turn to a gang, if none has it.
-    pub(super) fn take_gang_turn(&mut self, id: &ids::JobId) {
+    /// Makes the job the gang that reserves, if it is a gang and no other does.
+    pub(super) fn begin_reserving(&mut self, id: &ids::JobId) {
         if self.gang.is_none() && self.jobs.get(id).is_some_and(job::Job::is_gang) {
             self.gang = Some(id.clone());
         }
     }
 
-    /// Gives back all room of a gang that waited too long for the rest.
-    pub(super) fn disband(&mut self, now: Now, id: &ids::JobId) {
+    /// Releases all reservations of a gang that stayed incomplete for too long.
+    pub(super) fn release_gang(&mut self, now: Now, id: &ids::JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let until = now.at + pause(self.config.backoff, id, job.gang_tries);
-        job.gang_tries += 1;
+        let until = now.at + pause(self.config.backoff, id, job.gang_releases);
+        job.gang_releases += 1;
         job.gang_pause_until = Some(until);
         let mut held = Vec::new();
-        let mut waiting = Vec::new();
+        let mut to_queue = Vec::new();
         for (index, task) in &job.tasks {
             let task_id = ids::TaskId {
                 job: id.clone(),
                 index: *index,
             };
-            match &task.life {
-                job::Life::Held { placer, .. } => held.push((placer.clone(), task_id)),
-                job::Life::Queued { .. } => waiting.push(task_id),
+            match &task.stage {
+                job::Stage::Held { placer, .. } => held.push((placer.clone(), task_id)),
+                job::Stage::Queued { .. } => to_queue.push(task_id),
                 _ => {}
             }
         }
         let mut by_placer: indexmap::IndexMap<_, Vec<_>> = indexmap::IndexMap::new();
         for (placer, task) in held {
-            waiting.push(task.clone());
+            to_queue.push(task.clone());
             by_placer.entry(placer).or_default().push(task);
         }
         for (placer, tasks) in by_placer {
             let question = message::Question::Stop(self.key.clone(), tasks);
             self.actions.push(Action::Call(placer, question));
         }
-        for task in waiting {
+        for task in to_queue {
             self.enqueue(now, &task.job, task.index, until);
         }
     }
 }
 
-/// Pause before a gang tries again.
+/// Pause before a gang retries.
 fn pause(first: time::Duration, id: &ids::JobId, tries: u32) -> time::Duration {
     let bytes = id.as_str().bytes().map(u32::from);
     let mixed = bytes.fold(tries, |hash, byte| hash.wrapping_mul(31).wrapping_add(byte));
--- a/crates/figscale-core/src/job/home/job.rs
+++ b/crates/figscale-core/src/job/home/job.rs
@@ -1,4 +1,4 @@
-//! A job and its tasks as their home sees them.
+//! What a home knows of a job and its tasks.
 
 use std::time;
 
@@ -10,40 +10,40 @@
 
 use crate::job::message;
 
-/// Where a task stands.
+/// Stage of a task.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Life {
-    /// It wants a place, from this moment on.
+pub(super) enum Stage {
+    /// It is to be placed, not before this time.
     Queued { not_before: time::Instant },
-    /// A placer was asked; no answer yet.
+    /// A placer was asked to place it and has not answered yet.
     Asked {
         placer: ids::MemberKey,
         asked_at: time::Instant,
-        /// Whether the call ended without an answer and is to be repeated.
+        /// Whether the call ended without an answer and must be repeated.
         unanswered: bool,
     },
-    /// Room is reserved; the start waits for the mark, for the rest of a gang, or
-    /// for the end of the last attempt to be written.
+    /// Resources are reserved; the start waits until its mark is written, until its
+    /// gang is complete, or until the end of the last attempt is written.
     Held {
         placer: ids::MemberKey,
         place: message::Place,
         since: time::Instant,
         marked: bool,
     },
-    /// The start was allowed and is not known to be on its way.
+    /// The placer was told to start it and has not confirmed that yet.
     Going {
         placer: ids::MemberKey,
         place: message::Place,
         asked_at: time::Instant,
         in_flight: bool,
     },
-    /// It is with a placer, which sees it end.
+    /// It is placed, and its placer reports its end.
     Placed {
         place: message::Place,
         since: time::Instant,
         running: bool,
     },
-    /// It may be anywhere.
+    /// It may run anywhere, or nowhere.
     Unknown { since: time::Instant },
     /// It ended.
     Ended(jobs::JobState),
@@ -52,30 +52,30 @@
 /// A task.
 #[derive(Clone, Debug)]
 pub(super) struct Task {
-    pub(super) life: Life,
-    /// Number of the present or last attempt.
+    pub(super) stage: Stage,
+    /// Number of the current or last attempt.
     pub(super) attempt: u32,
-    /// Turn in the queue, kept until it gets a place.
-    pub(super) turn: Option<u64>,
-    /// Attempts that ended badly.
+    /// Start tag in the fair queue, until it is placed.
+    pub(super) start_tag: Option<u64>,
+    /// Number of failed attempts.
     pub(super) failures: u32,
     pub(super) worker: Option<ids::InstanceId>,
     pub(super) avoid: Vec<ids::InstanceId>,
     pub(super) checkpointed: bool,
-    /// Whether its present attempt is reserved first and starts when told to.
+    /// Whether its current attempt is reserved first and started by a second call.
     pub(super) hold: bool,
-    /// Whether its end is to be a cancellation.
+    /// Whether it is being cancelled.
     pub(super) stopping: bool,
-    /// When its placer was last asked to stop it.
+    /// When its placer was last told to stop it.
     pub(super) stop_sent: Option<time::Instant>,
 }
 
 impl Task {
     pub(super) fn new(now: time::Instant) -> Self {
         Self {
-            life: Life::Queued { not_before: now },
+            stage: Stage::Queued { not_before: now },
             attempt: 0,
-            turn: None,
+            start_tag: None,
             failures: 0,
             worker: None,
             avoid: Vec::new(),
@@ -87,14 +87,14 @@
     }
 
     pub(super) fn has_ended(&self) -> bool {
-        matches!(self.life, Life::Ended(_))
+        matches!(self.stage, Stage::Ended(_))
     }
 
-    /// Its state as shown.
+    /// Its state as shown to users.
     fn state(&self) -> jobs::JobState {
-        match &self.life {
-            Life::Ended(state) => *state,
-            Life::Placed { running: true, .. } => jobs::JobState::Running,
+        match &self.stage {
+            Stage::Ended(state) => *state,
+            Stage::Placed { running: true, .. } => jobs::JobState::Running,
             _ => jobs::JobState::Queued,
         }
     }
@@ -105,22 +105,22 @@
 pub(super) struct Job {
     pub(super) record: jobs::JobRecord,
     pub(super) tasks: IndexMap<u32, Task>,
-    /// Whether the store is known to have it.
+    /// Whether it is known to be in the store.
     pub(super) written: bool,
-    /// Whether a write that held it had no known outcome: it is never given up.
-    pub(super) doubted: bool,
-    /// Times a gang gave back its room.
-    pub(super) gang_tries: u32,
-    /// Until when a gang that gave back its room waits.
+    /// Whether a write that contains it had an unknown outcome: it is then never rejected.
+    pub(super) maybe_written: bool,
+    /// Number of times that the gang has released its reservations.
+    pub(super) gang_releases: u32,
+    /// Until when a gang that has released its reservations pauses.
     pub(super) gang_pause_until: Option<time::Instant>,
-    /// What its last order without a place lacked.
-    pub(super) waits_for: Option<String>,
-    /// Size of its record, about.
+    /// Why its last order that was not placed was refused.
+    pub(super) refusal: Option<String>,
+    /// Estimated size of its record.
     pub(super) bytes: usize,
 }
 
 impl Job {
-    /// Whether its tasks may run again after an unknown end.
+    /// Whether its tasks may run again when it is unknown how the last run ended.
     pub(super) fn may_repeat(&self) -> bool {
         self.record.spec.idempotent || self.record.terms.class == catalogue::JobClass::Service
     }
@@ -130,22 +130,22 @@
         self.record.terms.class == catalogue::JobClass::Gang
     }
 
-    /// Whether every task of a gang has room or is past that.
+    /// Whether every task of a gang has resources, or has had them.
     pub(super) fn gang_is_complete(&self) -> bool {
         self.tasks.values().all(|task| {
             !matches!(
-                task.life,
-                Life::Queued { .. } | Life::Asked { .. } | Life::Unknown { .. }
+                task.stage,
+                Stage::Queued { .. } | Stage::Asked { .. } | Stage::Unknown { .. }
             )
         })
     }
 
-    /// Whether a start waits for more than the placer's room.
-    pub(super) fn holds(&self) -> bool {
+    /// Whether its tasks are reserved first and started by a second call.
+    pub(super) fn reserves_first(&self) -> bool {
         !self.may_repeat() || self.record.terms.class == catalogue::JobClass::Gang
     }
 
-    /// The job as shown.
+    /// Its status as shown to users.
     pub(super) fn status(&self, id: &ids::JobId, with_tasks: bool) -> jobs::JobStatus {
         let tasks = self.tasks.iter().map(|(index, task)| jobs::TaskStatus {
             index: *index,
@@ -153,14 +153,14 @@
             worker: task.worker.clone(),
             attempts: task.attempt,
         });
-        let state = self.record.ended.unwrap_or_else(|| self.present_state());
+        let state = self.record.ended.unwrap_or_else(|| self.open_state());
         jobs::JobStatus {
             id: id.clone(),
             owner: self.record.spec.owner.clone(),
             entry: self.record.spec.entry.clone(),
             state,
             verdict: self.verdict(state),
-            reason: self.record.reason.clone().or_else(|| self.why_waiting()),
+            reason: self.record.reason.clone().or_else(|| self.wait_reason()),
             tasks: if with_tasks {
                 tasks.collect()
             } else {
@@ -169,21 +169,21 @@
         }
     }
 
-    /// Why it is not running yet, as far as the home knows.
-    fn why_waiting(&self) -> Option<String> {
-        let any = |wanted: fn(&Life) -> bool| self.tasks.values().any(|task| wanted(&task.life));
+    /// Why it is not running yet, if the home knows.
+    fn wait_reason(&self) -> Option<String> {
+        let any = |wanted: fn(&Stage) -> bool| self.tasks.values().any(|task| wanted(&task.stage));
         if self.record.ended.is_some() {
             None
-        } else if any(|life| matches!(life, Life::Unknown { .. })) {
-            Some("waits until every placer has told what it runs, after a change of holder".into())
-        } else if let Some(reason) = &self.waits_for {
-            any(|life| matches!(life, Life::Queued { .. })).then(|| reason.clone())
+        } else if any(|stage| matches!(stage, Stage::Unknown { .. })) {
+            Some("waits until every placer has reported its tasks, after a change of holder".into())
+        } else if let Some(reason) = &self.refusal {
+            any(|stage| matches!(stage, Stage::Queued { .. })).then(|| reason.clone())
         } else {
             None
         }
     }
 
-    fn present_state(&self) -> jobs::JobState {
+    fn open_state(&self) -> jobs::JobState {
         let runs = |task: &Task| task.state() != jobs::JobState::Queued;
         match self.tasks.values().any(runs) {
             true => jobs::JobState::Running,
@@ -192,9 +192,11 @@
     }
 
     fn verdict(&self, state: jobs::JobState) -> Verdict {
-        let begun = |task: &Task| match &task.life {
-            Life::Ended(jobs::JobState::MayHaveRun) => Verdict::MayHaveRun,
-            Life::Ended(jobs::JobState::Done) | Life::Placed { running: true, .. } => Verdict::Ran,
+        let task_verdict = |task: &Task| match &task.stage {
+            Stage::Ended(jobs::JobState::MayHaveRun) => Verdict::MayHaveRun,
+            Stage::Ended(jobs::JobState::Done) | Stage::Placed { running: true, .. } => {
+                Verdict::Ran
+            }
             _ if task.attempt > 0 => Verdict::MayHaveRun,
             _ => Verdict::NotRun,
         };
@@ -204,12 +206,12 @@
             _ => self
                 .tasks
                 .values()
-                .map(begun)
+                .map(task_verdict)
                 .fold(Verdict::NotRun, Verdict::and),
         }
     }
 
-    /// What the store is to keep of a task, changed in place.
+    /// The stored record of a task, to be changed in place.
     pub(super) fn task_record(&mut self, index: u32) -> &mut jobs::TaskRecord {
         self.record.tasks.entry(index).or_default()
     }
@@ -221,7 +223,7 @@
             false => jobs::JobState::Done,
         };
         for task in self.tasks.values() {
-            let Life::Ended(state) = task.life else {
+            let Stage::Ended(state) = task.stage else {
                 return None;
             };
             if rank(state) > rank(worst) {
@@ -232,7 +234,7 @@
     }
 }
 
-/// Which of several tasks' states a job shows at its end.
+/// Rank of a state: an ended job has the highest-ranked state of its tasks.
 fn rank(state: jobs::JobState) -> u32 {
     match state {
         jobs::JobState::Queued | jobs::JobState::Running => 0,
--- a/crates/figscale-core/src/job/home/load.rs
+++ b/crates/figscale-core/src/job/home/load.rs
@@ -1,4 +1,4 @@
-//! What a home takes over from the document of an earlier one.
+//! Loading the document of an earlier home.
 
 use figscale_types::ids;
 use figscale_types::jobs;
@@ -10,7 +10,7 @@
 use super::job;
 
 impl Home {
-    /// Takes over what the document holds of an earlier home.
+    /// Replaces the jobs by those of the document.
     pub(super) fn load(&mut self, now: Now, document: jobs::JobDocument) {
         self.jobs.clear();
         self.queue.clear();
@@ -20,7 +20,7 @@
         for (id, record) in document.jobs {
             let job = load_job(now, &id, record, placed.as_ref());
             for (index, task) in &job.tasks {
-                if matches!(task.life, job::Life::Queued { .. }) {
+                if matches!(task.stage, job::Stage::Queued { .. }) {
                     ready.push((id.clone(), *index));
                 }
             }
@@ -29,8 +29,8 @@
         for (id, index) in ready {
             self.enqueue(now, &id, index, now.at);
         }
-        // The first write makes the document this home's own.
-        self.document.touch();
+        // Causes a first write, which makes this home the owner of the document.
+        self.document.mark_dirty();
     }
 }
 
@@ -45,9 +45,9 @@
         record,
         tasks: IndexMap::new(),
         written: true,
-        doubted: false,
-        waits_for: None,
-        gang_tries: 0,
+        maybe_written: false,
+        refusal: None,
+        gang_releases: 0,
         gang_pause_until: None,
         bytes,
     };
@@ -69,13 +69,13 @@
     task.attempt = record.attempts;
     task.checkpointed = record.checkpointed;
     task.stopping = job.record.cancelled;
-    // Without its mark a task that may not run twice was never started.
+    // A task that must not run twice was never started if it has no start mark.
     let marked = record.started || job.may_repeat();
-    task.life = match (record.ended, job.record.ended) {
-        (Some(state), _) | (None, Some(state)) => job::Life::Ended(state),
-        _ if marked && may_be_placed => job::Life::Unknown { since: now.at },
-        _ if task.stopping => job::Life::Ended(jobs::JobState::Cancelled),
-        _ => job::Life::Queued { not_before: now.at },
+    task.stage = match (record.ended, job.record.ended) {
+        (Some(state), _) | (None, Some(state)) => job::Stage::Ended(state),
+        _ if marked && may_be_placed => job::Stage::Unknown { since: now.at },
+        _ if task.stopping => job::Stage::Ended(jobs::JobState::Cancelled),
+        _ => job::Stage::Queued { not_before: now.at },
     };
     task
 }
--- a/crates/figscale-core/src/job/home/mod.rs
+++ b/crates/figscale-core/src/job/home/mod.rs
@@ -1,17 +1,18 @@
-//! The home of jobs: one job shard, its document and the queue of its tasks.
+//! The home of jobs: holds one job shard, with its document and the queue of its
+//! tasks.
 //!
-//! A job is accepted once the document that holds it is written. Placements
-//! are not written: a later home learns them from the placers, which learn
-//! them from the workers. What is written besides is what no worker can tell
-//! later: ends, and for a task that may not run twice a mark before its start.
-//! Writes are grouped, so that their number does not grow with the tasks.
+//! A job is accepted once the document that contains it is written. Placements
+//! are not written: a later home learns them from the placers, which learn them
+//! from the workers. The document also holds what no worker can report later:
+//! ends, and for a task that must not run twice a mark before its start. Writes
+//! are batched, so that their number does not grow with the number of tasks.
 //!
-//! The document is replaced by compare-and-swap and carries the holder's epoch
-//! and a sequence number, by which a write whose answer was lost is recognized
-//! on reading it back.
+//! The document is replaced by compare-and-swap. It carries the holder's epoch
+//! and a sequence number, so that a write whose answer was lost is recognized
+//! when the document is read back.
 //!
-//! What this trades away: after a change of holder, tasks that may have been
-//! placed wait until every placer has told what it holds of them.
+//! The cost: after a change of holder, tasks that may have been placed wait until
+//! every placer has sent a complete inventory.
 
 mod gang;
 mod job;
@@ -41,28 +42,28 @@
 pub use write::ReadOutcome;
 pub use write::WriteOutcome;
 
-/// Times and bounds of a home.
+/// Time limits and bounds of a home.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Shortest time between two writes of the document. Default 200 ms.
     pub write_every: time::Duration,
-    /// Time after a failed call to the store. Default 500 ms.
+    /// Time from a failed call to the store to the next one. Default 500 ms.
     pub store_retry: time::Duration,
-    /// Time after which a placer without room is probed. Default 100 ms.
+    /// Time after which a placer that had no capacity is probed. Default 100 ms.
     pub room_retry: time::Duration,
-    /// Time after which a call without an answer is repeated. Default 300 ms.
+    /// Time after which an unanswered call is repeated. Default 300 ms.
     pub call_retry: time::Duration,
-    /// First pause before a task that failed runs again; doubles. Default 500 ms.
+    /// Backoff after the first failure of a task; doubles with each one. Default 500 ms.
     pub backoff: time::Duration,
-    /// Longest time for which a gang keeps room while some of it is missing. Default 3 s.
-    pub gang_wait: time::Duration,
-    /// Time after which a task on a vanished worker shard has stopped. Default 20 s.
+    /// Longest time for which an incomplete gang holds its reservations. Default 3 s.
+    pub gang_timeout: time::Duration,
+    /// Time after which tasks on a removed worker shard have lapsed. Default 20 s.
     pub vanish: time::Duration,
-    /// Most tasks in one call. Default 256.
-    pub call_len: usize,
-    /// Most bytes of jobs kept; about, as counted per job. Default 700,000.
+    /// Most orders in one call. Default 256.
+    pub max_call_orders: usize,
+    /// Largest total size of the retained jobs, by an estimate per job. Default 700,000.
     pub max_document_bytes: usize,
-    /// Time for which ended jobs are kept. Default 1 hour.
+    /// Time for which ended jobs are retained. Default 1 hour.
     pub keep_ended_ms: u64,
 }
 
@@ -74,32 +75,32 @@
             room_retry: time::Duration::from_millis(100),
             call_retry: time::Duration::from_millis(300),
             backoff: time::Duration::from_millis(500),
-            gang_wait: time::Duration::from_secs(3),
+            gang_timeout: time::Duration::from_secs(3),
             vanish: time::Duration::from_secs(20),
-            call_len: 256,
+            max_call_orders: 256,
             max_document_bytes: 700_000,
             keep_ended_ms: 60 * 60 * 1_000,
         }
     }
 }
 
-/// The time, by both clocks.
+/// The current time on both clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// Monotonic: decides.
+    /// Monotonic clock, for intervals and timeouts.
     pub at: time::Instant,
-    /// Wall clock, milliseconds since 1970: for what people read and deadlines.
+    /// Wall clock in milliseconds since 1970, for deadlines and for times shown to users.
     pub unix_ms: u64,
 }
 
-/// Somebody who waits for an answer.
+/// Identifies a request that waits for its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// What a waiting asker is told.
+/// The response to a request.
 pub type Outcome = Result<jobs::JobStatus, operator::OperatorError>;
 
-/// What the adapter is to do.
+/// What the adapter must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Read the document.
@@ -108,20 +109,20 @@
     Write(WriteCall),
     /// Call a placer.
     Call(ids::MemberKey, message::Question),
-    /// Answer an asker.
+    /// Respond to a request.
     Answer(Ticket, Box<Outcome>),
 }
 
 /// A write of the document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WriteCall {
-    /// Revision that is to be replaced.
+    /// Revision to replace.
     pub expected: ids::Revision,
     /// The new document.
     pub document: jobs::JobDocument,
 }
 
-/// A placer as the claims name it.
+/// The holder of a worker shard, by the claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardHolder {
     /// Holder, if any.
@@ -137,15 +138,15 @@
     key: message::HomeKey,
     document: write::DocumentState,
     jobs: IndexMap<ids::JobId, job::Job>,
-    /// Tasks that want a place, most urgent first.
+    /// Tasks to place, most urgent first.
     queue: BTreeSet<queue::QueueKey>,
-    turns: turns::Turns,
-    /// Tasks that wait for their backoff or for resolution.
+    fair_queue: turns::FairQueue,
+    /// Tasks to check on every poll: in backoff, reserved, unanswered or to be stopped.
     watched: BTreeSet<ids::TaskId>,
-    /// The one gang that reserves room; others wait for their turn.
+    /// The one gang that reserves resources; other gangs wait until it is done.
     gang: Option<ids::JobId>,
     placers: IndexMap<ids::MemberKey, placers::View>,
-    /// The placer of the same process, asked first.
+    /// The placer of the same process, preferred over others.
     own: Option<ids::MemberKey>,
     shards: IndexMap<ids::ShardId, recover::ShardView>,
     actions: Vec<Action>,
@@ -157,7 +158,7 @@
 }
 
 impl Home {
-    /// A home that has not read its document yet.
+    /// Creates a home that has not read its document yet.
     pub fn new(config: Config, key: message::HomeKey) -> Self {
         Self {
             config,
@@ -165,7 +166,7 @@
             document: write::DocumentState::default(),
             jobs: IndexMap::new(),
             queue: BTreeSet::new(),
-            turns: turns::Turns::default(),
+            fair_queue: turns::FairQueue::default(),
             watched: BTreeSet::new(),
             gang: None,
             placers: IndexMap::new(),
@@ -179,36 +180,36 @@
         }
     }
 
-    /// Takes over the weights of owners among each other.
+    /// Sets the weights of owners in the fair queue.
     pub fn set_weights(&mut self, weights: IndexMap<ids::OwnerName, u32>) {
-        self.turns.set_weights(weights);
+        self.fair_queue.set_weights(weights);
     }
 
-    /// Its shard and epoch.
+    /// The job shard and the epoch under which it is held.
     pub fn key(&self) -> &message::HomeKey {
         &self.key
     }
 
-    /// Whether a later home was seen; this one does nothing more.
+    /// Whether a later home was seen; this one does no more work.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Everything to be done now; call after each input and at least every 100 ms.
+    /// Returns the actions due now; call after each input and at least every 100 ms.
     pub fn poll(&mut self, now: Now) -> Vec<Action> {
         if !self.fenced {
             self.poll_document(now);
         }
-        if !self.fenced && self.document.is_mine() && !self.is_closed() {
+        if !self.fenced && self.document.is_owned() && !self.is_closed() {
             self.poll_watched(now);
             self.poll_shards(now);
             self.poll_queue(now);
-            self.poll_placed(now);
+            self.poll_stops(now);
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// Stops accepting and placing for as long as the shard may not be used.
+    /// Stops or resumes accepting and placing, as the shard may be used or not.
     pub fn pause(&mut self, paused: bool) {
         self.paused = paused;
     }
@@ -217,40 +218,40 @@
         self.draining || self.paused
     }
 
-    /// Stops accepting and placing, before the shard is handed over.
+    /// Stops accepting and placing for good, before the shard is handed over.
     pub fn drain(&mut self) {
         self.draining = true;
-        // A last write says which tasks may have a place.
-        self.document.touch();
+        // The last write lists the tasks that may be placed.
+        self.document.mark_dirty();
     }
 
-    /// Whether everything that was to be written is.
+    /// Whether nothing is left to write.
     pub fn is_drained(&self) -> bool {
         self.fenced || self.document.is_settled()
     }
 
-    /// Number of jobs kept, and of tasks that want a place.
+    /// Number of retained jobs and of queued tasks.
     pub fn len(&self) -> (usize, usize) {
         (self.jobs.len(), self.queue.len())
     }
 
-    /// Whether no job is kept.
+    /// Whether no job is retained.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Writes begun since the start.
+    /// Number of writes begun by this home.
     pub fn writes(&self) -> u64 {
         self.document.writes
     }
 
-    /// Whether the document was read and every task of before is accounted for.
+    /// Whether the document is owned and the state of every task is known.
     pub fn is_recovered(&self) -> bool {
-        self.document.is_mine()
+        self.document.is_owned()
             && !self
                 .jobs
                 .values()
                 .flat_map(|job| job.tasks.values())
-                .any(|task| matches!(task.life, job::Life::Unknown { .. }))
+                .any(|task| matches!(task.stage, job::Stage::Unknown { .. }))
     }
 }
--- a/crates/figscale-core/src/job/home/news.rs
+++ b/crates/figscale-core/src/job/home/news.rs
@@ -1,4 +1,5 @@
-//! What placers tell, and what becomes of a task when an attempt ends.
+//! Status updates from placers, and what follows the end of an attempt: the task
+//! ends too, or is queued again.
 
 use figscale_types::catalogue;
 use figscale_types::ids;
@@ -11,75 +12,81 @@
 use super::job;
 use crate::job::message;
 
-/// Doublings of the backoff at most.
-const MAX_DOUBLINGS: u32 = 7;
-/// Failed workers that a task avoids at most.
+/// Number of failures up to which the backoff grows; it doubles after each but the first.
+const MAX_BACKOFF_FAILURES: u32 = 7;
+/// Most workers with failures that a task avoids.
 const MAX_AVOIDED: usize = 5;
 
 impl Home {
-    /// Takes news from a placer; ends are acknowledged once they are written.
+    /// Applies status updates from a placer; ends are acknowledged once they are written.
     pub fn on_tell(&mut self, now: Now, placer: &ids::MemberKey, events: &[message::TaskEvent]) {
-        if self.fenced || !self.document.is_mine() {
+        if self.fenced || !self.document.is_owned() {
             return;
         }
-        let mut settled = Vec::new();
-        let mut stray = Vec::new();
+        let mut obsolete = Vec::new();
+        let mut orphans = Vec::new();
         for event in events {
             match self.on_event(now, placer, event) {
-                Take::Taken => {}
-                Take::Settled => settled.push(event.attempt.clone()),
-                Take::Stray => stray.push(event.attempt.task.clone()),
+                Handled::Applied => {}
+                Handled::Obsolete => obsolete.push(event.attempt.clone()),
+                Handled::Orphan => orphans.push(event.attempt.task.clone()),
             }
         }
-        if !settled.is_empty() {
-            let question = message::Question::Acknowledge(self.key.clone(), settled);
+        if !obsolete.is_empty() {
+            let question = message::Question::Acknowledge(self.key.clone(), obsolete);
             self.actions.push(Action::Call(placer.clone(), question));
         }
-        if !stray.is_empty() {
-            let question = message::Question::Stop(self.key.clone(), stray);
+        if !orphans.is_empty() {
+            let question = message::Question::Stop(self.key.clone(), orphans);
             self.actions.push(Action::Call(placer.clone(), question));
         }
     }
 
-    fn on_event(&mut self, now: Now, placer: &ids::MemberKey, event: &message::TaskEvent) -> Take {
+    fn on_event(
+        &mut self,
+        now: Now,
+        placer: &ids::MemberKey,
+        event: &message::TaskEvent,
+    ) -> Handled {
         let id = &event.attempt.task;
         let ended = match event.state {
             message::TaskState::Ended(end) => Some(end),
             _ => None,
         };
-        let foreign = match ended {
-            Some(_) => Take::Settled,
-            None => Take::Stray,
+        let if_not_current = match ended {
+            Some(_) => Handled::Obsolete,
+            None => Handled::Orphan,
         };
-        // A later attempt may run somewhere, which only the placers' inventories
-        // tell. Taken for the end of the present attempt, one that was told
-        // again after a change of homes had its task run on two workers.
-        let known_end = self.has_dealt_with(&event.attempt);
+        // An earlier home has already recorded this end. A later attempt may run
+        // somewhere, which only the placers' inventories show. When a repeated
+        // end of this kind was taken for the end of the current attempt after a
+        // change of homes, the task ran on two workers.
+        let known_end = self.has_recorded_end(&event.attempt);
         let Some(task) = self.task_mut(id) else {
-            return foreign;
+            return if_not_current;
         };
-        if known_end && matches!(task.life, job::Life::Unknown { .. }) {
-            return self.on_stale(event, foreign);
+        if known_end && matches!(task.stage, job::Stage::Unknown { .. }) {
+            return self.on_stale(event, if_not_current);
         }
-        let unknown = matches!(task.life, job::Life::Unknown { .. });
+        let unknown = matches!(task.stage, job::Stage::Unknown { .. });
         if unknown && event.attempt.number >= task.attempt {
             task.attempt = event.attempt.number;
         }
-        let present = !matches!(task.life, job::Life::Queued { .. } | job::Life::Ended(_));
-        if event.attempt.number != task.attempt || !present {
-            return self.on_stale(event, foreign);
+        let is_open = !matches!(task.stage, job::Stage::Queued { .. } | job::Stage::Ended(_));
+        if event.attempt.number != task.attempt || !is_open {
+            return self.on_stale(event, if_not_current);
         }
         task.worker = Some(event.place.worker.clone());
         if let Some(end) = ended {
             self.on_end(now, id, end);
             self.document.end(placer.clone(), event.attempt.clone());
-            return Take::Taken;
+            return Handled::Applied;
         }
         if event.state == message::TaskState::Held {
-            return Take::Taken;
+            return Handled::Applied;
         }
         let stopping = task.stopping;
-        task.life = job::Life::Placed {
+        task.stage = job::Stage::Placed {
             place: event.place.clone(),
             since: now.at,
             running: event.state == message::TaskState::Running,
@@ -87,60 +94,60 @@
         if stopping {
             self.watched.insert(id.clone());
         }
-        Take::Taken
+        Handled::Applied
     }
 
-    /// Whether the document says that an attempt has ended and was followed up.
-    fn has_dealt_with(&self, attempt: &message::Attempt) -> bool {
+    /// Whether the job's record shows that the attempt has ended.
+    fn has_recorded_end(&self, attempt: &message::Attempt) -> bool {
         let job = self.jobs.get(&attempt.task.job);
         let record = job.and_then(|job| job.record.tasks.get(&attempt.task.index));
-        // With a start mark the number is that of the attempt under way.
+        // With a start mark, the recorded number is that of the current attempt.
         record.is_some_and(|record| !record.started && attempt.number <= record.attempts)
     }
 
-    /// News of an attempt that is not the present one, or of a task that ended.
-    fn on_stale(&self, event: &message::TaskEvent, foreign: Take) -> Take {
-        // An end whose write is under way is acknowledged after it.
-        let waits = self.document.has_end(&event.attempt);
-        match waits {
-            true => Take::Taken,
-            false => foreign,
+    /// Handles an update of an attempt that is not current, or of a task that ended.
+    fn on_stale(&self, event: &message::TaskEvent, if_not_current: Handled) -> Handled {
+        // An end that is not written yet is acknowledged once it is.
+        let unwritten = self.document.has_end(&event.attempt);
+        match unwritten {
+            true => Handled::Applied,
+            false => if_not_current,
         }
     }
 
-    /// Decides what becomes of a task whose present attempt ended.
+    /// Ends a task whose current attempt ended, or queues it again.
     pub(super) fn on_end(&mut self, now: Now, id: &ids::TaskId, end: message::End) {
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
-        let repeat = job.may_repeat();
+        let may_repeat = job.may_repeat();
         let service = job.record.terms.class == catalogue::JobClass::Service;
         let Some(task) = job.tasks.get_mut(&id.index) else {
             return;
         };
         let next = match end {
-            message::End::Done if service => Next::Again { failed: false },
+            message::End::Done if service => Next::Requeue { failed: false },
             message::End::Done => Next::Ended(jobs::JobState::Done),
             message::End::NotStarted if task.stopping => Next::Ended(jobs::JobState::Cancelled),
-            message::End::NotStarted => Next::Again { failed: false },
+            message::End::NotStarted => Next::Requeue { failed: false },
             message::End::Checkpointed if !task.stopping => {
                 task.checkpointed = true;
-                Next::Again { failed: false }
+                Next::Requeue { failed: false }
             }
-            _ if task.stopping && repeat => Next::Ended(jobs::JobState::Cancelled),
+            _ if task.stopping && may_repeat => Next::Ended(jobs::JobState::Cancelled),
             message::End::Stopped | message::End::Checkpointed if task.stopping => {
                 Next::Ended(jobs::JobState::Cancelled)
             }
-            message::End::Failed if repeat => Next::Again { failed: true },
+            message::End::Failed if may_repeat => Next::Requeue { failed: true },
             message::End::Failed => Next::Ended(jobs::JobState::Failed),
-            _ if repeat => Next::Again { failed: false },
+            _ if may_repeat => Next::Requeue { failed: false },
             _ => Next::Ended(jobs::JobState::MayHaveRun),
         };
         match next {
             Next::Ended(state) => self.end_task(now, id, state),
-            Next::Again { failed } => self.run_again(now, id, failed, end),
+            Next::Requeue { failed } => self.requeue(now, id, failed, end),
         }
-        self.document.touch();
+        self.document.mark_dirty();
     }
 
     fn end_task(&mut self, now: Now, id: &ids::TaskId, state: jobs::JobState) {
@@ -148,7 +155,7 @@
             return;
         };
         if let Some(task) = job.tasks.get_mut(&id.index) {
-            task.life = job::Life::Ended(state);
+            task.stage = job::Stage::Ended(state);
         }
         let attempt = job.tasks.get(&id.index).map_or(0, |task| task.attempt);
         let record = job.task_record(id.index);
@@ -160,10 +167,10 @@
                 id.index
             ));
         }
-        self.settle(now, &id.job);
+        self.end_if_all_ended(now, &id.job);
     }
 
-    fn run_again(&mut self, now: Now, id: &ids::TaskId, failed: bool, end: message::End) {
+    fn requeue(&mut self, now: Now, id: &ids::TaskId, failed: bool, end: message::End) {
         let backoff = self.config.backoff;
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
@@ -179,7 +186,7 @@
             task.avoid.extend(task.worker.clone());
             let surplus = task.avoid.len().saturating_sub(MAX_AVOIDED);
             task.avoid.drain(..surplus);
-            not_before += backoff * 2_u32.pow(task.failures.min(MAX_DOUBLINGS) - 1);
+            not_before += backoff * 2_u32.pow(task.failures.min(MAX_BACKOFF_FAILURES) - 1);
         }
         if end == message::End::NotStarted {
             not_before += backoff / 5;
@@ -202,11 +209,11 @@
         record.started = false;
         record.checkpointed = checkpointed;
         self.enqueue(now, &id.job, id.index, not_before);
-        self.settle(now, &id.job);
+        self.end_if_all_ended(now, &id.job);
     }
 
-    /// Ends a job whose tasks have all ended.
-    pub(super) fn settle(&mut self, now: Now, id: &ids::JobId) {
+    /// Ends the job if all its tasks have ended.
+    pub(super) fn end_if_all_ended(&mut self, now: Now, id: &ids::JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -218,20 +225,20 @@
         };
         job.record.ended = Some(state);
         job.record.ended_unix_ms = now.unix_ms;
-        self.document.touch();
+        self.document.mark_dirty();
     }
 
-    /// The start mark of a task is written: it may start.
-    pub(super) fn marked(&mut self, _now: Now, id: &ids::TaskId) {
+    /// Records that the start mark of a task is written: it may start.
+    pub(super) fn on_start_marked(&mut self, _now: Now, id: &ids::TaskId) {
         if let Some(task) = self.task_mut(id)
-            && let job::Life::Held { marked, .. } = &mut task.life
+            && let job::Stage::Held { marked, .. } = &mut task.stage
         {
             *marked = true;
         }
     }
 
-    /// Looks after tasks with room: stops, repeats of calls.
-    pub(super) fn poll_placed(&mut self, now: Now) {
+    /// Sends and repeats the stops of placed tasks that are being cancelled.
+    pub(super) fn poll_stops(&mut self, now: Now) {
         let mut stops: IndexMap<ids::MemberKey, Vec<ids::TaskId>> = IndexMap::new();
         for id in self.watched.clone() {
             let retry = self.config.call_retry;
@@ -239,7 +246,7 @@
             let Some(task) = job.and_then(|job| job.tasks.get_mut(&id.index)) else {
                 continue;
             };
-            let (job::Life::Placed { place, .. }, true) = (&task.life, task.stopping) else {
+            let (job::Stage::Placed { place, .. }, true) = (&task.stage, task.stopping) else {
                 continue;
             };
             if task.stop_sent.is_some_and(|sent| now.at < sent + retry) {
@@ -261,22 +268,22 @@
     }
 }
 
-/// What to do about an event.
+/// How an event was handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Take {
-    /// It is dealt with, or will be acknowledged later.
-    Taken,
-    /// Its end is of no more use and can be forgotten.
-    Settled,
-    /// The task is not to run there.
-    Stray,
+enum Handled {
+    /// It was applied, or needs nothing now; an end is acknowledged once written.
+    Applied,
+    /// It is an end that needs no write: it can be acknowledged at once.
+    Obsolete,
+    /// The task must not run there: it is to be stopped.
+    Orphan,
 }
 
-/// What becomes of a task.
+/// What happens to a task after the end of an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Next {
     /// It ended.
     Ended(jobs::JobState),
     /// It is queued again.
-    Again { failed: bool },
+    Requeue { failed: bool },
 }
--- a/crates/figscale-core/src/job/home/outline.rs
+++ b/crates/figscale-core/src/job/home/outline.rs
@@ -1,4 +1,4 @@
-//! An outline of a home for dumps: why its jobs have not ended.
+//! A summary of a home for diagnostic dumps: why its jobs have not ended.
 
 use figscale_types::ids;
 use indexmap::IndexMap;
@@ -6,14 +6,14 @@
 use super::Home;
 use super::job;
 
-/// Where a home's open tasks stand, and what it waits for.
+/// The stages of a home's open tasks, and what holds them up.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outline {
-    /// Open tasks by where they stand.
+    /// Number of open tasks by stage.
     pub tasks: IndexMap<&'static str, usize>,
     /// The largest number of attempts of an open task.
     pub most_attempts: u32,
-    /// Worker shards without a complete inventory under their present epoch.
+    /// Worker shards without a complete inventory under their current epoch.
     pub unconfirmed: Vec<ids::ShardId>,
     /// Whether the shard may not be used for now.
     pub paused: bool,
@@ -24,7 +24,7 @@
 }
 
 impl Home {
-    /// Why jobs have not ended, in short.
+    /// Summarizes why jobs have not ended.
     pub fn outline(&self) -> Outline {
         let mut outline = Outline {
             unconfirmed: self.unconfirmed(),
@@ -34,16 +34,16 @@
             ..Outline::default()
         };
         for task in self.jobs.values().flat_map(|job| job.tasks.values()) {
-            let stands = match task.life {
-                job::Life::Queued { .. } => "queued",
-                job::Life::Asked { .. } => "asked",
-                job::Life::Held { .. } => "held",
-                job::Life::Going { .. } => "going",
-                job::Life::Placed { .. } => "placed",
-                job::Life::Unknown { .. } => "unknown",
-                job::Life::Ended(_) => continue,
+            let stage = match task.stage {
+                job::Stage::Queued { .. } => "queued",
+                job::Stage::Asked { .. } => "asked",
+                job::Stage::Held { .. } => "held",
+                job::Stage::Going { .. } => "going",
+                job::Stage::Placed { .. } => "placed",
+                job::Stage::Unknown { .. } => "unknown",
+                job::Stage::Ended(_) => continue,
             };
-            *outline.tasks.entry(stands).or_default() += 1;
+            *outline.tasks.entry(stage).or_default() += 1;
             outline.most_attempts = outline.most_attempts.max(task.attempt);
         }
         outline
--- a/crates/figscale-core/src/job/home/placers.rs
+++ b/crates/figscale-core/src/job/home/placers.rs
@@ -1,11 +1,12 @@
-//! What a home knows of the placers, and which of them one pass may ask.
+//! What a home knows of the placers, and which placer an order goes to.
 //!
-//! A size that a placer had no room for is left alone for a while and then
-//! probed: one order at a time, until one gets a place or the placer tells of
-//! room. A line of ten thousand tasks that fit nowhere thus costs each placer
-//! one order a probe; asked for by the whole call it held up the control
-//! thread for 850 ms at a time on two instances, longer than their lease's
-//! margin. The price is one more round trip before a line moves again.
+//! When a placer refuses a size for lack of capacity, no order of that size or a
+//! larger one is sent to it for a while. Then it is probed with one order at a
+//! time, until one is placed or the placer reports free resources. A queue of ten
+//! thousand tasks that fit nowhere thus costs each placer one order per probe.
+//! With full calls instead of probes, such a queue blocked the control thread for
+//! 850 ms at a time on two instances, longer than the margin of their leases. The
+//! cost is one more round trip before such a queue moves again.
 
 use std::time;
 
@@ -15,37 +16,37 @@
 
 use crate::job::message;
 
-/// A size without room.
+/// A size that a placer had no capacity for.
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     size: sizes::Resources,
-    /// Until when it is not asked for; from then on it is probed.
+    /// Until when no order of this size is sent; from then on it is probed.
     until: time::Instant,
 }
 
-/// A placer as a home sees it.
+/// What a home knows of a placer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct View {
-    /// Whether it was asked for places and has not answered.
-    pub(super) asking: bool,
+    /// Whether a call to place tasks is in flight.
+    pub(super) call_in_flight: bool,
     summary: message::Summary,
     refusals: Vec<Refusal>,
 }
 
-/// What a placer may be asked for a size.
+/// How many orders of a size a placer may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Openness {
-    /// As many tasks as a call takes.
+enum Availability {
+    /// As many as fit into a call.
     Open,
-    /// A single task.
+    /// A single one.
     Probe,
-    /// Nothing yet.
-    Shut,
+    /// None yet.
+    Closed,
 }
 
 impl View {
-    /// Notes that it has no room for a size, or for any with the empty one.
-    pub(super) fn refuse(&mut self, size: sizes::Resources, until: time::Instant) {
+    /// Records that it has no capacity for a size; the empty size stands for all sizes.
+    pub(super) fn record_refusal(&mut self, size: sizes::Resources, until: time::Instant) {
         let covered = |refusal: &Refusal| size.holds(&refusal.size) && refusal.until >= until;
         if self.refusals.iter().any(covered) {
             return;
@@ -54,27 +55,27 @@
         self.refusals.push(Refusal { size, until });
     }
 
-    /// Notes that a task of a size got a place.
-    pub(super) fn take_place(&mut self, size: &sizes::Resources) {
+    /// Records that a task of a size was placed.
+    pub(super) fn record_placed(&mut self, size: &sizes::Resources) {
         self.refusals.retain(|refusal| !size.holds(&refusal.size));
     }
 
-    /// Takes what came with an answer.
+    /// Sets the summary that came with an answer.
     pub(super) fn set_summary(&mut self, summary: message::Summary) {
         self.summary = summary;
     }
 
-    /// Takes a summary that was pushed because there may be room again.
-    pub(super) fn on_news(&mut self, summary: message::Summary) {
+    /// Sets a summary that was pushed because resources may be free again.
+    pub(super) fn set_pushed_summary(&mut self, summary: message::Summary) {
         let largest = summary.largest_free;
         self.refusals
             .retain(|refusal| !largest.holds(&refusal.size));
         self.summary = summary;
     }
 
-    fn openness(&self, now: time::Instant, size: &sizes::Resources) -> Openness {
-        if self.asking {
-            return Openness::Shut;
+    fn availability(&self, now: time::Instant, size: &sizes::Resources) -> Availability {
+        if self.call_in_flight {
+            return Availability::Closed;
         }
         let refused = self
             .refusals
@@ -82,9 +83,9 @@
             .filter(|refusal| size.holds(&refusal.size));
         let until = refused.map(|refusal| refusal.until).max();
         match until {
-            None => Openness::Open,
-            Some(until) if until <= now => Openness::Probe,
-            Some(_) => Openness::Shut,
+            None => Availability::Open,
+            Some(until) if until <= now => Availability::Probe,
+            Some(_) => Availability::Closed,
         }
     }
 }
@@ -92,47 +93,51 @@
 /// The orders of one pass over the queue.
 pub(super) struct Pass {
     now: time::Instant,
-    /// The placer of this process, asked first.
+    /// The placer of this process, preferred over others.
     own: Option<ids::MemberKey>,
     /// Most orders in one call.
-    call_len: usize,
+    max_call_orders: usize,
     orders: IndexMap<ids::MemberKey, Vec<message::TaskOrder>>,
-    /// Sizes that found no placer; larger ones need not look.
-    in_vain: Vec<sizes::Resources>,
+    /// Sizes that no placer accepts now; larger ones are not tried.
+    unplaceable: Vec<sizes::Resources>,
 }
 
 impl Pass {
-    pub(super) fn new(now: time::Instant, own: Option<ids::MemberKey>, call_len: usize) -> Self {
+    pub(super) fn new(
+        now: time::Instant,
+        own: Option<ids::MemberKey>,
+        max_call_orders: usize,
+    ) -> Self {
         Self {
             now,
             own,
-            call_len,
+            max_call_orders,
             orders: IndexMap::new(),
-            in_vain: Vec::new(),
+            unplaceable: Vec::new(),
         }
     }
 
-    /// Whether no placer would take an order of any size.
-    pub(super) fn is_over(&self) -> bool {
-        let nothing = sizes::Resources::default();
-        self.in_vain.contains(&nothing)
+    /// Whether no placer accepts an order of any size.
+    pub(super) fn is_exhausted(&self) -> bool {
+        let empty = sizes::Resources::default();
+        self.unplaceable.contains(&empty)
     }
 
-    /// The placer of this process first, then the one with the most free room.
+    /// Chooses a placer: that of this process first, then the one with the most free CPU.
     pub(super) fn choose(
         &mut self,
         views: &IndexMap<ids::MemberKey, View>,
         size: &sizes::Resources,
     ) -> Option<ids::MemberKey> {
-        if self.in_vain.iter().any(|vain| size.holds(vain)) {
+        if self.unplaceable.iter().any(|smaller| size.holds(smaller)) {
             return None;
         }
         let chosen = self.best(views, size);
         if chosen.is_none() {
-            self.in_vain.push(*size);
-            let nothing = sizes::Resources::default();
-            if self.best(views, &nothing).is_none() {
-                self.in_vain.push(nothing);
+            self.unplaceable.push(*size);
+            let empty = sizes::Resources::default();
+            if self.best(views, &empty).is_none() {
+                self.unplaceable.push(empty);
             }
         }
         chosen
@@ -143,27 +148,27 @@
         views: &IndexMap<ids::MemberKey, View>,
         size: &sizes::Resources,
     ) -> Option<ids::MemberKey> {
-        let takes = |(key, view): &(&ids::MemberKey, &View)| self.takes(key, view, size);
+        let accepts = |(key, view): &(&ids::MemberKey, &View)| self.accepts(key, view, size);
         let rank = |(key, view): &(&ids::MemberKey, &View)| {
             let own = self.own.as_ref() == Some(*key);
             (own, view.summary.free.cpu_millis)
         };
-        let best = views.iter().filter(takes).max_by_key(rank)?;
+        let best = views.iter().filter(accepts).max_by_key(rank)?;
         Some(best.0.clone())
     }
 
-    fn takes(&self, key: &ids::MemberKey, view: &View, size: &sizes::Resources) -> bool {
+    fn accepts(&self, key: &ids::MemberKey, view: &View, size: &sizes::Resources) -> bool {
         let orders = self.orders.get(key).map_or(&[][..], Vec::as_slice);
-        match view.openness(self.now, size) {
-            Openness::Open => orders.len() < self.call_len,
-            // Orders for what has room may go along with the probe.
-            Openness::Probe => {
+        match view.availability(self.now, size) {
+            Availability::Open => orders.len() < self.max_call_orders,
+            // The call with the probe may also have orders of sizes that are open.
+            Availability::Probe => {
                 let probes = |order: &message::TaskOrder| {
-                    view.openness(self.now, &order.resources) == Openness::Probe
+                    view.availability(self.now, &order.resources) == Availability::Probe
                 };
-                orders.len() < self.call_len && !orders.iter().any(probes)
+                orders.len() < self.max_call_orders && !orders.iter().any(probes)
             }
-            Openness::Shut => false,
+            Availability::Closed => false,
         }
     }
 
--- a/crates/figscale-core/src/job/home/queue.rs
+++ b/crates/figscale-core/src/job/home/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of tasks: which placer is asked for which, in which order.
+//! The queue of tasks: in which order they are placed, and the calls for it.
 
 use std::time;
 
@@ -14,21 +14,21 @@
 use super::placers;
 use crate::job::message;
 
-/// Tasks without room that one pass looks at before it ends.
+/// Most tasks without a placer that one pass skips before it ends.
 const MAX_SKIPPED: usize = 1_000;
 
-/// Place of a task in the queue: the smallest goes first.
+/// Position of a task in the queue: the smallest goes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
     urgency: catalogue::Urgency,
     deadline_unix_ms: u64,
-    turn: u64,
+    start_tag: u64,
     accepted_unix_ms: u64,
     pub(super) task: ids::TaskId,
 }
 
 impl Home {
-    /// Queues a task, or keeps it until it may be queued.
+    /// Queues a task, or watches it until it may be queued.
     pub(super) fn enqueue(
         &mut self,
         now: Now,
@@ -42,18 +42,18 @@
         let Some(task) = job.tasks.get_mut(&index) else {
             return;
         };
-        task.life = job::Life::Queued { not_before };
+        task.stage = job::Stage::Queued { not_before };
         if task.stopping {
-            task.life = job::Life::Ended(figscale_types::jobs::JobState::Cancelled);
+            task.stage = job::Stage::Ended(figscale_types::jobs::JobState::Cancelled);
             let job = id.clone();
-            return self.serve_turn(&ids::TaskId { job, index });
+            return self.release_start_tag(&ids::TaskId { job, index });
         }
         let spec = &job.record.spec;
-        let turn = match task.turn {
-            Some(turn) => turn,
-            None => self.turns.take(&spec.owner, &spec.task),
+        let start_tag = match task.start_tag {
+            Some(start_tag) => start_tag,
+            None => self.fair_queue.assign(&spec.owner, &spec.task),
         };
-        task.turn = Some(turn);
+        task.start_tag = Some(start_tag);
         let task = ids::TaskId {
             job: id.clone(),
             index,
@@ -67,25 +67,25 @@
         self.queue.insert(QueueKey {
             urgency: job.record.terms.urgency,
             deadline_unix_ms: deadline.map_or(u64::MAX, |ms| accepted.saturating_add(ms)),
-            turn,
+            start_tag,
             accepted_unix_ms: accepted,
             task,
         });
     }
 
-    /// Ends a task's turn in the queue.
-    pub(super) fn serve_turn(&mut self, id: &ids::TaskId) {
+    /// Gives up the start tag of a task that was placed or has ended.
+    pub(super) fn release_start_tag(&mut self, id: &ids::TaskId) {
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
         let spec = &job.record.spec;
         let task = job.tasks.get_mut(&id.index);
-        if task.is_some_and(|task| task.turn.take().is_some()) {
-            self.turns.serve(&spec.owner, &spec.task);
+        if task.is_some_and(|task| task.start_tag.take().is_some()) {
+            self.fair_queue.record_served(&spec.owner, &spec.task);
         }
     }
 
-    /// Has a task looked at on every pass until it needs no more.
+    /// Has a task checked on every poll until it needs no more attention.
     pub(super) fn watch(&mut self, id: &ids::JobId, index: u32) {
         let job = id.clone();
         self.watched.insert(ids::TaskId { job, index });
@@ -95,32 +95,32 @@
         self.jobs.get_mut(&id.job)?.tasks.get_mut(&id.index)
     }
 
-    /// Asks placers for as many queued tasks as they may have room for.
+    /// Sends orders for queued tasks to the placers that may have capacity.
     pub(super) fn poll_queue(&mut self, now: Now) {
-        let mut pass = placers::Pass::new(now.at, self.own.clone(), self.config.call_len);
-        let mut taken = Vec::new();
+        let mut pass = placers::Pass::new(now.at, self.own.clone(), self.config.max_call_orders);
+        let mut dequeued = Vec::new();
         let mut skipped = 0;
-        self.end_gang_turn();
-        // Taken out for the pass, which changes other parts of the home.
+        self.update_reserving_gang();
+        // Moved out for the pass, which borrows other parts of the home mutably.
         let mut queue = std::mem::take(&mut self.queue);
         for key in &queue {
-            if pass.is_over() || skipped > MAX_SKIPPED {
+            if pass.is_exhausted() || skipped > MAX_SKIPPED {
                 break;
             }
-            let Some((size, wanted)) = self.wanted(&key.task) else {
+            let Some((size, is_queued)) = self.size_and_queued(&key.task) else {
                 continue;
             };
-            if !wanted {
-                taken.push(key.clone());
+            if !is_queued {
+                dequeued.push(key.clone());
                 continue;
             }
-            if !self.is_gangs_turn(&key.task.job) {
+            if !self.may_reserve(&key.task.job) {
                 continue;
             }
             match pass.choose(&self.placers, &size) {
                 Some(placer) => {
-                    taken.push(key.clone());
-                    self.take_gang_turn(&key.task.job);
+                    dequeued.push(key.clone());
+                    self.begin_reserving(&key.task.job);
                     if let Some(order) = self.order_of(&key.task) {
                         pass.add(placer, order);
                     }
@@ -128,22 +128,22 @@
                 None => skipped += 1,
             }
         }
-        for key in &taken {
+        for key in &dequeued {
             queue.remove(key);
         }
         self.queue = queue;
         for (placer, orders) in pass.into_orders() {
-            self.ask(now, &placer, orders);
+            self.send_new_orders(now, &placer, orders);
         }
     }
 
-    /// Size of a task and whether it still wants a place.
-    fn wanted(&self, id: &ids::TaskId) -> Option<(sizes::Resources, bool)> {
+    /// Size of a task and whether it is still queued; `None` if there is no such task.
+    fn size_and_queued(&self, id: &ids::TaskId) -> Option<(sizes::Resources, bool)> {
         let Some(job) = self.jobs.get(&id.job) else {
             return Some((sizes::Resources::default(), false));
         };
         let task = job.tasks.get(&id.index)?;
-        let queued = matches!(task.life, job::Life::Queued { .. });
+        let queued = matches!(task.stage, job::Stage::Queued { .. });
         Some((job.record.spec.task, queued))
     }
 
@@ -169,26 +169,32 @@
             idempotent: job.may_repeat(),
             checkpointable: spec.checkpointable,
             preemptible: terms.preemptible,
-            hold: job.holds() || self.document.has_end_of(id),
+            hold: job.reserves_first() || self.document.has_end_of(id),
             avoid: task.avoid.clone(),
         })
     }
 
-    fn ask(&mut self, now: Now, placer: &ids::MemberKey, orders: Vec<message::TaskOrder>) {
+    fn send_new_orders(
+        &mut self,
+        now: Now,
+        placer: &ids::MemberKey,
+        orders: Vec<message::TaskOrder>,
+    ) {
         for order in &orders {
             if let Some(task) = self.task_mut(&order.attempt.task) {
                 task.attempt = order.attempt.number;
                 task.hold = order.hold;
-                task.life = job::Life::Asked {
+                task.stage = job::Stage::Asked {
                     placer: placer.clone(),
                     asked_at: now.at,
                     unanswered: false,
                 };
             }
         }
-        // One call at a time, or a later call's orders overtake the earlier's.
+        // One call at a time, so that orders of a later call cannot overtake those of an
+        // earlier one.
         if let Some(view) = self.placers.get_mut(placer) {
-            view.asking = true;
+            view.call_in_flight = true;
         }
         self.send_orders(placer, orders, false);
     }
@@ -218,7 +224,7 @@
         self.call
     }
 
-    /// Takes what became of a call that was made at `asked_at`.
+    /// Applies the result of a call that was made at `asked_at`.
     pub fn on_call(
         &mut self,
         now: Now,
@@ -231,7 +237,7 @@
             && !scope.repeat
             && let Some(view) = self.placers.get_mut(placer)
         {
-            view.asking = false;
+            view.call_in_flight = false;
         }
         match (question, result) {
             (
@@ -269,10 +275,10 @@
         }
     }
 
-    /// Takes a placer's pushed summary: it may have room again.
+    /// Applies a summary pushed by a placer, which may have free resources again.
     pub fn on_summary(&mut self, placer: &ids::MemberKey, summary: message::Summary) {
         if let Some(view) = self.placers.get_mut(placer) {
-            view.on_news(summary);
+            view.set_pushed_summary(summary);
         }
     }
 
@@ -286,35 +292,35 @@
         let id = &order.attempt.task;
         let number = order.attempt.number;
         let current = |task: &&mut job::Task| {
-            task.attempt == number && matches!(task.life, job::Life::Asked { .. })
+            task.attempt == number && matches!(task.stage, job::Stage::Asked { .. })
         };
         let Some(task) = self.task_mut(id).filter(current) else {
             return;
         };
         let unanswered = matches!(
-            task.life,
-            job::Life::Asked {
+            task.stage,
+            job::Stage::Asked {
                 unanswered: true,
                 ..
             }
         );
         match answer {
-            message::OrderAnswer::NotKnown => self.lose_sight(now, id),
-            // It tells only of the repeat.
+            message::OrderAnswer::NotKnown => self.mark_unknown(now, id),
+            // The refusal is for the repeat only; the first call may have placed the task.
             message::OrderAnswer::StaleHome | message::OrderAnswer::Busy if unanswered => {
-                self.lose_sight(now, id);
+                self.mark_unknown(now, id);
             }
             message::OrderAnswer::Placed(place) => {
                 if let Some(view) = self.placers.get_mut(placer) {
-                    view.take_place(&order.resources);
+                    view.record_placed(&order.resources);
                 }
-                self.serve_turn(id);
+                self.release_start_tag(id);
                 let Some(task) = self.task_mut(id) else {
                     return;
                 };
                 task.worker = Some(place.worker.clone());
                 if order.hold {
-                    task.life = job::Life::Held {
+                    task.stage = job::Stage::Held {
                         placer: placer.clone(),
                         place,
                         since: now.at,
@@ -323,7 +329,7 @@
                     self.watched.insert(id.clone());
                 } else {
                     let stopping = task.stopping;
-                    task.life = job::Life::Placed {
+                    task.stage = job::Stage::Placed {
                         place,
                         since: now.at,
                         running: false,
@@ -337,32 +343,35 @@
                 task.attempt -= 1;
                 let later = now.at + self.config.call_retry;
                 let reason = format!("owner {} is at its quota", order.owner);
-                self.waits_for(&id.job, reason);
+                self.set_refusal(&id.job, reason);
                 self.enqueue(now, &id.job, id.index, later);
-                self.settle(now, &id.job);
+                self.end_if_all_ended(now, &id.job);
             }
             message::OrderAnswer::NoRoom => {
                 task.attempt -= 1;
-                self.waits_for(&id.job, "no worker has room for it now".to_owned());
+                self.set_refusal(
+                    &id.job,
+                    "no worker has free resources for it now".to_owned(),
+                );
                 let until = now.at + self.config.room_retry;
                 if let Some(view) = self.placers.get_mut(placer) {
-                    view.refuse(order.resources, until);
+                    view.record_refusal(order.resources, until);
                 }
                 self.enqueue(now, &id.job, id.index, now.at);
-                self.settle(now, &id.job);
+                self.end_if_all_ended(now, &id.job);
             }
             message::OrderAnswer::StaleHome | message::OrderAnswer::Busy => {
                 task.attempt -= 1;
                 let later = now.at + self.config.call_retry;
                 self.enqueue(now, &id.job, id.index, later);
-                self.settle(now, &id.job);
+                self.end_if_all_ended(now, &id.job);
             }
         }
     }
 
-    fn waits_for(&mut self, id: &ids::JobId, reason: String) {
+    fn set_refusal(&mut self, id: &ids::JobId, reason: String) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.waits_for = Some(reason);
+            job.refusal = Some(reason);
         }
     }
 
@@ -378,22 +387,22 @@
         let Some(task) = self.task_mut(id).filter(|task| task.attempt == number) else {
             return;
         };
-        let job::Life::Asked { unanswered, .. } = &mut task.life else {
+        let job::Stage::Asked { unanswered, .. } = &mut task.stage else {
             return;
         };
-        // A repeat that was not run tells nothing of the call before it.
+        // If a repeat was not run, the first call may still have been.
         if not_run && !*unanswered {
             task.attempt -= 1;
             let later = now.at + self.config.call_retry;
             let until = now.at + self.config.room_retry;
             if let Some(view) = self.placers.get_mut(placer) {
-                view.refuse(sizes::Resources::default(), until);
+                view.record_refusal(sizes::Resources::default(), until);
             }
             self.enqueue(now, &id.job, id.index, later);
-            self.settle(now, &id.job);
+            self.end_if_all_ended(now, &id.job);
             return;
         }
-        task.life = job::Life::Asked {
+        task.stage = job::Stage::Asked {
             placer: placer.clone(),
             asked_at: now.at,
             unanswered: true,
@@ -414,12 +423,12 @@
         if task.attempt != attempt.number {
             return;
         }
-        let job::Life::Going { place, .. } = &task.life else {
+        let job::Stage::Going { place, .. } = &task.stage else {
             return;
         };
         match answer {
             message::GoAnswer::Going => {
-                task.life = job::Life::Placed {
+                task.stage = job::Stage::Placed {
                     place: place.clone(),
                     since: now.at,
                     running: false,
@@ -438,11 +447,11 @@
         if task.attempt != attempt.number {
             return;
         }
-        if let job::Life::Going {
+        if let job::Stage::Going {
             in_flight,
             asked_at,
             ..
-        } = &mut task.life
+        } = &mut task.stage
         {
             *in_flight = false;
             *asked_at = now.at;
--- a/crates/figscale-core/src/job/home/recover.rs
+++ b/crates/figscale-core/src/job/home/recover.rs
@@ -1,4 +1,5 @@
-//! Taking over, and following worker shards from holder to holder.
+//! Recovery of tasks that may be placed, by inventories from the holders of the
+//! worker shards, and the calls that are repeated without an answer.
 
 use std::time;
 
@@ -12,18 +13,18 @@
 use super::job;
 use crate::job::message;
 
-/// What the home knows of a worker shard.
+/// What a home knows of a worker shard.
 #[derive(Clone, Debug)]
 pub(super) struct ShardView {
     pub(super) holder: Option<ids::MemberKey>,
     pub(super) epoch: ids::Epoch,
-    /// When the shard was no more listed.
+    /// When the shard was first missing from the claims.
     gone_at: Option<time::Instant>,
-    /// When the last inventory under this epoch was asked for.
+    /// When the last inventory received under this epoch was requested.
     confirmed_at: Option<time::Instant>,
     /// Whether that inventory was complete.
     complete: bool,
-    /// When the holder was last asked for one.
+    /// When an inventory was last requested from the holder.
     asked_at: Option<time::Instant>,
     in_flight: bool,
 }
@@ -41,14 +42,14 @@
         }
     }
 
-    /// Whether everything of the home on the shard is known as of `since`.
-    fn tells_all_since(&self, since: time::Instant) -> bool {
+    /// Whether a complete inventory was requested at `since` or later.
+    fn is_confirmed_since(&self, since: time::Instant) -> bool {
         self.complete && self.confirmed_at.is_some_and(|at| at >= since)
     }
 }
 
 impl Home {
-    /// Takes over the worker shards and their holders, as the claims have them.
+    /// Sets the worker shards and their holders, by the claims.
     pub fn set_shards(
         &mut self,
         now: Now,
@@ -85,11 +86,12 @@
         }
     }
 
-    /// Repeats calls without an answer, and gives up what is known to be safe.
+    /// Checks watched tasks: queues them after their backoff, repeats unanswered calls,
+    /// writes start marks, starts or releases reservations.
     pub(super) fn poll_watched(&mut self, now: Now) {
         let mut marks = Vec::new();
         let mut late_gangs = IndexSet::new();
-        let mut going: IndexMap<ids::MemberKey, Vec<message::Attempt>> = IndexMap::new();
+        let mut to_start: IndexMap<ids::MemberKey, Vec<message::Attempt>> = IndexMap::new();
         for id in self.watched.clone() {
             let Some(job) = self.jobs.get(&id.job) else {
                 self.watched.remove(&id);
@@ -103,78 +105,78 @@
                 task: id.clone(),
                 number: task.attempt,
             };
-            match task.life.clone() {
-                job::Life::Queued { not_before } => {
+            match task.stage.clone() {
+                job::Stage::Queued { not_before } => {
                     if now.at >= not_before {
                         self.watched.remove(&id);
                         if let Some(job) = self.jobs.get_mut(&id.job) {
                             job.gang_pause_until = None;
                         }
                         self.enqueue(now, &id.job, id.index, now.at);
-                        self.settle(now, &id.job);
+                        self.end_if_all_ended(now, &id.job);
                     }
                 }
-                job::Life::Asked {
+                job::Stage::Asked {
                     placer,
                     asked_at,
                     unanswered: true,
                 } => {
                     if !self.placers.contains_key(&placer) {
-                        self.lose_sight(now, &id);
+                        self.mark_unknown(now, &id);
                     } else if now.at >= asked_at + self.config.call_retry {
                         self.repeat_order(now, &placer, &id);
                     }
                 }
-                job::Life::Held {
+                job::Stage::Held {
                     placer,
                     marked,
                     since,
                     ..
                 } => {
-                    let waits = job.is_gang() && !job.gang_is_complete();
-                    let late = waits && now.at >= since + self.config.gang_wait;
+                    let incomplete = job.is_gang() && !job.gang_is_complete();
+                    let late = incomplete && now.at >= since + self.config.gang_timeout;
                     if late {
                         late_gangs.insert(id.job.clone());
                     } else if !self.placers.contains_key(&placer) || task.stopping {
                         self.release(now, &placer, &id);
-                    } else if self.may_go(&id, marked) {
-                        going.entry(placer).or_default().push(attempt);
-                    } else if !marked && self.wants_mark(&id) {
+                    } else if self.may_start(&id, marked) {
+                        to_start.entry(placer).or_default().push(attempt);
+                    } else if !marked && self.needs_start_mark(&id) {
                         marks.push(id);
                     }
                 }
-                job::Life::Going {
+                job::Stage::Going {
                     placer,
                     asked_at,
                     in_flight: false,
                     ..
                 } => {
                     if !self.placers.contains_key(&placer) {
-                        self.lose_sight(now, &id);
+                        self.mark_unknown(now, &id);
                     } else if now.at >= asked_at + self.config.call_retry {
-                        going.entry(placer).or_default().push(attempt);
+                        to_start.entry(placer).or_default().push(attempt);
                     }
                 }
-                job::Life::Placed { .. } | job::Life::Unknown { .. } if task.stopping => {}
-                job::Life::Asked { .. } | job::Life::Going { .. } => {}
+                job::Stage::Placed { .. } | job::Stage::Unknown { .. } if task.stopping => {}
+                job::Stage::Asked { .. } | job::Stage::Going { .. } => {}
                 _ => {
                     self.watched.remove(&id);
                 }
             }
         }
         for gang in &late_gangs {
-            self.disband(now, gang);
+            self.release_gang(now, gang);
         }
-        self.write_marks(marks);
-        for (placer, attempts) in going {
+        self.write_start_marks(marks);
+        for (placer, attempts) in to_start {
             self.send_go(now, &placer, attempts);
         }
     }
 
-    /// A task may be anywhere, until every placer has told what it holds.
-    pub(super) fn lose_sight(&mut self, now: Now, id: &ids::TaskId) {
+    /// Marks a task as unknown, until every placer has sent a complete inventory.
+    pub(super) fn mark_unknown(&mut self, now: Now, id: &ids::TaskId) {
         if let Some(task) = self.task_mut(id) {
-            task.life = job::Life::Unknown { since: now.at };
+            task.stage = job::Stage::Unknown { since: now.at };
         }
     }
 
@@ -185,19 +187,20 @@
         if let Some(task) = self.task_mut(id) {
             order.attempt.number = task.attempt;
             order.hold = task.hold;
-            task.life = job::Life::Asked {
+            task.stage = job::Stage::Asked {
                 placer: placer.clone(),
                 asked_at: now.at,
                 unanswered: true,
             };
         }
-        // The flag stays: a repeat that did not reach the placer tells nothing
-        // of the first call. While it is in flight it is not repeated again
-        // before its own timeout, because its failure sets the time anew.
+        // The flag stays: if the repeat does not reach the placer, the first call
+        // may still have. `asked_at` is set again when the repeat is sent and when
+        // it fails, so the next one follows only after the retry time.
         self.send_orders(placer, vec![order], true);
     }
 
-    /// Asks holders for inventories, and decides what those that came tell.
+    /// Requests inventories, and ends tasks that are on removed shards or that no
+    /// holder has.
     pub(super) fn poll_shards(&mut self, now: Now) {
         self.drop_vanished(now);
         self.resolve_unknown(now);
@@ -206,9 +209,10 @@
         let mut asked = IndexSet::new();
         for view in self.shards.values() {
             let known = view.confirmed_at.is_some() && view.complete;
-            let enough = known && unknown_since.is_none_or(|since| view.tells_all_since(since));
-            let rested = view.asked_at.is_none_or(|at| now.at >= at + retry);
-            if !enough && rested && !view.in_flight && view.gone_at.is_none() {
+            let confirmed =
+                known && unknown_since.is_none_or(|since| view.is_confirmed_since(since));
+            let retry_due = view.asked_at.is_none_or(|at| now.at >= at + retry);
+            if !confirmed && retry_due && !view.in_flight && view.gone_at.is_none() {
                 asked.extend(view.holder.clone());
             }
         }
@@ -224,7 +228,7 @@
         }
     }
 
-    /// Worker shards whose holder has not told all that it has.
+    /// Worker shards without a complete inventory under their current epoch.
     pub(super) fn unconfirmed(&self) -> Vec<ids::ShardId> {
         let open = self.shards.iter().filter(|(_, view)| !view.complete);
         open.map(|(id, _)| id.clone()).collect()
@@ -235,8 +239,8 @@
             .values()
             .filter(|job| job.record.ended.is_none())
             .flat_map(|job| job.tasks.values())
-            .filter_map(|task| match task.life {
-                job::Life::Unknown { since } => Some(since),
+            .filter_map(|task| match task.stage {
+                job::Stage::Unknown { since } => Some(since),
                 _ => None,
             })
             .max()
@@ -270,13 +274,13 @@
             self.on_tell(now, placer, &shard.tasks);
             self.describe(placer, &shard.tasks);
             if shard.complete {
-                self.lose_missing(now, asked_at, &shard);
+                self.end_missing(now, asked_at, &shard);
             }
         }
         self.resolve_unknown(now);
     }
 
-    /// Tells a placer what the tasks are that it found running.
+    /// Sends a placer the descriptions of tasks that it reports as running.
     fn describe(&mut self, placer: &ids::MemberKey, events: &[message::TaskEvent]) {
         let running = events
             .iter()
@@ -294,8 +298,8 @@
         }
     }
 
-    /// Tasks that were on the shard and that its holder does not have are lost.
-    fn lose_missing(&mut self, now: Now, asked_at: time::Instant, shard: &message::ShardInventory) {
+    /// Ends tasks as lost that were placed on the shard and are not in its inventory.
+    fn end_missing(&mut self, now: Now, asked_at: time::Instant, shard: &message::ShardInventory) {
         let listed: IndexSet<_> = shard
             .tasks
             .iter()
@@ -320,7 +324,7 @@
                     job: id.clone(),
                     index: *index,
                 };
-                if let job::Life::Placed { place, since, .. } = &task.life
+                if let job::Stage::Placed { place, since, .. } = &task.stage
                     && wanted(&id, place, *since)
                 {
                     found.push(id);
@@ -330,7 +334,7 @@
         found
     }
 
-    /// Tasks on a shard that is long gone have lapsed.
+    /// Drops shards that were removed long enough ago that tasks on them have lapsed.
     fn drop_vanished(&mut self, now: Now) {
         let vanish = self.config.vanish;
         let gone: Vec<_> = self
@@ -347,7 +351,7 @@
         }
     }
 
-    /// Tasks that no holder has cannot be running.
+    /// Ends unknown tasks as lost that no holder has: they cannot be running.
     fn resolve_unknown(&mut self, now: Now) {
         if self.shards.is_empty() || self.unknown_since().is_none() {
             return;
@@ -355,10 +359,14 @@
         let mut resolved = Vec::new();
         for (id, job) in &self.jobs {
             for (index, task) in &job.tasks {
-                let job::Life::Unknown { since } = task.life else {
+                let job::Stage::Unknown { since } = task.stage else {
                     continue;
                 };
-                if self.shards.values().all(|view| view.tells_all_since(since)) {
+                if self
+                    .shards
+                    .values()
+                    .all(|view| view.is_confirmed_since(since))
+                {
                     resolved.push(ids::TaskId {
                         job: id.clone(),
                         index: *index,
--- a/crates/figscale-core/src/job/home/reserved.rs
+++ b/crates/figscale-core/src/job/home/reserved.rs
@@ -1,4 +1,5 @@
-//! Tasks whose room is reserved: when they may start, and who tells them.
+//! Tasks with reserved resources: when they may start, and the calls to start or
+//! release them.
 
 use figscale_types::ids;
 
@@ -11,11 +12,11 @@
 impl Home {
     /// Whether a reserved task may start now.
     ///
-    /// The end of its last attempt must be written first, which costs a retry
-    /// one write, 0.2 s at most: a home that died in between would leave no
-    /// record of it, and its successor, told of that end again, would start the
-    /// task a second time.
-    pub(super) fn may_go(&self, id: &ids::TaskId, marked: bool) -> bool {
+    /// The end of its last attempt must be written first. Otherwise, if this home
+    /// died in between, there would be no record of that end, and its successor
+    /// would receive it again and start the task a second time. This costs a
+    /// retry one write, 0.2 s at most.
+    pub(super) fn may_start(&self, id: &ids::TaskId, marked: bool) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
             return false;
         };
@@ -25,8 +26,8 @@
         !job.is_gang() || job.gang_is_complete()
     }
 
-    /// Whether a reserved task waits for nothing but its mark.
-    pub(super) fn wants_mark(&self, id: &ids::TaskId) -> bool {
+    /// Whether a reserved task waits only for its start mark, which is not recorded yet.
+    pub(super) fn needs_start_mark(&self, id: &ids::TaskId) -> bool {
         self.jobs.get(&id.job).is_some_and(|job| {
             !job.may_repeat()
                 && (!job.is_gang() || job.gang_is_complete())
@@ -40,7 +41,7 @@
         })
     }
 
-    pub(super) fn write_marks(&mut self, marks: Vec<ids::TaskId>) {
+    pub(super) fn write_start_marks(&mut self, marks: Vec<ids::TaskId>) {
         for id in marks {
             let Some(job) = self.jobs.get_mut(&id.job) else {
                 continue;
@@ -63,8 +64,8 @@
             let Some(task) = self.task_mut(&attempt.task) else {
                 continue;
             };
-            if let job::Life::Held { place, .. } | job::Life::Going { place, .. } = &task.life {
-                task.life = job::Life::Going {
+            if let job::Stage::Held { place, .. } | job::Stage::Going { place, .. } = &task.stage {
+                task.stage = job::Stage::Going {
                     placer: placer.clone(),
                     place: place.clone(),
                     asked_at: now.at,
@@ -76,7 +77,7 @@
         self.actions.push(Action::Call(placer.clone(), question));
     }
 
-    /// Gives back a reservation that was never told to start.
+    /// Releases a reservation that was never started.
     pub(super) fn release(&mut self, now: Now, placer: &ids::MemberKey, id: &ids::TaskId) {
         if self.placers.contains_key(placer) {
             let question = message::Question::Stop(self.key.clone(), vec![id.clone()]);
--- a/crates/figscale-core/src/job/home/submit.rs
+++ b/crates/figscale-core/src/job/home/submit.rs
@@ -1,4 +1,4 @@
-//! What owners ask: submit, status, cancel, list.
+//! Requests of owners: submit, status, cancel, list.
 
 use figscale_types::clock;
 use figscale_types::ids;
@@ -11,33 +11,33 @@
 use super::Ticket;
 use super::job;
 
-/// Bytes of a record besides its texts, about.
+/// Estimated size of a job's record without its command and its tasks.
 const RECORD_BYTES: usize = 420;
-/// Bytes of a task's record, about.
+/// Estimated size of a task's record.
 const TASK_RECORD_BYTES: usize = 90;
-/// Time to come back after while a home is taking over, in milliseconds.
-const TAKING_OVER_MS: u64 = 500;
-/// Time to come back after while the document is full, in milliseconds.
-const FULL_MS: u64 = 5_000;
+/// Time after which callers should retry while a home is taking over, in milliseconds.
+const TAKEOVER_RETRY_MS: u64 = 500;
+/// Time after which callers should retry while the document is full, in milliseconds.
+const FULL_RETRY_MS: u64 = 5_000;
 
 /// A job to accept.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Id chosen by the submitter.
+    /// Id chosen by the caller.
     pub id: ids::JobId,
     /// The job.
     pub spec: jobs::JobSpec,
-    /// What its catalogue entry allows.
+    /// Terms of its catalogue entry.
     pub terms: jobs::JobTerms,
 }
 
 impl Home {
-    /// Accepts a job once it is written; the answer comes as an action.
+    /// Accepts a job once it is written; the response follows as an action.
     pub fn submit(&mut self, now: Now, ticket: Ticket, submission: Submission) {
         let Submission { id, spec, terms } = submission;
         if let Some(known) = self.jobs.get(&id) {
             if known.record.spec != spec {
-                let message = format!("job {id} exists and is another one");
+                let message = format!("job {id} exists with a different specification");
                 return self.refuse(ticket, operator::ErrorKind::Conflict, message, None);
             }
             if known.written {
@@ -52,12 +52,12 @@
             let job = new_job(now, spec, terms);
             let used: usize = self.jobs.values().map(|job| job.bytes).sum();
             if used + job.bytes > self.config.max_document_bytes {
-                let message = "the home of this job keeps as many jobs as it can".to_owned();
+                let message = "the home of this job has no space for more jobs".to_owned();
                 return self.refuse(
                     ticket,
                     operator::ErrorKind::Unavailable,
                     message,
-                    Some(FULL_MS),
+                    Some(FULL_RETRY_MS),
                 );
             }
             self.jobs.insert(id.clone(), job);
@@ -65,11 +65,11 @@
         self.document.submit(id, ticket);
     }
 
-    /// Tells how a job stands.
+    /// The status of a job.
     pub fn status(&self, id: &ids::JobId) -> super::Outcome {
         match self.jobs.get(id) {
             Some(job) if job.written => Ok(job.status(id, true)),
-            _ if !self.document.is_mine() => Err(taking_over()),
+            _ if !self.document.is_owned() => Err(taking_over()),
             _ => Err(unknown_job(id)),
         }
     }
@@ -84,7 +84,7 @@
             .collect()
     }
 
-    /// Cancels a job; the answer comes once the wish is written.
+    /// Cancels a job; the response follows once the cancellation is written.
     pub fn cancel(&mut self, now: Now, ticket: Ticket, id: &ids::JobId) {
         if let Err(error) = self.check_open() {
             return self.answer(ticket, Err(error));
@@ -99,32 +99,33 @@
         job.record.cancelled = true;
         for task in job.tasks.values_mut() {
             task.stopping = true;
-            if matches!(task.life, job::Life::Queued { .. }) {
-                task.life = job::Life::Ended(jobs::JobState::Cancelled);
+            if matches!(task.stage, job::Stage::Queued { .. }) {
+                task.stage = job::Stage::Ended(jobs::JobState::Cancelled);
             }
         }
-        // Queue keys of the ended tasks are skipped when their turn comes.
+        // The keys of the ended tasks stay in the queue and are dropped by the next pass
+        // that reaches them.
         let all: Vec<_> = job.tasks.keys().copied().collect();
         for index in all {
             self.watch(id, index);
             let job = id.clone();
             let task = ids::TaskId { job, index };
             if self.task_mut(&task).is_some_and(|task| task.has_ended()) {
-                self.serve_turn(&task);
+                self.release_start_tag(&task);
             }
         }
-        self.settle(now, id);
+        self.end_if_all_ended(now, id);
         self.document.wait_for_write(id.clone(), ticket);
     }
 
     fn check_open(&self) -> Result<(), operator::OperatorError> {
-        if self.fenced || self.is_closed() || !self.document.is_mine() {
+        if self.fenced || self.is_closed() || !self.document.is_owned() {
             return Err(taking_over());
         }
-        if let Some(retry) = self.document.away(self.config.store_retry) {
+        if let Some(retry) = self.document.retry_after(self.config.store_retry) {
             let mut error = operator::OperatorError::new(
                 operator::ErrorKind::Unavailable,
-                "the store does not answer, so nothing can be accepted",
+                "the store is unavailable, so nothing can be accepted",
             );
             error.retry_after_ms = Some(clock::millis(retry));
             return Err(error);
@@ -169,15 +170,15 @@
         record,
         tasks,
         written: false,
-        doubted: false,
-        waits_for: None,
-        gang_tries: 0,
+        maybe_written: false,
+        refusal: None,
+        gang_releases: 0,
         gang_pause_until: None,
         bytes,
     }
 }
 
-/// Size of a job's record when every task has one.
+/// Estimated size of a job's record when every task has one.
 pub(super) fn record_bytes(spec: &jobs::JobSpec) -> usize {
     RECORD_BYTES + spec.command.len() + spec.tasks as usize * TASK_RECORD_BYTES
 }
@@ -187,7 +188,7 @@
         operator::ErrorKind::Unavailable,
         "the home of this job is being taken over",
     );
-    error.retry_after_ms = Some(TAKING_OVER_MS);
+    error.retry_after_ms = Some(TAKEOVER_RETRY_MS);
     error
 }
 
--- a/crates/figscale-core/src/job/home/write.rs
+++ b/crates/figscale-core/src/job/home/write.rs
@@ -1,4 +1,5 @@
-//! The document in the store: read, claimed by a first write, then replaced.
+//! The document in the store: read once, owned after the first write under this
+//! home's epoch, then replaced by batched writes.
 
 use std::time;
 
@@ -15,16 +16,16 @@
 use super::job;
 use crate::job::message;
 
-/// What became of a read.
+/// The result of a read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReadOutcome {
     /// The document with its revision; a missing one is empty, with revision 0.
     Read(ids::Revision, jobs::JobDocument),
-    /// No answer.
+    /// The store is unavailable.
     Away,
 }
 
-/// What became of a write.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// It took effect.
@@ -35,18 +36,18 @@
     Conflict,
 }
 
-/// What goes with a write.
+/// Changes of one write, and who waits for them.
 #[derive(Clone, Debug, Default)]
 struct Batch {
-    /// New jobs with who waits for their acceptance.
+    /// New jobs, with the requests that wait for their acceptance.
     submitted: Vec<(ids::JobId, Vec<Ticket>)>,
-    /// Who waits for a change of a job.
+    /// Requests that wait for a change of a job to be written.
     waiting: Vec<(ids::JobId, Ticket)>,
     /// Start marks.
     marks: Vec<ids::TaskId>,
-    /// Ends that may be acknowledged.
+    /// Ends to acknowledge to their placers once written.
     ends: Vec<(ids::MemberKey, message::Attempt)>,
-    /// Jobs that were given up for their age.
+    /// Whether there are other changes to write.
     dirty: bool,
 }
 
@@ -59,7 +60,7 @@
             && self.ends.is_empty()
     }
 
-    /// Puts back what an earlier write did not bring.
+    /// Puts an earlier batch that was not written in front of this one.
     fn put_back(&mut self, mut earlier: Self) {
         earlier.submitted.append(&mut self.submitted);
         earlier.waiting.append(&mut self.waiting);
@@ -70,12 +71,12 @@
     }
 }
 
-/// What the home knows of its document.
+/// What a home knows of its document.
 #[derive(Debug, Default)]
 pub(super) struct DocumentState {
     revision: Option<ids::Revision>,
     /// Whether a write under this epoch is known to have taken effect.
-    mine: bool,
+    owned: bool,
     sequence: u64,
     pending: Batch,
     in_flight: Option<Batch>,
@@ -88,12 +89,12 @@
 }
 
 impl DocumentState {
-    pub(super) fn is_mine(&self) -> bool {
-        self.mine
+    pub(super) fn is_owned(&self) -> bool {
+        self.owned
     }
 
-    /// Time to come back after while the store does not answer.
-    pub(super) fn away(&self, retry: time::Duration) -> Option<time::Duration> {
+    /// Time after which callers should retry; `None` unless the store is unavailable.
+    pub(super) fn retry_after(&self, retry: time::Duration) -> Option<time::Duration> {
         self.retry_at.map(|_| retry)
     }
 
@@ -129,25 +130,25 @@
         self.pending.ends.push((placer, attempt));
     }
 
-    /// Whether an end waits for its write.
+    /// Whether an end is not written yet.
     pub(super) fn has_end(&self, attempt: &message::Attempt) -> bool {
         self.unwritten_ends().any(|known| known == attempt)
     }
 
-    /// Whether an end of any attempt of a task waits for its write.
+    /// Whether the end of any attempt of a task is not written yet.
     pub(super) fn has_end_of(&self, task: &ids::TaskId) -> bool {
         self.unwritten_ends().any(|known| known.task == *task)
     }
 
     fn unwritten_ends(&self) -> impl Iterator<Item = &message::Attempt> {
-        let doubted = self.in_doubt.as_ref().map(|(_, batch)| batch);
-        [Some(&self.pending), self.in_flight.as_ref(), doubted]
+        let in_doubt = self.in_doubt.as_ref().map(|(_, batch)| batch);
+        [Some(&self.pending), self.in_flight.as_ref(), in_doubt]
             .into_iter()
             .flatten()
             .flat_map(|batch| batch.ends.iter().map(|(_, attempt)| attempt))
     }
 
-    pub(super) fn touch(&mut self) {
+    pub(super) fn mark_dirty(&mut self) {
         self.pending.dirty = true;
     }
 }
@@ -167,18 +168,18 @@
             self.actions.push(Action::Read);
             return;
         };
-        let rested = state
+        let interval_passed = state
             .last_write
             .is_none_or(|at| now.at >= at + self.config.write_every);
-        if state.pending.is_empty() || !rested {
+        if state.pending.is_empty() || !interval_passed {
             return;
         }
         self.write(now, revision);
     }
 
     fn write(&mut self, now: Now, expected: ids::Revision) {
-        self.forget_old(now);
-        // While it drains the home asks for no more places.
+        self.drop_old_jobs(now);
+        // Only while it drains: then the home sends no more orders, so the list stays valid.
         let placed = self.draining.then(|| self.maybe_placed());
         let state = &mut self.document;
         state.in_flight = Some(std::mem::take(&mut state.pending));
@@ -200,15 +201,15 @@
         self.actions.push(Action::Write(call));
     }
 
-    /// Tasks that may have a place.
+    /// Tasks that may be placed.
     fn maybe_placed(&self) -> Vec<ids::TaskId> {
         let mut all = Vec::new();
         for (id, job) in &self.jobs {
             for (index, task) in &job.tasks {
-                // A reservation that was never told to start dies with this home.
+                // A reservation that was never started ends with this home.
                 let placed = !matches!(
-                    task.life,
-                    job::Life::Queued { .. } | job::Life::Held { .. } | job::Life::Ended(_)
+                    task.stage,
+                    job::Stage::Queued { .. } | job::Stage::Held { .. } | job::Stage::Ended(_)
                 );
                 if placed {
                     all.push(ids::TaskId {
@@ -221,15 +222,15 @@
         all
     }
 
-    /// Drops ended jobs that were kept long enough.
-    fn forget_old(&mut self, now: Now) {
+    /// Drops ended jobs after their retention time.
+    fn drop_old_jobs(&mut self, now: Now) {
         let keep_ms = self.config.keep_ended_ms;
         self.jobs.retain(|_, job| {
             job.record.ended.is_none() || job.record.ended_unix_ms + keep_ms > now.unix_ms
         });
     }
 
-    /// Takes what was read.
+    /// Applies the result of a read.
     pub fn on_read(&mut self, now: Now, outcome: ReadOutcome) {
         self.document.reading = false;
         let ReadOutcome::Read(revision, document) = outcome else {
@@ -247,15 +248,15 @@
             Some((sequence, batch)) if known && document.sequence >= sequence => {
                 self.written(now, batch);
             }
-            Some((_, batch)) if self.document.mine => self.document.pending.put_back(batch),
-            // Before the first write of its own, an earlier home may have
-            // written again: what was loaded is out of date.
-            _ if !self.document.mine => self.load(now, document),
+            Some((_, batch)) if self.document.owned => self.document.pending.put_back(batch),
+            // Until this home has written, an earlier home may have written after the
+            // document was loaded, so it is loaded again.
+            _ if !self.document.owned => self.load(now, document),
             _ => {}
         }
     }
 
-    /// Takes what became of a write.
+    /// Applies the result of a write.
     pub fn on_write(&mut self, now: Now, outcome: WriteOutcome) {
         let Some(batch) = self.document.in_flight.take() else {
             return;
@@ -267,17 +268,18 @@
                 self.written(now, batch);
             }
             WriteOutcome::Failed(Verdict::NotRun) => {
-                let batch = self.give_up_submissions(batch);
+                let batch = self.reject_submissions(batch);
                 self.document.pending.put_back(batch);
                 self.store_failed(now);
             }
             WriteOutcome::Failed(_) => {
-                let batch = self.doubt_askers(batch);
+                let batch = self.answer_unknown(batch);
                 self.document.in_doubt = Some((self.document.sequence, batch));
                 self.store_failed(now);
             }
-            // Only this home writes under its epoch: an earlier write of its
-            // own, or of an earlier home, came through. Reading tells.
+            // An earlier write of this home, or one of an earlier home, took effect.
+            // Only this home writes under its epoch, so reading the document back
+            // shows which.
             WriteOutcome::Conflict => {
                 self.document.in_doubt = Some((self.document.sequence, batch));
             }
@@ -286,25 +288,25 @@
 
     fn store_failed(&mut self, now: Now) {
         self.document.retry_at = Some(now.at + self.config.store_retry);
-        // Whoever waits meanwhile is answered at once rather than kept.
+        // Requests that wait are answered now instead of after the outage.
         let pending = std::mem::take(&mut self.document.pending);
-        self.document.pending = self.give_up_submissions(pending);
+        self.document.pending = self.reject_submissions(pending);
         if let Some((sequence, batch)) = self.document.in_doubt.take() {
-            let batch = self.doubt_askers(batch);
+            let batch = self.answer_unknown(batch);
             self.document.in_doubt = Some((sequence, batch));
         }
     }
 
-    /// Submissions that were not written are not accepted.
-    fn give_up_submissions(&mut self, mut batch: Batch) -> Batch {
+    /// Rejects submissions that were not written, unless an earlier write may hold them.
+    fn reject_submissions(&mut self, mut batch: Batch) -> Batch {
         let retry = clock::millis(self.config.store_retry);
         let submitted = std::mem::take(&mut batch.submitted);
         for (id, tickets) in submitted {
-            let doubted = self
+            let maybe_written = self
                 .jobs
                 .get(&id)
-                .is_none_or(|job| job.doubted || job.written);
-            if doubted {
+                .is_none_or(|job| job.maybe_written || job.written);
+            if maybe_written {
                 batch.submitted.push((id, tickets));
                 continue;
             }
@@ -314,32 +316,32 @@
                 self.refuse(
                     ticket,
                     operator::ErrorKind::Unavailable,
-                    format!("job {id} was not accepted: the store does not answer"),
+                    format!("job {id} was not accepted: the store is unavailable"),
                     Some(retry),
                 );
             }
         }
-        // What is left may be in the store, or is a wish that is obeyed but
-        // not yet written.
-        self.doubt_askers(batch)
+        // The remaining submissions may be in the store, and the remaining changes
+        // are in effect but not yet written.
+        self.answer_unknown(batch)
     }
 
-    /// Whoever waits for a write without an outcome is told so.
-    fn doubt_askers(&mut self, mut batch: Batch) -> Batch {
+    /// Answers those who wait for a write that its outcome is unknown.
+    fn answer_unknown(&mut self, mut batch: Batch) -> Batch {
         let retry = clock::millis(self.config.store_retry);
-        let mut told = Vec::new();
+        let mut callers = Vec::new();
         for (id, tickets) in &mut batch.submitted {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.doubted = true;
+                job.maybe_written = true;
             }
-            told.extend(tickets.drain(..).map(|ticket| (id.clone(), ticket)));
+            callers.extend(tickets.drain(..).map(|ticket| (id.clone(), ticket)));
         }
-        told.append(&mut batch.waiting);
-        for (id, ticket) in told {
+        callers.append(&mut batch.waiting);
+        for (id, ticket) in callers {
             self.refuse(
                 ticket,
                 operator::ErrorKind::Unknown,
-                format!("job {id}: the store's answer was lost; ask again with the same id"),
+                format!("job {id}: unknown whether the change was stored; retry with the same id"),
                 Some(retry),
             );
         }
@@ -347,7 +349,7 @@
     }
 
     fn written(&mut self, now: Now, batch: Batch) {
-        self.document.mine = true;
+        self.document.owned = true;
         for (id, tickets) in batch.submitted {
             self.accepted(now, &id);
             for ticket in tickets {
@@ -360,12 +362,12 @@
             self.answer(ticket, outcome);
         }
         for task in batch.marks {
-            self.marked(now, &task);
+            self.on_start_marked(now, &task);
         }
         self.acknowledge(batch.ends);
     }
 
-    /// A job is accepted: its tasks may be placed.
+    /// Marks a job as accepted and queues its tasks.
     fn accepted(&mut self, now: Now, id: &ids::JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -390,13 +392,13 @@
         }
     }
 
-    /// A later home holds the shard: everybody who waits is told to come back.
+    /// Stops all work because a later home holds the shard; those who wait are told to retry.
     pub(super) fn fence(&mut self) {
         self.fenced = true;
         let pending = std::mem::take(&mut self.document.pending);
         let in_flight = self.document.in_flight.take();
         for batch in [Some(pending), in_flight].into_iter().flatten() {
-            self.doubt_askers(batch);
+            self.answer_unknown(batch);
         }
     }
 }
--- a/crates/figscale-core/tests/job_faults/main.rs
+++ b/crates/figscale-core/tests/job_faults/main.rs
@@ -1,9 +1,9 @@
-//! Homes and placers under faults, on a held clock.
+//! Homes and placers under faults, on a simulated clock.
 //!
-//! Judged at the fake workers: no task runs on two of them, none holds
-//! more than it can, a task that may not run twice starts once, a refused job
-//! never starts, an accepted one ends. Seeds are fixed; `JOB_FAULTS_SEEDS=A..B`
-//! runs others.
+//! Invariants, checked at the simulated workers: no task runs on two of them, none
+//! runs more than its capacity, a task that must not run twice starts once, a
+//! refused job never starts, an accepted one ends. Seeds are fixed;
+//! `JOB_FAULTS_SEEDS=A..B` runs others.
 
 mod cell;
 mod worker;
@@ -42,8 +42,8 @@
     }
 }
 
-/// A name whose job shard is one of the four in use.
-fn name(prefix: &str, number: u64) -> String {
+/// A job id whose job shard is one of the four in use.
+fn job_name(prefix: &str, number: u64) -> String {
     (0..)
         .map(|salt| format!("{prefix}-{number}-{salt}"))
         .find(|name| {
@@ -54,8 +54,8 @@
         .expect("a name")
 }
 
-/// A name whose job shard is that of another job.
-fn same_shard(prefix: &str, other: &str) -> String {
+/// A job id whose job shard is that of another job.
+fn job_name_in_shard_of(prefix: &str, other: &str) -> String {
     let shard = |name: &str| jobs::shard_of(&name.parse().expect("a legal name"));
     (0..)
         .map(|salt| format!("{prefix}-{salt}"))
@@ -75,7 +75,7 @@
 fn a_job_is_written_placed_run_and_done() {
     let mut cell = Cell::new(1, 2, 4);
     cell.run(SECOND);
-    let id = name("job", 1);
+    let id = job_name("job", 1);
     cell.submit(
         &id,
         spec(8, 1_000, 500, true),
@@ -89,31 +89,31 @@
     assert_eq!(cell.violations, Vec::<String>::new());
 }
 
-/// Thousands of tasks of a size that no worker has room for: after the first
-/// refusal each home asks for one of them at a time, so that a long line costs
-/// the control thread as little as a short one. Asked for by the whole call,
-/// five seconds of this line were over 20,000 orders.
+/// Thousands of tasks of a size that no worker has capacity for. After the first
+/// refusal each home sends one order at a time, so that a long queue costs the
+/// control thread as little as a short one. With full calls, five seconds of this
+/// queue were over 20,000 orders.
 #[test]
-fn a_size_without_room_is_asked_for_one_at_a_time() {
+fn a_size_that_fits_nowhere_is_probed_one_order_at_a_time() {
     let mut cell = Cell::new(1, 1, 4);
     cell.run(SECOND);
     for number in 0..20 {
         let large = spec(100, 60_000, 1_000, true);
         cell.submit(
-            &name("large", number),
+            &job_name("large", number),
             large,
             terms(catalogue::JobClass::Batch),
         );
     }
     cell.run(5 * SECOND);
     let probes = 4 * 10 * 5;
-    let calls = 4 * home::Config::default().call_len;
+    let calls = 4 * home::Config::default().max_call_orders;
     assert!(
         cell.orders <= calls + probes,
-        "{} orders for a size without room",
+        "{} orders for a size that fits nowhere",
         cell.orders
     );
-    let small = name("small", 1);
+    let small = job_name("small", 1);
     let fits = spec(40, 1_000, 200, true);
     cell.submit(&small, fits, terms(catalogue::JobClass::Batch));
     cell.run(6 * SECOND);
@@ -126,13 +126,13 @@
     cell.status(&id).map(|status| status.state)
 }
 
-/// A worker that leaves gets nothing new; what can be saved is saved and goes
-/// on elsewhere, a service is started elsewhere, the rest runs to its end.
+/// A leaving worker gets no new tasks. Its checkpointable tasks are checkpointed
+/// and resumed elsewhere, and its tasks of services are started elsewhere.
 #[test]
-fn a_leaving_worker_is_emptied() {
+fn tasks_are_moved_off_a_leaving_worker() {
     let mut cell = Cell::new(2, 1, 2);
     cell.run(SECOND);
-    let (saved, served) = (name("saved", 1), name("served", 1));
+    let (saved, served) = (job_name("saved", 1), job_name("served", 1));
     let mut job = spec(2, 1_000, 60_000, false);
     job.checkpointable = true;
     cell.submit(&saved, job, terms(catalogue::JobClass::Batch));
@@ -150,12 +150,12 @@
     assert_eq!(cell.workers[1 - busy].used(cell.now).cpu_millis.0, 3_000);
 }
 
-/// Tasks of a service are started again whenever they end.
+/// Tasks of a service are started again whenever they end, until it is cancelled.
 #[test]
-fn a_service_is_kept_running() {
+fn service_tasks_are_restarted_until_cancelled() {
     let mut cell = Cell::new(3, 2, 4);
     cell.run(SECOND);
-    let served = name("served", 1);
+    let served = job_name("served", 1);
     cell.submit(
         &served,
         spec(3, 500, 2_000, true),
@@ -174,17 +174,17 @@
     assert_eq!(cell.violations, Vec::<String>::new());
 }
 
-/// Urgent work gets the room of less urgent work that may be stopped for it.
+/// Urgent tasks preempt less urgent ones that are preemptible.
 #[test]
-fn urgent_work_takes_the_room_of_preemptible_work() {
+fn urgent_tasks_preempt_preemptible_ones() {
     let mut cell = Cell::new(4, 1, 2);
     cell.run(SECOND);
-    let patient = jobs::JobTerms {
+    let preemptible_terms = jobs::JobTerms {
         preemptible: true,
         ..jobs::JobTerms::default()
     };
-    let (low, high) = (name("low", 1), name("high", 1));
-    cell.submit(&low, spec(7, 1_000, 20_000, true), patient);
+    let (low, high) = (job_name("low", 1), job_name("high", 1));
+    cell.submit(&low, spec(7, 1_000, 20_000, true), preemptible_terms);
     cell.run(2 * SECOND);
     let urgent = jobs::JobTerms {
         urgency: catalogue::Urgency::Interactive,
@@ -198,14 +198,14 @@
     assert_eq!(cell.violations, Vec::<String>::new());
 }
 
-/// A worker that fails everything is set aside after few losses, and the jobs
-/// that it failed end well elsewhere.
+/// A worker on which every task fails is ejected after few failures, and the jobs
+/// affected are done elsewhere.
 #[test]
-fn a_worker_that_fails_everything_is_set_aside() {
+fn a_worker_that_fails_everything_is_ejected() {
     let mut cell = Cell::new(5, 1, 4);
     cell.run(SECOND);
     cell.workers[0].fails = true;
-    let names: Vec<_> = (0..40).map(|number| name("job", number)).collect();
+    let names: Vec<_> = (0..40).map(|number| job_name("job", number)).collect();
     for name in &names {
         cell.submit(
             name,
@@ -218,20 +218,25 @@
     for name in &names {
         assert_eq!(state(&cell, name), Some(jobs::JobState::Done), "{name}");
     }
-    assert!(cell.starts_on(0) < 20, "{} losses", cell.starts_on(0));
+    assert!(
+        cell.starts_on(0) < 20,
+        "{} starts on the failing worker",
+        cell.starts_on(0)
+    );
 }
 
-/// Tasks that use ten times what they declare, of which a worker holds one: a
-/// first job teaches it, a second one is placed by it and starts each task once.
+/// Tasks use ten times what they declare, so that a worker can run only one. This
+/// is learned from a first job; a second one is placed by the learned size and
+/// starts each task once.
 #[test]
-fn use_beyond_what_is_declared_is_learned() {
+fn usage_above_the_declared_size_is_learned() {
     let mut cell = Cell::new(8, 1, 2);
     cell.run(SECOND);
     for worker in &mut cell.workers {
         worker.use_factor = 10;
     }
     let batch = || terms(catalogue::JobClass::Batch);
-    let (first, second) = (name("first", 1), name("second", 1));
+    let (first, second) = (job_name("first", 1), job_name("second", 1));
     cell.submit(&first, spec(12, 300, 1_000, true), batch());
     cell.run(40 * SECOND);
     assert_eq!(state(&cell, &first), Some(jobs::JobState::Done));
@@ -244,19 +249,19 @@
     assert_eq!(cell.violations, Vec::<String>::new());
 }
 
-/// One owner's long queue does not hold up another owner's first tasks.
+/// One owner's long queue must not delay another owner's first tasks.
 #[test]
-fn owners_take_turns() {
+fn a_long_queue_of_one_owner_does_not_delay_another() {
     let mut cell = Cell::new(7, 1, 2);
     cell.run(SECOND);
-    let many = name("many", 1);
+    let many = job_name("many", 1);
     cell.submit(
         &many,
         spec(400, 1_000, 1_000, true),
         terms(catalogue::JobClass::Batch),
     );
     cell.run(3 * SECOND);
-    let few = same_shard("few", &many);
+    let few = job_name_in_shard_of("few", &many);
     let mut other = spec(4, 1_000, 1_000, true);
     other.owner = "harbour".parse().expect("a legal name");
     cell.submit(&few, other, terms(catalogue::JobClass::Batch));
@@ -265,13 +270,13 @@
     assert_eq!(state(&cell, &many), Some(jobs::JobState::Running));
 }
 
-/// A wave of 10,000 cancelled tasks costs a few grouped writes, and what comes
-/// after it runs at once.
+/// Cancelling 10,000 tasks costs a few batched writes, and a job submitted after
+/// it runs at once.
 #[test]
-fn ten_thousand_cancellations_leave_placements_flowing() {
+fn ten_thousand_cancellations_do_not_delay_placements() {
     let mut cell = Cell::new(6, 2, 4);
     cell.run(SECOND);
-    let names: Vec<_> = (0..100).map(|number| name("wave", number)).collect();
+    let names: Vec<_> = (0..100).map(|number| job_name("wave", number)).collect();
     for name in &names {
         cell.submit(
             name,
@@ -284,7 +289,7 @@
     for name in &names {
         cell.cancel(name);
     }
-    let after = name("after", 1);
+    let after = job_name("after", 1);
     cell.submit(
         &after,
         spec(4, 500, 100, true),
@@ -322,7 +327,7 @@
     lose_store_answer: 0.05,
     hand_over: 0.002,
 })]
-fn promises_hold_under(#[case] faults: Faults) {
+fn invariants_hold_under(#[case] faults: Faults) {
     for seed in seeds() {
         run_under(seed, faults);
     }
@@ -342,7 +347,7 @@
             _ => catalogue::JobClass::Batch,
         };
         let spec = spec(tasks, cpu_millis, run_ms, kind != 1);
-        cell.submit(&name("job", number), spec, terms(class));
+        cell.submit(&job_name("job", number), spec, terms(class));
         cell.run(SECOND / 3);
     }
     cell.faults = Faults::default();
--- a/crates/figscale-core/tests/job_home.rs
+++ b/crates/figscale-core/tests/job_home.rs
@@ -1,4 +1,5 @@
-//! A home that takes a job over, told of attempts that an earlier home knew.
+//! A home that takes over a job and receives updates of attempts that an earlier
+//! home started.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -20,7 +21,7 @@
     }
 }
 
-/// A job of one task whose first attempt has ended, as the document says.
+/// A document with a job of one task whose first attempt has ended.
 fn document() -> jobs::JobDocument {
     let spec = jobs::JobSpec {
         entry: "tides".parse().unwrap(),
@@ -33,7 +34,7 @@
         checkpointable: false,
         command: String::new(),
     };
-    let dealt_with = jobs::TaskRecord {
+    let ended_once = jobs::TaskRecord {
         attempts: 1,
         ..jobs::TaskRecord::default()
     };
@@ -43,7 +44,7 @@
         cancelled: false,
         reason: None,
         ended: None,
-        tasks: IndexMap::from([(0, dealt_with)]),
+        tasks: IndexMap::from([(0, ended_once)]),
         ended_unix_ms: 0,
         terms: jobs::JobTerms::default(),
     };
@@ -62,7 +63,7 @@
     }
 }
 
-/// The next home of the job, with its first write done.
+/// The next home of the job, after its first write.
 fn next_home() -> home::Home {
     let shard = jobs::shard_of(&JOB.parse().unwrap()).unwrap();
     let key = message::HomeKey {
@@ -101,52 +102,53 @@
     }
 }
 
-fn places(actions: &[home::Action]) -> usize {
+fn count_places(actions: &[home::Action]) -> usize {
     let place = |action: &&home::Action| {
         matches!(action, home::Action::Call(_, message::Question::Place(..)))
     };
     actions.iter().filter(place).count()
 }
 
-/// The earlier home has dealt with the end of attempt 1, and may have placed
-/// attempt 2, which runs somewhere: being told of that end again says nothing.
+/// The earlier home has recorded the end of attempt 1, and may have placed attempt
+/// 2, which then runs somewhere. A repeated update of that end must not place the
+/// task again.
 #[test]
-fn an_end_that_was_dealt_with_places_nothing_again() {
+fn a_repeated_recorded_end_does_not_place_the_task_again() {
     let mut home = next_home();
     let lapsed = message::TaskState::Ended(message::End::Lapsed);
     home.on_tell(now(), &placer(), &[event(1, lapsed)]);
-    assert_eq!(places(&home.poll(now())), 0);
+    assert_eq!(count_places(&home.poll(now())), 0);
 }
 
-fn later(than: home::Now, by_ms: u64) -> home::Now {
+fn later(from: home::Now, by_ms: u64) -> home::Now {
     home::Now {
-        at: than.at + time::Duration::from_millis(by_ms),
-        ..than
+        at: from.at + time::Duration::from_millis(by_ms),
+        ..from
     }
 }
 
-fn goes(actions: &[home::Action]) -> usize {
+fn count_goes(actions: &[home::Action]) -> usize {
     let go =
         |action: &&home::Action| matches!(action, home::Action::Call(_, message::Question::Go(..)));
     actions.iter().filter(go).count()
 }
 
-fn writes(actions: &[home::Action]) -> usize {
+fn count_writes(actions: &[home::Action]) -> usize {
     let write = |action: &&home::Action| matches!(action, home::Action::Write { .. });
     actions.iter().filter(write).count()
 }
 
-/// A home that dies before it wrote that an attempt has ended must not have
-/// started the next one: its successor would be told of that end again, and
-/// start the next one too.
+/// A home must not start the next attempt before the end of the last one is
+/// written: if it died in between, its successor would receive that end again and
+/// start the next attempt too.
 #[test]
 fn the_next_attempt_starts_once_the_end_of_the_last_is_written() {
     let mut home = next_home();
-    let begun = later(now(), 1_000);
+    let start = later(now(), 1_000);
     let lapsed = message::TaskState::Ended(message::End::Lapsed);
-    home.on_tell(begun, &placer(), &[event(2, lapsed)]);
-    let actions = home.poll(begun);
-    assert_eq!(writes(&actions), 1);
+    home.on_tell(start, &placer(), &[event(2, lapsed)]);
+    let actions = home.poll(start);
+    assert_eq!(count_writes(&actions), 1);
     let place = actions.into_iter().find_map(|action| match action {
         home::Action::Call(_, question @ message::Question::Place(..)) => Some(question),
         _ => None,
@@ -155,27 +157,27 @@
     let message::Question::Place(_, _, orders) = &place else {
         unreachable!()
     };
-    assert!(orders[0].hold, "it is only reserved");
+    assert!(orders[0].hold, "the order must only reserve");
     let reserved = message::OrderAnswer::Placed(event(3, lapsed).place);
     let answer = message::Answer::Place(vec![reserved], message::Summary::default());
-    home.on_call(begun, &placer(), begun.at, place, Ok(answer));
+    home.on_call(start, &placer(), start.at, place, Ok(answer));
     assert_eq!(
-        goes(&home.poll(later(begun, 10))),
+        count_goes(&home.poll(later(start, 10))),
         0,
-        "its end is not written"
+        "started before the end of the last attempt was written"
     );
     home.on_write(
-        later(begun, 20),
+        later(start, 20),
         home::WriteOutcome::Written(ids::Revision(11)),
     );
-    assert_eq!(goes(&home.poll(later(begun, 30))), 1);
+    assert_eq!(count_goes(&home.poll(later(start, 30))), 1);
 }
 
-/// The end of the attempt that may have been under way is taken.
+/// The end of an attempt later than the recorded one is applied.
 #[test]
 fn the_end_of_a_later_attempt_places_the_next() {
     let mut home = next_home();
     let lapsed = message::TaskState::Ended(message::End::Lapsed);
     home.on_tell(now(), &placer(), &[event(2, lapsed)]);
-    assert_eq!(places(&home.poll(now())), 1);
+    assert_eq!(count_places(&home.poll(now())), 1);
 }
