--- a/crates/figscale-core/src/job/home/job.rs
+++ b/crates/figscale-core/src/job/home/job.rs
@@ -49,7 +49,6 @@
     Ended(jobs::JobState),
 }
 
-/// A task.
 #[derive(Clone, Debug)]
 pub(super) struct Task {
     pub(super) stage: Stage,
@@ -100,7 +99,6 @@
     }
 }
 
-/// A job.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) record: jobs::JobRecord,
