--- a/crates/figscale-core/src/backoff.rs
+++ b/crates/figscale-core/src/backoff.rs
@@ -1,16 +1,17 @@
-//! Delays between repeats of a failed call.
+//! Delays between retries of a failed call.
 
 use std::time;
 
 use rand::RngExt as _;
 
-/// Grows the delay by this factor at each failure.
-const FACTOR: u32 = 2;
+/// Factor by which the delay bound grows after each failure.
+const GROWTH_FACTOR: u32 = 2;
 
-/// Doubling delays with full jitter, reset by a success.
+/// Exponential backoff with jitter, reset by a success.
 ///
-/// Each delay is drawn between nothing and the current bound, so that entry
-/// instances that failed together do not come back together.
+/// Each delay is drawn at random between a tenth of the current bound and the
+/// bound itself, so that entry instances that failed together do not retry
+/// together.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first: time::Duration,
@@ -19,7 +20,7 @@
 }
 
 impl Backoff {
-    /// Delays from `first` to `longest`.
+    /// Creates a backoff whose bound grows from `first` up to `longest`.
     pub fn new(first: time::Duration, longest: time::Duration) -> Self {
         Self {
             first,
@@ -28,15 +29,15 @@
         }
     }
 
-    /// Notes a success.
+    /// Records a success: the bound returns to its first value.
     pub fn reset(&mut self) {
         self.bound = self.first;
     }
 
-    /// Notes a failure and draws the delay before the next try.
+    /// Records a failure and draws the delay before the next attempt.
     pub fn next_delay(&mut self, rng: &mut impl rand::Rng) -> time::Duration {
         let delay = self.bound.mul_f64(rng.random_range(0.1..=1.0));
-        self.bound = (self.bound * FACTOR).min(self.longest);
+        self.bound = (self.bound * GROWTH_FACTOR).min(self.longest);
         delay
     }
 }
--- a/crates/figscale-core/src/lib.rs
+++ b/crates/figscale-core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of figscale, as pure state machines.
+//! The decision logic of figscale, as pure state machines.
 //!
-//! Inputs are messages and the time; outputs are actions for an adapter to
-//! carry out. Nothing here opens a socket, spawns a task, reads a clock or
-//! draws a number from an unseeded source, so every promise can be tested with
-//! time held still, and again with real processes.
+//! Inputs are messages and the current time; outputs are actions that an
+//! adapter executes. Nothing here opens a socket, spawns a task, reads a clock
+//! or uses an unseeded random source, so every guarantee can be tested
+//! deterministically under simulated time, and again with real processes.
 
 pub mod backoff;
 pub mod catalogue;
