--- a/crates/figscale-core/src/catalogue/apply.rs
+++ b/crates/figscale-core/src/catalogue/apply.rs
@@ -1,16 +1,18 @@
-//! One change on its way to being accepted.
+//! Applying one change to the catalogue in the store.
 //!
 //! A change is accepted when the compare-and-swap that carries it is known to
-//! have taken effect, and refused when it is known that it never can. Between
-//! the two stands a lost answer. It is resolved by the change's own id: read
-//! the document back; when the id is in it, the change was accepted. When it
-//! is not and the key has moved on, the write lost its race for good. When the
-//! key has not moved, the write may still be under way, so the same write is
-//! sent again under the same condition: at most one of the two takes effect.
+//! have taken effect, and rejected when it is known that it never can. If the
+//! response of the store is lost, neither is known. The change's own id
+//! resolves this: the document is read back, and if the id is in it, the change
+//! was accepted. If it is not and the key has a newer revision, the write lost
+//! its race for good. If the key is unchanged, the write may still be in
+//! flight, so the same write is sent again under the same condition: at most
+//! one of the two takes effect.
 //!
-//! [`Apply`] asks its adapter to read and write through [`Action`] and is told
-//! the outcome through [`Input`]. When the adapter's time is up it asks
-//! [`Apply::give_up`] for the honest answer.
+//! [`Apply`] requests reads and writes from its adapter through [`Action`] and
+//! receives their outcomes through [`Input`]. When the adapter's deadline has
+//! passed, [`Apply::give_up`] returns the error to report: whether the change
+//! may have been accepted or was not.
 
 use figscale_types::catalogue;
 use figscale_types::ids;
@@ -20,67 +22,68 @@
 use super::check;
 use super::history;
 
-/// Longest author, in bytes.
+/// Maximum length of an author, in bytes.
 pub const MAX_AUTHOR_LEN: usize = 120;
-/// Longest note, in bytes.
+/// Maximum length of a note, in bytes.
 pub const MAX_NOTE_LEN: usize = 1_000;
-/// Time after which an operator asks again when the store is away.
+/// Retry delay suggested to an operator when the store is unavailable.
 const RETRY_AFTER_MS: u64 = 2_000;
-/// Problems that a refusal names; the rest are counted.
+/// Maximum number of problems listed in an error; the rest are only counted.
 const MAX_SHOWN_PROBLEMS: usize = 20;
 
-/// What the adapter is to do next.
+/// What the adapter must do next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Read the document.
     Read,
-    /// Write the document if the key still has this revision of the store.
+    /// Write the document if the key still has this store revision.
     Write(ids::Revision, Box<catalogue::Document>),
-    /// Wait a little, then read.
+    /// Wait for a retry delay, then read the document.
     ReadLater,
     /// The change is decided.
     Done(Result<operator::ApplyAnswer, operator::OperatorError>),
 }
 
-/// What the adapter found.
+/// Outcome of an action, as reported by the adapter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The document and the store's revision of the key; 0 when absent.
+    /// The document and the store's revision of the key; revision 0 if the key
+    /// is absent.
     Read(ids::Revision, Option<Box<catalogue::Document>>),
-    /// Reading failed.
+    /// The read failed.
     ReadFailed,
-    /// The value is no document, so nothing may be written over it.
+    /// The value is not a valid document, so it must not be overwritten.
     Unreadable,
     /// The write took effect.
     Written,
-    /// The write did not get through; the verdict tells whether it may have.
+    /// The write failed; the verdict says whether it may have taken effect.
     WriteFailed(Verdict),
-    /// The key had another revision.
+    /// The key had a different revision.
     WriteConflict,
 }
 
-/// What a change wants.
+/// The catalogue that a change proposes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Want {
-    /// This catalogue.
+pub enum Proposal {
+    /// A new catalogue.
     Catalogue(Box<catalogue::Catalogue>),
     /// The catalogue of an earlier revision.
     Rollback(ids::Revision),
 }
 
-/// A change with its author.
+/// A proposed change with its author.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// Revision that it was made against.
+    /// Catalogue revision that it was made against.
     pub base: ids::Revision,
-    /// Its id.
+    /// Id of the change, chosen by its author's client.
     pub id: ids::ChangeId,
-    /// Who asks.
+    /// Name of the operator.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub note: String,
-    /// What it wants.
-    pub want: Want,
+    /// The proposed catalogue.
+    pub proposal: Proposal,
 }
 
 impl From<operator::ApplyRequest> for Change {
@@ -90,7 +93,7 @@
             id: request.change,
             author: request.author,
             note: request.note,
-            want: Want::Catalogue(Box::new(request.catalogue)),
+            proposal: Proposal::Catalogue(Box::new(request.catalogue)),
         }
     }
 }
@@ -102,7 +105,7 @@
             id: request.change,
             author: request.author,
             note: format!("rollback to revision {}", request.to),
-            want: Want::Rollback(request.to),
+            proposal: Proposal::Rollback(request.to),
         }
     }
 }
@@ -111,23 +114,23 @@
 #[derive(Clone, Debug)]
 pub struct Apply {
     change: Change,
-    /// Wall-clock time that the history shows.
+    /// Wall-clock time recorded in the history.
     now_unix_ms: u64,
-    /// Whether a write is out now.
+    /// Whether a write is in flight now.
     pending: bool,
-    /// Whether a write is out whose outcome nobody told.
+    /// Whether the outcome of an earlier write is unknown.
     in_doubt: bool,
-    /// Whether any write was sent by this attempt.
+    /// Whether this attempt has sent a write.
     wrote: bool,
-    /// Revision that the last write would make.
+    /// Revision that the last write creates if it takes effect.
     revision: ids::Revision,
 }
 
 impl Apply {
-    /// Begins with a change, which is refused at once when it is invalid.
+    /// Starts applying a change; an invalid one is rejected at once.
     pub fn new(change: Change, now_unix_ms: u64) -> Result<Self, operator::OperatorError> {
-        check_words(&change)?;
-        if let Want::Catalogue(catalogue) = &change.want {
+        check_author_and_note(&change)?;
+        if let Proposal::Catalogue(catalogue) = &change.proposal {
             refuse_problems(check::check(catalogue))?;
         }
         Ok(Self {
@@ -140,14 +143,15 @@
         })
     }
 
-    /// Takes an outcome and tells what to do next. The first action is
-    /// [`Action::Read`]; `known` is what this entry instance has in force.
-    pub fn step(&mut self, input: Input, known: &catalogue::Document) -> Action {
+    /// Processes an outcome and returns the next action. The first action is
+    /// [`Action::Read`]; `local` is the document in force at this entry
+    /// instance.
+    pub fn step(&mut self, input: Input, local: &catalogue::Document) -> Action {
         self.pending = false;
         match input {
             Input::Read(store_revision, document) => {
                 let document = document.map(|document| *document).unwrap_or_default();
-                self.decide(store_revision, &document, known)
+                self.decide(store_revision, &document, local)
             }
             Input::ReadFailed => Action::ReadLater,
             Input::Unreadable => Action::Done(Err(self.unreadable())),
@@ -159,25 +163,26 @@
                 self.in_doubt |= verdict != Verdict::NotRun;
                 Action::ReadLater
             }
-            // An earlier write of this change may be what it collides with.
+            // The conflicting write may be an earlier one of this same change.
             Input::WriteConflict => Action::Read,
         }
     }
 
-    /// The answer when there is no time left, also while a write is out.
+    /// Returns the error to report at the deadline, even while a write is in
+    /// flight.
     pub fn give_up(&self) -> operator::OperatorError {
         let id = self.change.id;
         let (kind, message) = match self.in_doubt || self.pending {
             true => (
                 operator::ErrorKind::Unknown,
                 format!(
-                    "change {id} may have been accepted: the store did not answer in time; \
-                     ask again with the same change id, it counts once"
+                    "change {id} may have been accepted: the store did not respond in \
+                     time; retry with the same change id, which is applied at most once"
                 ),
             ),
             false => (
                 operator::ErrorKind::Unavailable,
-                format!("change {id} was not accepted: the store is away; ask again later"),
+                format!("change {id} was not accepted: the store is unavailable; retry later"),
             ),
         };
         operator::OperatorError {
@@ -191,18 +196,20 @@
         &mut self,
         store_revision: ids::Revision,
         stored: &catalogue::Document,
-        known: &catalogue::Document,
+        local: &catalogue::Document,
     ) -> Action {
-        // What is in force here may be ahead of a store that was set back.
-        let latest = history::merge(stored, known);
+        // The local document may be ahead of a store that was restored to an
+        // older state.
+        let latest = history::merge(stored, local);
         if let Some(record) = history::find_change(&latest, self.change.id) {
             return Action::Done(self.accepted_before(record, &latest));
         }
-        // The key moved on without this change: a write in doubt lost its race.
+        // The catalogue has a newer revision without this change: a write with an
+        // unknown outcome lost its race.
         if latest.accepted.revision != self.change.base {
             return Action::Done(Err(self.conflict(&latest)));
         }
-        match self.wanted(&latest) {
+        match self.proposed_catalogue(&latest) {
             Ok(catalogue) => self.write(store_revision, &latest, catalogue),
             Err(error) => Action::Done(Err(error)),
         }
@@ -228,14 +235,14 @@
         Action::Write(store_revision, Box::new(document))
     }
 
-    fn wanted(
+    fn proposed_catalogue(
         &self,
         latest: &catalogue::Document,
     ) -> Result<catalogue::Catalogue, operator::OperatorError> {
-        match &self.change.want {
-            Want::Catalogue(catalogue) => Ok((**catalogue).clone()),
-            Want::Rollback(to) => {
-                let earlier = history::at(latest, *to).ok_or_else(|| not_kept(*to, latest))?;
+        match &self.change.proposal {
+            Proposal::Catalogue(catalogue) => Ok((**catalogue).clone()),
+            Proposal::Rollback(to) => {
+                let earlier = history::at(latest, *to).ok_or_else(|| not_retained(*to, latest))?;
                 refuse_problems(check::check(&earlier.catalogue))?;
                 Ok(earlier.catalogue)
             }
@@ -248,15 +255,15 @@
         latest: &catalogue::Document,
     ) -> Result<operator::ApplyAnswer, operator::OperatorError> {
         let revision = record.line.revision;
-        if let Want::Catalogue(wanted) = &self.change.want
-            && let Some(made) = history::at(latest, revision)
-            && made.catalogue != **wanted
+        if let Proposal::Catalogue(proposed) = &self.change.proposal
+            && let Some(accepted) = history::at(latest, revision)
+            && accepted.catalogue != **proposed
         {
             return Err(operator::OperatorError::new(
                 operator::ErrorKind::Invalid,
                 format!(
-                    "change: id {} already stands for another catalogue, that of revision \
-                     {revision}; use a new id for each change",
+                    "change: id {} was already used for another catalogue, that of \
+                     revision {revision}; use a new id for each change",
                     self.change.id
                 ),
             ));
@@ -271,8 +278,8 @@
         operator::OperatorError::new(
             operator::ErrorKind::Unavailable,
             format!(
-                "change {} was not accepted: the store's key {} holds no catalogue document, \
-                 perhaps that of a newer version; it is not written over",
+                "change {} was not accepted: the store's key {} does not hold a catalogue \
+                 document that can be read, perhaps one of a newer version; it is not overwritten",
                 self.change.id,
                 catalogue::KEY
             ),
@@ -282,8 +289,8 @@
     fn conflict(&self, latest: &catalogue::Document) -> operator::OperatorError {
         let Change { id, base, .. } = &self.change;
         let revision = latest.accepted.revision;
-        let first = |r: &&catalogue::Record| r.line.revision > *base;
-        let winner = match latest.history.iter().find(first) {
+        let newer = |r: &&catalogue::Record| r.line.revision > *base;
+        let winner = match latest.history.iter().find(newer) {
             Some(record) => {
                 let line = &record.line;
                 format!(
@@ -304,7 +311,7 @@
     }
 }
 
-fn check_words(change: &Change) -> Result<(), operator::OperatorError> {
+fn check_author_and_note(change: &Change) -> Result<(), operator::OperatorError> {
     let invalid = |message: String| {
         Err(operator::OperatorError::new(
             operator::ErrorKind::Invalid,
@@ -344,8 +351,8 @@
     ))
 }
 
-fn not_kept(to: ids::Revision, latest: &catalogue::Document) -> operator::OperatorError {
-    let kept: Vec<String> = latest
+fn not_retained(to: ids::Revision, latest: &catalogue::Document) -> operator::OperatorError {
+    let retained: Vec<String> = latest
         .history
         .iter()
         .filter(|record| record.catalogue.is_some())
@@ -354,8 +361,8 @@
     operator::OperatorError::new(
         operator::ErrorKind::NotFound,
         format!(
-            "the catalogue of revision {to} is not kept; kept are {} and the newest, {}",
-            kept.join(", "),
+            "the catalogue of revision {to} is not retained; available are {} and the newest, {}",
+            retained.join(", "),
             latest.accepted.revision
         ),
     )
--- a/crates/figscale-core/src/catalogue/check.rs
+++ b/crates/figscale-core/src/catalogue/check.rs
@@ -1,10 +1,10 @@
-//! Problems of a catalogue beyond what parsing finds.
+//! Semantic validation of a catalogue, beyond what parsing checks.
 //!
-//! Every problem names its place as a path from the root of the catalogue
-//! (`entries.hull-quote.policy.requests.budget_ms`), in the form that
-//! `serde_path_to_error` uses, so that the command line can treat both alike.
-//! All problems are reported at once; a catalogue with any of them is refused
-//! whole.
+//! Every problem gives its location as a path from the root of the catalogue
+//! (`entries.hull-quote.policy.requests.budget_ms`), in the format of
+//! `serde_path_to_error`, so that the command line can handle parse errors and
+//! these problems alike. All problems are reported at once; a catalogue with
+//! any problem is rejected as a whole.
 
 use std::fmt;
 
@@ -12,12 +12,12 @@
 use figscale_types::ids;
 use figscale_types::sizes;
 
-/// Most owners.
+/// Maximum number of owners.
 pub const MAX_OWNERS: usize = 1_000;
-/// Most entries.
+/// Maximum number of entries.
 pub const MAX_ENTRIES: usize = 2_000;
-/// Largest catalogue, encoded as the store keeps it. Leaves room within one
-/// value for the catalogue before it and for the history.
+/// Maximum size of a catalogue in the encoding used in the store. Leaves space
+/// within one value for the previous catalogue and the history.
 pub const MAX_CATALOGUE_BYTES: usize = 400 << 10;
 
 const MAX_WEIGHT: u32 = 1_000_000;
@@ -32,10 +32,10 @@
 const MAX_MEMORY_BYTES: u64 = 1 << 50;
 const MAX_ACCELERATORS: u32 = 1_000_000;
 
-/// One thing that is wrong with a catalogue.
+/// One validation error of a catalogue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Where, as a path from the root; `.` for the whole.
+    /// Location, as a path from the root; `.` for the whole catalogue.
     pub path: String,
     /// What is wrong and what was expected.
     pub message: String,
@@ -47,39 +47,39 @@
     }
 }
 
-/// Everything that is wrong with a catalogue, in its own order.
+/// Validates a catalogue; problems are listed in the order of the catalogue.
 pub fn check(catalogue: &catalogue::Catalogue) -> Vec<Problem> {
-    let mut found = Found::default();
-    check_counts(catalogue, &mut found);
+    let mut problems = Problems::default();
+    check_counts(catalogue, &mut problems);
     for (name, owner) in &catalogue.owners {
-        check_owner(&format!("owners.{name}"), owner, &mut found);
+        check_owner(&format!("owners.{name}"), owner, &mut problems);
     }
     for (name, entry) in &catalogue.entries {
-        check_entry(&format!("entries.{name}"), entry, catalogue, &mut found);
+        check_entry(&format!("entries.{name}"), entry, catalogue, &mut problems);
     }
-    check_weights(&catalogue.weights, &mut found);
-    check_size(catalogue, &mut found);
-    found.problems
+    check_weights(&catalogue.weights, &mut problems);
+    check_size(catalogue, &mut problems);
+    problems.list
 }
 
 #[derive(Default)]
-struct Found {
-    problems: Vec<Problem>,
+struct Problems {
+    list: Vec<Problem>,
 }
 
-impl Found {
+impl Problems {
     fn add(&mut self, path: impl Into<String>, message: impl Into<String>) {
-        self.problems.push(Problem {
+        self.list.push(Problem {
             path: path.into(),
             message: message.into(),
         });
     }
 
-    fn bound<T>(&mut self, path: String, value: T, low: T, high: T)
+    fn check_range<T>(&mut self, path: String, value: T, low: T, high: T)
     where
         T: PartialOrd + fmt::Display,
     {
-        // Written so that a number that compares with nothing is refused.
+        // NaN compares false with everything, so this form rejects it.
         let within = value >= low && value <= high;
         if !within {
             self.add(
@@ -90,30 +90,32 @@
     }
 }
 
-fn check_counts(catalogue: &catalogue::Catalogue, found: &mut Found) {
+fn check_counts(catalogue: &catalogue::Catalogue, problems: &mut Problems) {
     let mut at_most = |path: &str, len: usize, max: usize| {
         if len > max {
-            found.add(path, format!("{len} {path}: expected at most {max}"));
+            problems.add(path, format!("{len} {path}: expected at most {max}"));
         }
     };
     at_most("owners", catalogue.owners.len(), MAX_OWNERS);
     at_most("entries", catalogue.entries.len(), MAX_ENTRIES);
 }
 
-fn check_owner(path: &str, owner: &catalogue::Owner, found: &mut Found) {
-    found.bound(format!("{path}.weight"), owner.weight, 1, MAX_WEIGHT);
+fn check_owner(path: &str, owner: &catalogue::Owner, problems: &mut Problems) {
+    problems.check_range(format!("{path}.weight"), owner.weight, 1, MAX_WEIGHT);
     if let Some(rate) = owner.rate_per_s {
         let path = format!("{path}.rate_per_s");
-        let legal = rate.is_finite() && rate > 0.0 && rate <= MAX_RATE_PER_S;
-        if !legal {
-            found.add(
+        let valid = rate.is_finite() && rate > 0.0 && rate <= MAX_RATE_PER_S;
+        if !valid {
+            problems.add(
                 path,
-                format!("{rate} is no rate: expected above 0 and at most {MAX_RATE_PER_S}"),
+                format!(
+                    "{rate} is not a valid rate: expected above 0 and at most {MAX_RATE_PER_S}"
+                ),
             );
         }
     }
     if let Some(concurrency) = owner.concurrency {
-        found.bound(
+        problems.check_range(
             format!("{path}.concurrency"),
             concurrency,
             1,
@@ -121,24 +123,24 @@
         );
     }
     if let Some(quota) = &owner.quota {
-        check_resources(&format!("{path}.quota"), quota, found);
+        check_resources(&format!("{path}.quota"), quota, problems);
     }
 }
 
-fn check_resources(path: &str, resources: &sizes::Resources, found: &mut Found) {
-    found.bound(
+fn check_resources(path: &str, resources: &sizes::Resources, problems: &mut Problems) {
+    problems.check_range(
         format!("{path}.cpu_millis"),
         resources.cpu_millis.0,
         1,
         MAX_CPU_MILLIS,
     );
-    found.bound(
+    problems.check_range(
         format!("{path}.memory_bytes"),
         resources.memory_bytes.0,
         1,
         MAX_MEMORY_BYTES,
     );
-    found.bound(
+    problems.check_range(
         format!("{path}.accelerators"),
         resources.accelerators,
         0,
@@ -149,20 +151,20 @@
 fn check_entry(
     path: &str,
     entry: &catalogue::Entry,
-    whole: &catalogue::Catalogue,
-    found: &mut Found,
+    catalogue: &catalogue::Catalogue,
+    problems: &mut Problems,
 ) {
-    check_known_owner(&format!("{path}.owner"), &entry.owner, whole, found);
+    check_known_owner(&format!("{path}.owner"), &entry.owner, catalogue, problems);
     if let Some(callers) = &entry.callers {
-        check_callers(&format!("{path}.callers"), callers, whole, found);
+        check_callers(&format!("{path}.callers"), callers, catalogue, problems);
     }
     match &entry.policy {
         catalogue::Policy::Requests(policy) => {
-            check_requests(&format!("{path}.policy.requests"), policy, found);
+            check_requests(&format!("{path}.policy.requests"), policy, problems);
         }
         catalogue::Policy::Tasks(policy) => {
-            let quota = whole.owners.get(&entry.owner).and_then(|o| o.quota);
-            check_tasks(&format!("{path}.policy.tasks"), policy, quota, found);
+            let quota = catalogue.owners.get(&entry.owner).and_then(|o| o.quota);
+            check_tasks(&format!("{path}.policy.tasks"), policy, quota, problems);
         }
     }
 }
@@ -170,11 +172,11 @@
 fn check_known_owner(
     path: &str,
     owner: &ids::OwnerName,
-    whole: &catalogue::Catalogue,
-    found: &mut Found,
+    catalogue: &catalogue::Catalogue,
+    problems: &mut Problems,
 ) {
-    if !whole.owners.contains_key(owner) {
-        found.add(
+    if !catalogue.owners.contains_key(owner) {
+        problems.add(
             path,
             format!("unknown owner {owner}: expected a name under owners"),
         );
@@ -184,80 +186,80 @@
 fn check_callers(
     path: &str,
     callers: &[ids::OwnerName],
-    whole: &catalogue::Catalogue,
-    found: &mut Found,
+    catalogue: &catalogue::Catalogue,
+    problems: &mut Problems,
 ) {
     for (index, caller) in callers.iter().enumerate() {
         let path = format!("{path}[{index}]");
-        check_known_owner(&path, caller, whole, found);
+        check_known_owner(&path, caller, catalogue, problems);
         if callers[..index].contains(caller) {
-            found.add(path, format!("{caller} stands twice"));
+            problems.add(path, format!("{caller} is listed twice"));
         }
     }
 }
 
-fn check_requests(path: &str, policy: &catalogue::RequestPolicy, found: &mut Found) {
+fn check_requests(path: &str, policy: &catalogue::RequestPolicy, problems: &mut Problems) {
     let at = |field: &str| format!("{path}.{field}");
-    found.bound(at("budget_ms"), policy.budget_ms, 1, MAX_TIME_MS);
-    found.bound(at("max_run_ms"), policy.max_run_ms, 1, MAX_TIME_MS);
-    found.bound(
+    problems.check_range(at("budget_ms"), policy.budget_ms, 1, MAX_TIME_MS);
+    problems.check_range(at("max_run_ms"), policy.max_run_ms, 1, MAX_TIME_MS);
+    problems.check_range(
         at("max_body_bytes"),
         policy.max_body_bytes,
         0,
         MAX_BODY_BYTES,
     );
-    found.bound(at("max_queue_len"), policy.max_queue_len, 0, MAX_QUEUE_LEN);
-    found.bound(at("max_attempts"), policy.max_attempts, 1, MAX_ATTEMPTS);
+    problems.check_range(at("max_queue_len"), policy.max_queue_len, 0, MAX_QUEUE_LEN);
+    problems.check_range(at("max_attempts"), policy.max_attempts, 1, MAX_ATTEMPTS);
 }
 
 fn check_tasks(
     path: &str,
     policy: &catalogue::TaskPolicy,
     quota: Option<sizes::Resources>,
-    found: &mut Found,
+    problems: &mut Problems,
 ) {
     let at = |field: &str| format!("{path}.{field}");
-    found.bound(at("max_tasks"), policy.max_tasks, 1, MAX_TASKS);
-    found.bound(at("max_run_ms"), policy.max_run_ms, 1, MAX_TIME_MS);
-    found.bound(at("max_attempts"), policy.max_attempts, 1, MAX_ATTEMPTS);
+    problems.check_range(at("max_tasks"), policy.max_tasks, 1, MAX_TASKS);
+    problems.check_range(at("max_run_ms"), policy.max_run_ms, 1, MAX_TIME_MS);
+    problems.check_range(at("max_attempts"), policy.max_attempts, 1, MAX_ATTEMPTS);
     if let Some(largest) = &policy.max_task {
-        check_resources(&at("max_task"), largest, found);
+        check_resources(&at("max_task"), largest, problems);
         if let Some(quota) = quota.filter(|quota| !quota.holds(largest)) {
-            found.add(
+            problems.add(
                 at("max_task"),
                 format!("{largest} is more than the quota of the owner, {quota}"),
             );
         }
     }
     if policy.class == catalogue::JobClass::Gang && policy.max_tasks == 1 {
-        found.add(
+        problems.add(
             at("max_tasks"),
             "a gang of one task: expected 2 or more, or class batch",
         );
     }
     if policy.preemptible && policy.urgency == catalogue::Urgency::Interactive {
-        found.add(
+        problems.add(
             at("preemptible"),
             "nothing is more urgent than interactive tasks: expected false, or another urgency",
         );
     }
 }
 
-fn check_weights(weights: &catalogue::Weights, found: &mut Found) {
-    found.bound("weights.waiting".to_owned(), weights.waiting, 0.0, 1.0);
-    found.bound("weights.packing".to_owned(), weights.packing, 0.0, 1.0);
+fn check_weights(weights: &catalogue::Weights, problems: &mut Problems) {
+    problems.check_range("weights.waiting".to_owned(), weights.waiting, 0.0, 1.0);
+    problems.check_range("weights.packing".to_owned(), weights.packing, 0.0, 1.0);
     if weights.waiting == 0.0 && weights.packing == 0.0 {
-        found.add("weights", "both are 0: expected one above 0");
+        problems.add("weights", "both are 0: expected one above 0");
     }
 }
 
-fn check_size(catalogue: &catalogue::Catalogue, found: &mut Found) {
+fn check_size(catalogue: &catalogue::Catalogue, problems: &mut Problems) {
     let len = super::history::encoded_len(catalogue);
     if len > MAX_CATALOGUE_BYTES {
         let largest = largest_entry(catalogue).map_or_else(String::new, |(name, len)| {
-            format!("; the largest entry, entries.{name}, takes {len}")
+            format!("; the largest entry, entries.{name}, has {len}")
         });
-        found.add(
+        problems.add(
             ".",
             format!("{len} bytes when stored: expected at most {MAX_CATALOGUE_BYTES}{largest}"),
         );
--- a/crates/figscale-core/src/catalogue/diff.rs
+++ b/crates/figscale-core/src/catalogue/diff.rs
@@ -1,8 +1,8 @@
-//! What changes between two catalogues, field by field, for an operator to read.
+//! Field-by-field differences between two catalogues, for operators.
 //!
 //! Both are compared as JSON trees with every default written out, so that a
-//! default that is spelled out in one of them is no change, and a new field of
-//! the schema shows without a line here. The price is a copy of both trees.
+//! default that only one of them spells out is not a change, and a new field of
+//! the schema is covered without code here. The cost is a copy of both trees.
 
 use std::fmt;
 
@@ -13,11 +13,11 @@
 /// One field that differs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Change {
-    /// Names from the root, joined by dots.
+    /// Field names from the root, joined by dots.
     pub path: String,
-    /// Value in force; `null` when the field is new.
+    /// Value in force; `null` if the field is new.
     pub before: Value,
-    /// Value wanted; `null` when the field goes.
+    /// New value; `null` if the field is removed.
     pub after: Value,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The fields that differ from `old` to `new`, in the order of their paths.
+/// Lists the fields that differ between `old` and `new`, sorted by path.
 pub fn diff(old: &catalogue::Catalogue, new: &catalogue::Catalogue) -> Vec<Change> {
     let mut changes = Vec::new();
     compare(String::new(), &tree(old), &tree(new), &mut changes);
@@ -39,8 +39,8 @@
     changes
 }
 
-/// Names are text and numbers finite, so this never fails; if it did, the
-/// whole would show as changed.
+/// Converts a catalogue to JSON. Names are strings and numbers finite, so this
+/// does not fail; if it did, the diff would report the whole catalogue as changed.
 fn tree(catalogue: &catalogue::Catalogue) -> Value {
     serde_json::to_value(catalogue).unwrap_or(Value::Null)
 }
@@ -57,8 +57,8 @@
         });
         return;
     };
-    let gone = old.keys().filter(|name| !new.contains_key(*name));
-    for name in new.keys().chain(gone) {
+    let removed = old.keys().filter(|name| !new.contains_key(*name));
+    for name in new.keys().chain(removed) {
         let before = old.get(name).unwrap_or(&Value::Null);
         let after = new.get(name).unwrap_or(&Value::Null);
         compare(join(&path, name), before, after, changes);
--- a/crates/figscale-core/src/catalogue/history.rs
+++ b/crates/figscale-core/src/catalogue/history.rs
@@ -1,10 +1,11 @@
-//! Documents of the catalogue: lookup, merge and the bounds of the history.
+//! Catalogue documents: lookup, merging and the limits of the history.
 //!
-//! The history is bounded by lines and by bytes, so that a document always
-//! fits into one value of the store. The catalogues of old revisions go first,
-//! since a line is enough to tell what happened; then the oldest lines go. A
-//! change whose line is gone cannot be told from an unknown one, and is still
-//! never accepted twice: its base is no longer the revision in force.
+//! The history is limited in lines and in bytes, so that a document always fits
+//! into one value of the store. The catalogues of old revisions are dropped
+//! first, since a line is enough to see who changed what and why; then the
+//! oldest lines are dropped. A change whose line was dropped cannot be
+//! distinguished from an unknown one, but is still never accepted twice,
+//! because its base is no longer the revision in force.
 
 use figscale_types::catalogue;
 use figscale_types::ids;
@@ -12,17 +13,18 @@
 use indexmap::IndexSet;
 use serde::Serialize;
 
-/// Most lines of history.
+/// Maximum number of history lines.
 pub const MAX_LINES: usize = 500;
-/// Most earlier catalogues kept for a rollback.
-pub const MAX_KEPT_CATALOGUES: usize = 20;
-/// Encoded document above which only the catalogue before the newest is kept:
-/// each change sends the document to every entry instance.
-pub const COMFORTABLE_DOCUMENT_BYTES: usize = 256 << 10;
-/// Largest encoded document; the rest of a value is left as margin.
+/// Maximum number of earlier catalogues retained for a rollback.
+pub const MAX_RETAINED_CATALOGUES: usize = 20;
+/// Size of the encoded document above which, of the earlier catalogues, only
+/// the latest is retained. Each change sends the document to every entry
+/// instance, so it should stay small.
+pub const SOFT_MAX_DOCUMENT_BYTES: usize = 256 << 10;
+/// Maximum size of the encoded document; the rest of a value is left as margin.
 pub const MAX_DOCUMENT_BYTES: usize = platform::MAX_VALUE_BYTES - (64 << 10);
 
-/// Bytes of a value when encoded as the store keeps it.
+/// Size of a value in bytes, in the encoding used in the store.
 pub fn encoded_len<T: Serialize>(value: &T) -> usize {
     serde_json::to_vec(value).map_or(usize::MAX, |bytes| bytes.len())
 }
@@ -37,7 +39,7 @@
     serde_json::from_slice(bytes)
 }
 
-/// The record of a change, if the history still has it.
+/// Finds the record of a change, if the history still has it.
 pub fn find_change(
     document: &catalogue::Document,
     change: ids::ChangeId,
@@ -49,7 +51,7 @@
         .find(|r| r.line.change == change)
 }
 
-/// The catalogue of a revision, if it is still kept.
+/// Finds the catalogue of a revision, if it is still retained.
 pub fn at(document: &catalogue::Document, revision: ids::Revision) -> Option<catalogue::Accepted> {
     if revision == document.accepted.revision {
         return Some(document.accepted.clone());
@@ -65,7 +67,7 @@
     })
 }
 
-/// The document after one more change.
+/// Returns the document with one more change applied.
 pub fn append(
     before: &catalogue::Document,
     line: figscale_types::operator::HistoryLine,
@@ -90,9 +92,10 @@
     document
 }
 
-/// The higher of two documents, with the records of both.
+/// Returns the document with the higher revision, with the records of both.
 ///
-/// Where both have a record of the same revision, the higher document's stays.
+/// Where both have a record of the same revision, that of the higher document
+/// is used.
 pub fn merge(a: &catalogue::Document, b: &catalogue::Document) -> catalogue::Document {
     let (high, low) = match a.accepted.revision >= b.accepted.revision {
         true => (a, b),
@@ -106,7 +109,7 @@
         .filter(|record| !known.contains(&record.line.revision))
         .map(|record| with_catalogue(record, low));
     merged.history.extend(missing);
-    // Measuring encodes everything, so it is done only where something grew.
+    // Trimming encodes the whole document, so it is skipped if nothing was added.
     if merged.history.len() == high.history.len() {
         return merged;
     }
@@ -115,7 +118,8 @@
     merged
 }
 
-/// The record with its catalogue, which for the newest stands elsewhere.
+/// Returns the record with its catalogue. That of the newest revision is in
+/// `document.accepted`, not in its record.
 fn with_catalogue(record: &catalogue::Record, document: &catalogue::Document) -> catalogue::Record {
     let mut record = record.clone();
     if record.line.revision == document.accepted.revision {
@@ -124,7 +128,7 @@
     record
 }
 
-/// Keeps a document within its bounds.
+/// Drops old catalogues and lines until the document is within its limits.
 fn trim(document: &mut catalogue::Document) {
     let excess = document.history.len().saturating_sub(MAX_LINES);
     document.history.drain(..excess);
@@ -133,7 +137,7 @@
     drop_lines(document, &sizes);
 }
 
-/// Bytes that a record takes in the encoded document.
+/// Size in bytes of a record's parts in the encoded document.
 struct Sizes {
     line: usize,
     catalogue: usize,
@@ -142,7 +146,7 @@
 impl Sizes {
     fn of(record: &catalogue::Record) -> Self {
         let catalogue = record.catalogue.as_ref().map_or(0, encoded_len);
-        // Names of fields and punctuation around the two.
+        // Field names and punctuation around the two parts.
         let overhead = 40;
         Self {
             line: encoded_len(&record.line) + overhead,
@@ -151,24 +155,24 @@
     }
 }
 
-fn total(document: &catalogue::Document, sizes: &[Sizes]) -> usize {
+fn total_bytes(document: &catalogue::Document, sizes: &[Sizes]) -> usize {
     let records: usize = sizes.iter().map(|s| s.line + s.catalogue).sum();
     encoded_len(&document.accepted) + records
 }
 
 fn drop_catalogues(document: &mut catalogue::Document, sizes: &mut [Sizes]) {
-    let mut bytes = total(document, sizes);
-    let mut kept = sizes.iter().filter(|s| s.catalogue > 0).count();
+    let mut bytes = total_bytes(document, sizes);
+    let mut retained = sizes.iter().filter(|s| s.catalogue > 0).count();
     for (record, size) in document.history.iter_mut().zip(sizes) {
-        let limit = match kept {
+        let limit = match retained {
             0 | 1 => MAX_DOCUMENT_BYTES,
-            _ => COMFORTABLE_DOCUMENT_BYTES,
+            _ => SOFT_MAX_DOCUMENT_BYTES,
         };
-        if kept <= MAX_KEPT_CATALOGUES && bytes <= limit {
+        if retained <= MAX_RETAINED_CATALOGUES && bytes <= limit {
             return;
         }
         if size.catalogue > 0 {
-            kept -= 1;
+            retained -= 1;
             bytes -= size.catalogue;
             size.catalogue = 0;
             record.catalogue = None;
@@ -177,9 +181,10 @@
 }
 
 fn drop_lines(document: &mut catalogue::Document, sizes: &[Sizes]) {
-    let mut bytes = total(document, sizes);
+    let mut bytes = total_bytes(document, sizes);
     let mut dropped = 0;
-    // The newest line stays: it tells a lost answer from a change of others.
+    // The newest line is never dropped: after a lost response it shows whether
+    // the newest revision was made by this change or by another one.
     while bytes > MAX_DOCUMENT_BYTES && dropped + 1 < sizes.len() {
         bytes -= sizes[dropped].line;
         dropped += 1;
--- a/crates/figscale-core/src/catalogue/mod.rs
+++ b/crates/figscale-core/src/catalogue/mod.rs
@@ -1,21 +1,22 @@
-//! Which catalogue is accepted and in force.
+//! The catalogue: validation, changes, and which revision is in force.
 //!
-//! The store keeps one [`Document`]: the accepted catalogue and a bounded
+//! The store holds one [`Document`]: the accepted catalogue and a bounded
 //! history of the changes that led to it. The revision in it is the
-//! catalogue's own counter (1, 2, 3, ...), not the store's, so that it means
-//! the same after the store was moved or restored.
+//! catalogue's own counter (1, 2, 3, ...), not the store's, so that it keeps
+//! its meaning after the store is moved or restored.
 //!
-//! - [`check()`] and [`diff()`] tell operators what is wrong and what changes.
-//! - [`mod@apply`] decides about one change: a state machine that asks its adapter
-//!   to read and write until the change is known to be accepted or refused.
-//! - [`book`] is what one entry instance knows: it adopts only higher
-//!   revisions, whoever brings them.
+//! - [`check()`] and [`diff()`] report to operators what is wrong with a
+//!   catalogue and what a change alters.
+//! - [`mod@apply`] decides one change: a state machine that has its adapter read
+//!   and write until the change is known to be accepted or rejected.
+//! - [`book`] holds what one entry instance knows: it adopts only higher
+//!   revisions, whatever their source.
 //! - [`history`] merges, looks up and trims documents.
 //!
-//! The trade: one document means that every change rewrites the whole value
-//! and that two changes never go through at once, even to unrelated entries.
-//! In exchange a change is one compare-and-swap, and no reader can see half of
-//! it.
+//! The trade-off: with a single document, every change rewrites the whole
+//! value, and two changes never succeed concurrently, even if they concern
+//! unrelated entries. In return a change is one compare-and-swap, and no reader
+//! can see a partial change.
 //!
 //! [`Document`]: figscale_types::catalogue::Document
 
--- a/crates/figscale-core/tests/catalogue_apply.rs
+++ b/crates/figscale-core/tests/catalogue_apply.rs
@@ -1,5 +1,6 @@
-//! Changes racing for a store that loses answers, delays writes and shows old
-//! values: what was accepted stays, once, and nothing goes back.
+//! Concurrent changes against a store that loses responses, delays writes and
+//! returns stale values: an accepted change stays and is applied exactly once,
+//! and no instance goes back to an older revision.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -14,10 +15,10 @@
 use rand::SeedableRng as _;
 use rand::rngs;
 
-const GOOD: &str = include_str!("data/catalogue.json");
+const VALID: &str = include_str!("data/catalogue.json");
 
 fn catalogue(weight: u32) -> schema::Catalogue {
-    let mut catalogue: schema::Catalogue = serde_json::from_str(GOOD).unwrap();
+    let mut catalogue: schema::Catalogue = serde_json::from_str(VALID).unwrap();
     catalogue.owners[0].weight = weight;
     catalogue
 }
@@ -32,15 +33,15 @@
         id: id(number.into()),
         author: format!("operator-{number}"),
         note: "weights".to_owned(),
-        want: apply::Want::Catalogue(Box::new(catalogue(number + 1))),
+        proposal: apply::Proposal::Catalogue(Box::new(catalogue(number + 1))),
     }
 }
 
-fn begin(change: apply::Change) -> apply::Apply {
+fn start(change: apply::Change) -> apply::Apply {
     apply::Apply::new(change, 7).unwrap()
 }
 
-/// A document of this many changes, numbered from 1.
+/// A document with the given number of changes, numbered from 1.
 fn document(changes: u32) -> schema::Document {
     (1..=changes).fold(schema::Document::default(), |document, number| {
         let line = operator::HistoryLine {
@@ -58,14 +59,14 @@
     apply::Input::Read(ids::Revision(store), Some(Box::new(document.clone())))
 }
 
-fn none() -> schema::Document {
+fn empty() -> schema::Document {
     schema::Document::default()
 }
 
 #[test]
 fn a_change_is_accepted_by_one_write() {
-    let mut apply = begin(change(0, 9));
-    let action = apply.step(apply::Input::Read(ids::Revision(0), None), &none());
+    let mut apply = start(change(0, 9));
+    let action = apply.step(apply::Input::Read(ids::Revision(0), None), &empty());
     let apply::Action::Write(over, written) = action else {
         panic!("{action:?}");
     };
@@ -76,21 +77,21 @@
         revision: ids::Revision(1),
         repeated: false,
     };
-    let done = apply.step(apply::Input::Written, &none());
+    let done = apply.step(apply::Input::Written, &empty());
     assert_eq!(done, apply::Action::Done(Ok(answer)));
 }
 
 #[test]
-fn a_lost_answer_is_resolved_by_reading_back_the_change() {
+fn a_lost_response_is_resolved_by_reading_back_the_change() {
     let before = document(1);
-    let mut apply = begin(change(1, 9));
-    let apply::Action::Write(_, written) = apply.step(read(5, &before), &none()) else {
+    let mut apply = start(change(1, 9));
+    let apply::Action::Write(_, written) = apply.step(read(5, &before), &empty()) else {
         panic!("a write");
     };
     let lost = apply::Input::WriteFailed(Verdict::MayHaveRun);
-    assert_eq!(apply.step(lost, &none()), apply::Action::ReadLater);
+    assert_eq!(apply.step(lost, &empty()), apply::Action::ReadLater);
     assert_eq!(apply.give_up().kind, operator::ErrorKind::Unknown);
-    let done = apply.step(read(6, &written), &none());
+    let done = apply.step(read(6, &written), &empty());
     let answer = operator::ApplyAnswer {
         revision: ids::Revision(2),
         repeated: false,
@@ -99,19 +100,19 @@
 }
 
 #[test]
-fn a_lost_answer_whose_write_is_not_there_is_sent_again_under_the_same_condition() {
+fn a_write_with_a_lost_response_is_retried_under_the_same_condition() {
     let before = document(1);
-    let mut apply = begin(change(1, 9));
-    let first = apply.step(read(5, &before), &none());
-    apply.step(apply::Input::WriteFailed(Verdict::MayHaveRun), &none());
-    assert_eq!(apply.step(read(5, &before), &none()), first);
+    let mut apply = start(change(1, 9));
+    let first = apply.step(read(5, &before), &empty());
+    apply.step(apply::Input::WriteFailed(Verdict::MayHaveRun), &empty());
+    assert_eq!(apply.step(read(5, &before), &empty()), first);
 }
 
 #[test]
-fn a_repeated_change_counts_once() {
-    let mut apply = begin(change(3, 4));
+fn a_repeated_change_is_applied_once() {
+    let mut apply = start(change(3, 4));
     let after = history::append(&document(3), line_of(4, 4), catalogue(5));
-    let done = apply.step(read(8, &after), &none());
+    let done = apply.step(read(8, &after), &empty());
     let answer = operator::ApplyAnswer {
         revision: ids::Revision(4),
         repeated: true,
@@ -137,17 +138,17 @@
 }
 
 #[test]
-fn one_id_for_two_catalogues_is_refused() {
-    let mut apply = begin(change(3, 3));
-    let error = refusal(apply.step(read(8, &document(3)), &none()));
+fn reusing_a_change_id_for_another_catalogue_is_refused() {
+    let mut apply = start(change(3, 3));
+    let error = refusal(apply.step(read(8, &document(3)), &empty()));
     assert_eq!(error.kind, operator::ErrorKind::Invalid);
-    assert!(error.message.contains("already stands for"), "{error}");
+    assert!(error.message.contains("was already used for"), "{error}");
 }
 
 #[test]
 fn a_race_is_a_conflict_that_names_both_changes() {
-    let mut apply = begin(change(1, 9));
-    let error = refusal(apply.step(read(8, &document(3)), &none()));
+    let mut apply = start(change(1, 9));
+    let error = refusal(apply.step(read(8, &document(3)), &empty()));
     assert_eq!(error.kind, operator::ErrorKind::Conflict);
     for part in [id(9), id(2)] {
         assert!(error.message.contains(&part.to_string()), "{error}");
@@ -159,9 +160,9 @@
 }
 
 #[test]
-fn an_invalid_change_is_refused_before_the_store_is_asked() {
+fn an_invalid_change_is_refused_before_the_store_is_read() {
     let mut change = change(0, 9);
-    change.want = apply::Want::Catalogue(Box::new(catalogue(0)));
+    change.proposal = apply::Proposal::Catalogue(Box::new(catalogue(0)));
     let error = apply::Apply::new(change, 7).unwrap_err();
     assert_eq!(error.kind, operator::ErrorKind::Invalid);
     assert!(
@@ -173,22 +174,22 @@
 #[test]
 fn a_rollback_is_a_new_revision_with_the_old_catalogue() {
     let mut change = change(3, 9);
-    change.want = apply::Want::Rollback(ids::Revision(1));
-    let mut apply = begin(change.clone());
-    let apply::Action::Write(_, written) = apply.step(read(8, &document(3)), &none()) else {
+    change.proposal = apply::Proposal::Rollback(ids::Revision(1));
+    let mut apply = start(change.clone());
+    let apply::Action::Write(_, written) = apply.step(read(8, &document(3)), &empty()) else {
         panic!("a write");
     };
     assert_eq!(written.accepted.revision, ids::Revision(4));
     assert_eq!(written.accepted.catalogue, catalogue(1));
 
-    change.want = apply::Want::Rollback(ids::Revision(77));
-    let error = refusal(begin(change).step(read(8, &document(3)), &none()));
+    change.proposal = apply::Proposal::Rollback(ids::Revision(77));
+    let error = refusal(start(change).step(read(8, &document(3)), &empty()));
     assert_eq!(error.kind, operator::ErrorKind::NotFound);
 }
 
 #[test]
-fn a_store_that_was_set_back_is_built_upon_what_is_in_force() {
-    let mut apply = begin(change(3, 9));
+fn a_change_on_a_restored_store_builds_on_the_catalogue_in_force() {
+    let mut apply = start(change(3, 9));
     let apply::Action::Write(over, written) = apply.step(read(4, &document(1)), &document(3))
     else {
         panic!("a write");
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn a_peer_passes_on_the_newest_with_its_line() {
+fn a_peer_forwards_the_newest_catalogue_with_its_line() {
     let mut ahead = book::Book::default();
     ahead.see(Some(document(3)));
     let mut behind = book::Book::default();
@@ -258,9 +259,9 @@
     assert!(history::at(&document, ids::Revision(1)).is_none());
 }
 
-/// 92 owners and 500 entries, changed more often than lines are kept.
+/// 92 owners and 500 entries, changed more often than history lines are retained.
 #[test]
-fn a_document_of_the_target_size_is_no_burden() {
+fn a_document_of_the_target_size_stays_small() {
     let mut big = catalogue(1);
     let owner = big.owners[0].clone();
     let entry = big.entries[0].clone();
@@ -273,7 +274,7 @@
         big.entries.insert(name, entry.clone());
     }
     assert_eq!(figscale_core::catalogue::check(&big), []);
-    // As if all had been kept; the next change brings it within its bounds.
+    // As if every record had been retained; the next change trims the document.
     let line = |number: u64| operator::HistoryLine {
         change: id(number.into()),
         note: "raise the quota of a team for its yearly run".to_owned(),
@@ -302,12 +303,12 @@
     assert!(history::at(&document, ids::Revision(599)).is_some());
 }
 
-/// A store with the faults that the platform may have.
+/// A store that simulates the faults of the platform's store.
 struct Store {
     revision: u64,
     values: Vec<(u64, schema::Document)>,
-    /// Writes that were sent, got no answer and may land later.
-    under_way: Vec<(u64, schema::Document)>,
+    /// Writes that were sent, got no response and may take effect later.
+    in_flight: Vec<(u64, schema::Document)>,
     rng: rngs::StdRng,
 }
 
@@ -317,11 +318,11 @@
     }
 
     fn read(&mut self) -> apply::Input {
-        self.land_some();
+        self.apply_delayed_writes();
         match self.rng.random_range(0..10) {
             0 => apply::Input::ReadFailed,
             1 if !self.values.is_empty() => {
-                // An older value, as after a fail-over of the platform.
+                // A stale value, as after a fail-over of the platform.
                 let at = self.rng.random_range(0..self.values.len());
                 let (revision, document) = &self.values[at];
                 read(*revision, document)
@@ -337,7 +338,7 @@
         match self.rng.random_range(0..6) {
             0 => apply::Input::WriteFailed(Verdict::NotRun),
             1 => {
-                self.under_way.push((over, document));
+                self.in_flight.push((over, document));
                 apply::Input::WriteFailed(Verdict::MayHaveRun)
             }
             2 => {
@@ -360,24 +361,24 @@
         fits
     }
 
-    fn land_some(&mut self) {
-        if !self.under_way.is_empty() && self.rng.random_bool(0.3) {
-            let at = self.rng.random_range(0..self.under_way.len());
-            let (over, document) = self.under_way.swap_remove(at);
+    fn apply_delayed_writes(&mut self) {
+        if !self.in_flight.is_empty() && self.rng.random_bool(0.3) {
+            let at = self.rng.random_range(0..self.in_flight.len());
+            let (over, document) = self.in_flight.swap_remove(at);
             self.put(over, document);
         }
     }
 }
 
-/// One entry instance with the change that it is deciding.
+/// One entry instance with the change that it is applying.
 struct Instance {
     book: book::Book,
-    deciding: Option<(apply::Change, apply::Apply, apply::Action)>,
+    in_progress: Option<(apply::Change, apply::Apply, apply::Action)>,
 }
 
 impl Instance {
     fn step(&mut self, store: &mut Store) -> Option<(apply::Change, apply::Action)> {
-        let (change, mut apply, action) = self.deciding.take()?;
+        let (change, mut apply, action) = self.in_progress.take()?;
         let input = match action {
             apply::Action::Read | apply::Action::ReadLater => store.read(),
             apply::Action::Write(over, document) => {
@@ -393,7 +394,7 @@
             self.book.see(document.as_deref().cloned());
         }
         let next = apply.step(input, self.book.document());
-        self.deciding = Some((change, apply, next));
+        self.in_progress = Some((change, apply, next));
         None
     }
 }
@@ -407,23 +408,23 @@
     })]
 
     #[test]
-    fn accepted_changes_stay_once_and_refused_ones_never_show(seed in any::<u64>()) {
-        race(seed);
+    fn accepted_changes_are_applied_once_and_refused_ones_never(seed in any::<u64>()) {
+        run_concurrent_changes(seed);
     }
 }
 
-fn race(seed: u64) {
+fn run_concurrent_changes(seed: u64) {
     let mut rng = rngs::StdRng::seed_from_u64(seed);
     let mut store = Store {
         revision: 0,
         values: Vec::new(),
-        under_way: Vec::new(),
+        in_flight: Vec::new(),
         rng: rngs::StdRng::seed_from_u64(seed ^ 1),
     };
     let mut instances: Vec<Instance> = (0..4)
         .map(|_| Instance {
             book: book::Book::default(),
-            deciding: None,
+            in_progress: None,
         })
         .collect();
     let mut accepted = Vec::new();
@@ -434,8 +435,8 @@
         let at = rng.random_range(0..instances.len());
         let instance = &mut instances[at];
         let before = instance.book.revision();
-        if instance.deciding.is_none() {
-            // A change whose fate is unknown is asked again, here or elsewhere.
+        if instance.in_progress.is_none() {
+            // A change whose outcome is unknown is retried, here or at another instance.
             let change = match unknown.pop() {
                 Some(change) => change,
                 None => {
@@ -443,11 +444,11 @@
                     change(instance.book.document().accepted.revision.0, number)
                 }
             };
-            let apply = begin(change.clone());
-            instance.deciding = Some((change, apply, apply::Action::Read));
+            let apply = start(change.clone());
+            instance.in_progress = Some((change, apply, apply::Action::Read));
         } else if rng.random_bool(0.03) {
-            // Its time is up, or its process is killed.
-            let (change, apply, _) = instance.deciding.take().unwrap();
+            // The deadline passes, or the process is killed.
+            let (change, apply, _) = instance.in_progress.take().unwrap();
             if apply.give_up().kind == operator::ErrorKind::Unknown {
                 unknown.push(change);
             }
--- a/crates/figscale-core/tests/catalogue_check.rs
+++ b/crates/figscale-core/tests/catalogue_check.rs
@@ -1,4 +1,4 @@
-//! What the catalogue's check refuses, and how a diff reads.
+//! Validation of catalogues, and the text of a diff.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -10,15 +10,15 @@
 use figscale_types::ids;
 use rstest::rstest;
 
-const GOOD: &str = include_str!("data/catalogue.json");
+const VALID: &str = include_str!("data/catalogue.json");
 
 fn parse(text: &str) -> schema::Catalogue {
     serde_json::from_str(text).unwrap()
 }
 
-/// The good catalogue with one value replaced, or added, by JSON pointer.
+/// The valid catalogue with the value at a JSON pointer replaced or added.
 fn with(pointer: &str, value: &str) -> schema::Catalogue {
-    let mut tree: serde_json::Value = serde_json::from_str(GOOD).unwrap();
+    let mut tree: serde_json::Value = serde_json::from_str(VALID).unwrap();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     let parent = tree.pointer_mut(parent).unwrap();
     parent[key] = serde_json::from_str(value).unwrap();
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn a_good_catalogue_has_no_problem() {
-    assert_eq!(catalogue::check(&parse(GOOD)), []);
+fn a_valid_catalogue_has_no_problem() {
+    assert_eq!(catalogue::check(&parse(VALID)), []);
 }
 
 #[rstest]
@@ -44,7 +44,7 @@
 #[case::caller_twice(
     "/entries/hull-quote/callers",
     r#"["brokers", "brokers"]"#,
-    "entries.hull-quote.callers[1]: brokers stands twice"
+    "entries.hull-quote.callers[1]: brokers is listed twice"
 )]
 #[case::zero_weight(
     "/owners/brokers/weight",
@@ -54,12 +54,12 @@
 #[case::negative_rate(
     "/owners/brokers/rate_per_s",
     "-1.5",
-    "owners.brokers.rate_per_s: -1.5 is no rate"
+    "owners.brokers.rate_per_s: -1.5 is not a valid rate"
 )]
 #[case::zero_rate(
     "/owners/brokers/rate_per_s",
     "0",
-    "owners.brokers.rate_per_s: 0 is no rate"
+    "owners.brokers.rate_per_s: 0 is not a valid rate"
 )]
 #[case::zero_concurrency(
     "/owners/brokers/concurrency",
@@ -76,7 +76,7 @@
     "0",
     "entries.hull-quote.policy.requests.budget_ms: 0 is out of bounds"
 )]
-#[case::endless_run(
+#[case::run_time_too_long(
     "/entries/hull-quote/policy/requests/max_run_ms",
     "99999999999",
     "entries.hull-quote.policy.requests.max_run_ms: 99999999999 is out of bounds"
@@ -103,7 +103,7 @@
 )]
 #[case::weight_above_one("/weights/packing", "1.5", "weights.packing: 1.5 is out of bounds")]
 #[case::no_weight_at_all("/weights", r#"{"waiting": 0, "packing": 0}"#, "weights: both are 0")]
-fn a_problem_names_its_place(#[case] pointer: &str, #[case] value: &str, #[case] expected: &str) {
+fn a_problem_gives_its_path(#[case] pointer: &str, #[case] value: &str, #[case] expected: &str) {
     let problems = catalogue::check(&with(pointer, value));
     let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
     assert_eq!(lines.len(), 1, "{lines:?}");
@@ -126,8 +126,8 @@
 }
 
 #[test]
-fn numbers_that_are_none_are_refused() {
-    let mut catalogue = parse(GOOD);
+fn nan_and_infinity_are_refused() {
+    let mut catalogue = parse(VALID);
     catalogue.weights.waiting = f64::NAN;
     catalogue.owners[0].rate_per_s = Some(f64::INFINITY);
     let paths: Vec<String> = catalogue::check(&catalogue)
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn every_problem_is_named_at_once() {
+fn all_problems_are_reported_at_once() {
     let mut catalogue = with("/weights/packing", "2");
     catalogue.owners[0].weight = 0;
     assert_eq!(catalogue::check(&catalogue).len(), 2);
@@ -146,7 +146,7 @@
 
 #[test]
 fn too_many_entries_and_too_many_bytes_are_refused() {
-    let mut catalogue = parse(GOOD);
+    let mut catalogue = parse(VALID);
     let entry = catalogue.entries[0].clone();
     for number in 0..5_000 {
         let name = format!("entry-{number:04}").parse().unwrap();
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_diff_reads_line_by_line() {
-    let old = parse(GOOD);
+    let old = parse(VALID);
     let mut new = with("/entries/hull-quote/policy/requests/budget_ms", "9000");
     new.owners[0].rate_per_s = None;
     let name: ids::EntryName = "accumulation".parse().unwrap();
