--- a/crates/figscale-core/src/claims/action.rs
+++ b/crates/figscale-core/src/claims/action.rs
@@ -1,8 +1,8 @@
-//! What goes into the claims machine and what comes out.
+//! Inputs and actions of the claims machine.
 //!
-//! Every action but [`Action::Revoke`] is answered by exactly one input, also
-//! when the answer is that none came. `sent_at` is a time before the first
-//! byte was sent.
+//! Every action except [`Action::Revoke`] must be followed by exactly one
+//! input with its result, even if there was no response. `sent_at` is a time
+//! before the first byte of the request was sent.
 
 use std::net;
 use std::sync;
@@ -15,43 +15,43 @@
 /// Why a call to the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFailure {
-    /// The key has another revision.
+    /// The key has a different revision.
     Conflict,
-    /// The lease is gone.
+    /// The lease no longer exists.
     LeaseGone,
-    /// It had no effect; the store may be away.
+    /// The call had no effect; the store may be unavailable.
     NotRun,
-    /// It may have had, or may yet have, its effect.
+    /// The call may have taken effect, or may do so later.
     MayHaveRun,
 }
 
 impl StoreFailure {
-    /// Whether the store answered.
+    /// Whether the failure was reported by the store itself.
     pub(super) fn is_answer(self) -> bool {
         matches!(self, Self::Conflict | Self::LeaseGone)
     }
 }
 
-/// What happened.
+/// An event that the machine processes.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time passed.
     Tick,
-    /// Answer to [`Action::Grant`].
+    /// Result of [`Action::Grant`].
     Granted {
         /// Time before the call.
         sent_at: time::Instant,
         /// The new lease.
         result: Result<ids::LeaseId, StoreFailure>,
     },
-    /// Answer to [`Action::Announce`].
+    /// Result of [`Action::Announce`].
     Announced {
         /// The lease.
         lease: ids::LeaseId,
         /// Whether its key was written.
         result: Result<(), StoreFailure>,
     },
-    /// Answer to [`Action::Renew`].
+    /// Result of [`Action::Renew`].
     Renewed {
         /// The lease.
         lease: ids::LeaseId,
@@ -60,53 +60,53 @@
         /// Whether it was renewed.
         result: Result<(), StoreFailure>,
     },
-    /// Answer to [`Action::Read`], or what a watch brought.
+    /// Result of [`Action::Read`], or a document received from a watch.
     Read {
-        /// The document and its revision; 0 when it is absent.
+        /// The document and its revision; revision 0 if it is absent.
         result: Result<(ids::Revision, claims::Claims), StoreFailure>,
-        /// Whether it answers [`Action::Read`].
+        /// Whether this is the result of [`Action::Read`].
         asked: bool,
     },
-    /// Answer to [`Action::List`].
+    /// Result of [`Action::List`].
     Listed {
         /// Leases whose keys exist.
         result: Result<Vec<ids::LeaseId>, StoreFailure>,
     },
-    /// Answer to [`Action::Write`].
+    /// Result of [`Action::Write`].
     Written {
         /// The new revision.
         result: Result<ids::Revision, StoreFailure>,
     },
-    /// Answer to [`Action::Drain`].
+    /// Result of [`Action::Drain`].
     Drained {
         /// The shard.
         shard: ids::ShardId,
-        /// Whether nothing of it is in progress.
+        /// Whether no work of the shard is left in progress.
         clean: bool,
     },
-    /// Answer to [`Action::Ask`].
+    /// Result of [`Action::Ask`].
     Answered {
         /// The question.
         question: claims::PeerQuestion,
         /// Time before the call.
         sent_at: time::Instant,
-        /// The answer, if any came.
+        /// The answer; `None` if there was none.
         answer: Option<claims::PeerAnswer>,
     },
     /// The platform's instance list was read.
     Instances(sync::Arc<instances::InstanceList>),
-    /// The monotonic clock cannot be trusted for the time before this.
+    /// The monotonic clock may have stood still before this event.
     ClockJumped,
-    /// Give up everything in order and leave.
+    /// Hand over all shards in order, then leave.
     Leave,
 }
 
-/// What to do.
+/// What the adapter must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Make a lease.
+    /// Create a lease.
     Grant,
-    /// Write the key of a lease under it.
+    /// Write the member key of a lease, attached to the lease.
     Announce {
         /// The lease.
         lease: ids::LeaseId,
@@ -118,28 +118,28 @@
     },
     /// Read the document.
     Read,
-    /// List the keys of members' leases.
+    /// List the member keys, one for each lease.
     List,
     /// Write the document if it still has the revision `base`.
     Write {
-        /// Revision that the change is made against.
+        /// Revision that the change is based on.
         base: ids::Revision,
         /// The whole new document.
         claims: claims::Claims,
     },
-    /// Stop the use of a shard and wait until nothing of it is in progress.
+    /// Stop using a shard and wait until none of its work is in progress.
     Drain {
         /// The shard.
         shard: ids::ShardId,
     },
-    /// Ask a peer.
+    /// Send a question to a peer.
     Ask {
-        /// Where the peer is.
+        /// Address of the peer.
         address: net::SocketAddr,
-        /// What to ask.
+        /// The question.
         question: claims::PeerQuestion,
     },
-    /// End a lease.
+    /// Revoke a lease.
     Revoke {
         /// The lease.
         lease: ids::LeaseId,
--- a/crates/figscale-core/src/claims/edit.rs
+++ b/crates/figscale-core/src/claims/edit.rs
@@ -1,9 +1,10 @@
-//! Changes of the claims document.
+//! Edits of the claims document.
 
 use figscale_types::claims;
 use figscale_types::ids;
 
-/// Removes a life of a member; its shards become free, with work left behind.
+/// Removes one incarnation of a member. Its shards become free and count as
+/// not clean, since its work may still be in progress.
 pub(super) fn evict(document: &mut claims::Claims, key: &ids::MemberKey) {
     if document.key_of(&key.id).as_ref() == Some(key) {
         remove(document, &key.id);
@@ -16,19 +17,19 @@
     }
 }
 
-/// Removes a member that holds nothing.
+/// Removes a member that holds no shard.
 pub(super) fn remove(document: &mut claims::Claims, id: &ids::MemberId) {
     document.members.shift_remove(id);
     document.witnesses.shift_remove(id);
 }
 
-/// Gives a shard that nobody holds to `holder`.
+/// Assigns a free shard to `holder`.
 pub(super) fn assign(document: &mut claims::Claims, id: &ids::ShardId, holder: ids::MemberKey) {
     let shard = document
         .shards
         .entry(id.clone())
         .or_insert_with(|| claims::Shard {
-            // Nobody has ever held it.
+            // It never had a holder.
             clean: true,
             ..claims::Shard::default()
         });
@@ -36,7 +37,7 @@
     shard.epoch = shard.epoch.next();
 }
 
-/// Passes a shard on in order, to nobody if there is nobody.
+/// Hands over a drained shard; without a target the shard becomes free.
 pub(super) fn hand_over(
     document: &mut claims::Claims,
     id: &ids::ShardId,
@@ -50,7 +51,7 @@
     }
 }
 
-/// Whether nobody holds the shard.
+/// Whether the shard has no holder.
 pub(super) fn is_free(document: &claims::Claims, id: &ids::ShardId) -> bool {
     let shard = document.shards.get(id);
     shard.is_none_or(|shard| shard.holder.is_none())
--- a/crates/figscale-core/src/claims/gone.rs
+++ b/crates/figscale-core/src/claims/gone.rs
@@ -1,4 +1,4 @@
-//! What the platform's instance list says of members.
+//! Members that are missing from the platform's instance list.
 
 use std::time;
 
@@ -7,28 +7,29 @@
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 
-/// Members remembered after they went.
+/// Maximum number of missing members that are remembered.
 const MAX_MISSING: usize = 1_024;
 
-/// Members that the list does not show, and for how long.
+/// Tracks which members are missing from the list, and for how long.
 ///
-/// Time counts from the first list that lacks a member, not from the last one
-/// that showed it: between the two no list may have been read for long. The
-/// list is trusted only while it shows the asking member itself, so that one
-/// that does not cover entry instances proves nothing.
+/// The time is measured from the first list without a member, not from the last
+/// one with it, since no list may have been read for a long time between the
+/// two. The list is trusted only while it contains this member itself, since a
+/// list that does not cover entry instances proves nothing.
 #[derive(Debug, Default)]
-pub(super) struct Gone {
+pub(super) struct MissingMembers {
     lag: time::Duration,
     listed: IndexSet<ids::InstanceId>,
-    /// Members that were listed once, by the first list that lacked them.
+    /// Members that were listed before, with the time of the first list without
+    /// them.
     missing: IndexMap<ids::InstanceId, time::Instant>,
-    /// First list of those that have all shown this member.
+    /// Time of the first list since which every list has contained this member.
     first_trusted: Option<time::Instant>,
     read_at: Option<time::Instant>,
 }
 
-impl Gone {
-    /// Takes in a list that was read at `now`.
+impl MissingMembers {
+    /// Processes a list that was read at `now`.
     pub(super) fn read(
         &mut self,
         list: &instances::InstanceList,
@@ -45,7 +46,8 @@
         }
         self.missing.retain(|id, _| !listed.contains(id));
         while self.missing.len() > MAX_MISSING {
-            // The longest gone; it stays so, counted from the first list.
+            // Forgets the member that has been missing longest. It still counts
+            // as missing, measured from the first trusted list.
             self.missing.shift_remove_index(0);
         }
         self.listed = listed;
@@ -63,7 +65,8 @@
             .any(|listed| listed.as_str() == id.as_str())
     }
 
-    /// Whether the list has shown `id` gone for longer than its lag and `longest`.
+    /// Whether `id` has been missing from the list for longer than the list's
+    /// lag and `longest` together.
     pub(super) fn is_gone(&self, id: &ids::MemberId, longest: time::Duration) -> bool {
         let (Some(trusted), Some(read_at)) = (self.first_trusted, self.read_at) else {
             return false;
--- a/crates/figscale-core/src/claims/lease.rs
+++ b/crates/figscale-core/src/claims/lease.rs
@@ -6,14 +6,14 @@
 
 use super::Config;
 
-/// A lease that was granted and has not been seen gone.
+/// A lease that was granted and is not known to have ended.
 #[derive(Clone, Debug)]
 pub(super) struct OwnLease {
-    /// Its id.
     pub(super) id: ids::LeaseId,
-    /// Whether its key is in the store.
+    /// Whether its member key was written to the store.
     pub(super) announced: bool,
-    /// Until when it is surely valid; `None` when the clock jumped since.
+    /// Until when it is certainly valid; `None` if the clock has jumped since
+    /// the last renewal.
     pub(super) valid_until: Option<time::Instant>,
 }
 
@@ -33,7 +33,7 @@
         lease
     }
 
-    /// Notes a renewal; late answers to earlier renewals change nothing.
+    /// Records a renewal. A late response to an earlier renewal changes nothing.
     pub(super) fn renewed(&mut self, sent_at: time::Instant, now: time::Instant, config: &Config) {
         let from = match config.guards.count_from_sent {
             true => sent_at,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The end of what is surely valid of a lease or promise counted from `from`.
+/// Until when a lease or promise that starts at `from` is certainly valid.
 pub(super) fn valid_until(from: time::Instant, config: &Config) -> time::Instant {
     match config.guards.keep_margin {
         true => from + config.lease.saturating_sub(config.margin),
--- a/crates/figscale-core/src/claims/machine.rs
+++ b/crates/figscale-core/src/claims/machine.rs
@@ -1,9 +1,10 @@
-//! The claims machine: its state, and what its inputs do to it.
+//! The claims machine: its state, and how inputs change it.
 //!
-//! What it decides from the state is in the submodules, one a concern: the
-//! lease and the reading of the store, promises and releases, and the edits of
-//! the document. Decisions depend on the state alone and are taken anew after
-//! each input, so no input is needed for anything but what it tells.
+//! The decisions made from the state are in the submodules: `observe` (the
+//! lease and reads of the store), `promise` and `evict` (promises and
+//! releases of witnesses), and `plan` (edits of the document). Decisions
+//! depend on the state alone and are made again after each input, so an input
+//! only matters for the information that it carries.
 
 mod evict;
 mod observe;
@@ -32,12 +33,12 @@
 use super::targets;
 use super::witness;
 
-/// Where a member is.
+/// Location of a member.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Where peers reach it.
+    /// Address at which peers reach it.
     pub peer_address: net::SocketAddr,
-    /// Where it stands.
+    /// Failure domain of its instance.
     pub failure_domain: ids::FailureDomain,
 }
 
@@ -46,52 +47,53 @@
 pub struct Held {
     /// Epoch under which it is held.
     pub epoch: ids::Epoch,
-    /// When this member came to know that it holds it.
+    /// When this member learned that it holds the shard.
     pub taken_at: time::Instant,
-    /// Latest moment at which an earlier holder can have dispatched.
+    /// Latest time at which an earlier holder can have dispatched work.
     pub last_foreign_dispatch: time::Instant,
-    /// Whether the earlier holder left nothing in progress.
+    /// Whether the earlier holder left no work in progress.
     pub clean: bool,
 }
 
-/// What a member shows of its state.
+/// State of a member, for operators and logs.
 #[derive(Clone, Debug)]
 pub struct Status {
     /// Its lease in the store, if any.
     pub lease: Option<ids::LeaseId>,
-    /// Whether the document names it in this life.
+    /// Whether the document lists this incarnation of it.
     pub is_member: bool,
-    /// Until when its lease is surely valid.
+    /// Until when its lease is certainly valid.
     pub lease_until: Option<time::Instant>,
-    /// Until when a majority of its witnesses has promised.
+    /// Until when the promises of a majority of its witnesses are valid.
     pub promised_until: Option<time::Instant>,
-    /// Shards that are being given up.
+    /// Shards that are being drained and handed over.
     pub giving: Vec<ids::ShardId>,
-    /// Members seen to have lapsed and not yet evicted.
+    /// Members whose lease has expired and that are not yet evicted.
     pub evicting: Vec<ids::MemberKey>,
-    /// Writes whose outcome is not known.
+    /// Number of writes whose outcome is unknown.
     pub unknown_writes: usize,
     /// Whether it has left.
     pub left: bool,
 }
 
-/// The document as last seen.
+/// The document as last read or written.
 #[derive(Clone, Debug, Default)]
 struct Document {
     revision: ids::Revision,
     claims: claims::Claims,
 }
 
-/// A shard on its way out.
+/// State of a shard that is being handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Giving {
-    /// Its use was stopped; work may be in progress.
+enum Handover {
+    /// No longer used; work may still be in progress.
     Draining,
-    /// Ready for the document; whether nothing is in progress.
+    /// Drained, so that the document may be written; whether no work is left
+    /// in progress.
     Ready(bool),
 }
 
-/// A write that may have taken effect, or may yet.
+/// A write that may have taken effect, or may do so later.
 #[derive(Clone, Debug)]
 struct UnknownWrite {
     base: ids::Revision,
@@ -99,7 +101,7 @@
     witnesses: Vec<ids::MemberKey>,
 }
 
-/// The claims of one entry instance.
+/// The claims protocol as run by one entry instance.
 #[derive(Debug)]
 pub struct Machine {
     config: Config,
@@ -112,31 +114,32 @@
     /// Time before the last call that granted or renewed the lease.
     last_renewed: Option<time::Instant>,
     document: Option<Document>,
-    /// Whether the document may have changed by our own doing.
+    /// Whether an own write may have changed the document since it was read.
     stale: bool,
-    writing: Option<Document>,
-    unknown: Vec<UnknownWrite>,
+    pending_write: Option<Document>,
+    unknown_writes: Vec<UnknownWrite>,
     members_changed_at: time::Instant,
-    /// Leases that the document named when the keys were asked for.
-    listing: Vec<ids::LeaseId>,
-    lapsed: IndexSet<ids::LeaseId>,
+    /// Leases that the document named when the list of keys was requested.
+    leases_to_check: Vec<ids::LeaseId>,
+    expired: IndexSet<ids::LeaseId>,
     evictions: IndexMap<ids::MemberKey, evict::Eviction>,
-    granted: witness::Granted,
-    promises: witness::Promises,
-    promises_asked_at: Option<time::Instant>,
-    gone: gone::Gone,
-    /// The platform's list as last read.
-    list: Option<sync::Arc<instances::InstanceList>>,
+    witness_record: witness::WitnessRecord,
+    received_promises: witness::ReceivedPromises,
+    promises_requested_at: Option<time::Instant>,
+    missing_members: gone::MissingMembers,
+    /// The platform's instance list as last read.
+    instance_list: Option<sync::Arc<instances::InstanceList>>,
     shards: Vec<ids::ShardId>,
-    targets: targets::Memo,
+    targets: targets::Cache,
     held: IndexMap<ids::ShardId, Held>,
-    giving: IndexMap<ids::ShardId, Giving>,
+    handovers: IndexMap<ids::ShardId, Handover>,
     leaving: bool,
     left: bool,
 }
 
 impl Machine {
-    /// A machine that knows nothing yet; `seed` feeds its jitter.
+    /// Creates a machine without any knowledge of the store; `seed` determines
+    /// its jitter.
     pub fn new(
         config: Config,
         me: ids::MemberKey,
@@ -155,59 +158,60 @@
             last_renewed: None,
             document: None,
             stale: false,
-            writing: None,
-            unknown: Vec::new(),
+            pending_write: None,
+            unknown_writes: Vec::new(),
             members_changed_at: now,
-            listing: Vec::new(),
-            lapsed: IndexSet::new(),
+            leases_to_check: Vec::new(),
+            expired: IndexSet::new(),
             evictions: IndexMap::new(),
-            granted: witness::Granted::default(),
-            promises: witness::Promises::default(),
-            promises_asked_at: None,
-            gone: gone::Gone::default(),
+            witness_record: witness::WitnessRecord::default(),
+            received_promises: witness::ReceivedPromises::default(),
+            promises_requested_at: None,
+            missing_members: gone::MissingMembers::default(),
             shards: Vec::new(),
-            list: None,
-            targets: targets::Memo::default(),
+            instance_list: None,
+            targets: targets::Cache::default(),
             held: IndexMap::new(),
-            giving: IndexMap::new(),
+            handovers: IndexMap::new(),
             leaving: false,
             left: false,
         }
     }
 
-    /// Takes in what happened and returns what to do, in order.
+    /// Processes an input and returns the actions to execute, in order.
     pub fn handle(&mut self, now: time::Instant, input: Input) -> Vec<Action> {
-        self.take_in(now, input);
+        self.apply_input(now, input);
         let mut actions = Vec::new();
         if self.left {
             return actions;
         }
-        if self.is_out() {
+        if self.has_finished_leaving() {
             self.left = true;
             let lease = self.lease.take().map(|lease| lease.id);
             actions.extend(lease.map(|lease| Action::Revoke { lease }));
             return actions;
         }
-        self.keep_lease(now, &mut actions);
-        self.keep_reading(now, &mut actions);
-        self.keep_promises(now, &mut actions);
-        self.ask_releases(now, &mut actions);
-        self.give_up_shards(now, &mut actions);
+        self.maintain_lease(now, &mut actions);
+        self.refresh_document(now, &mut actions);
+        self.request_promises(now, &mut actions);
+        self.request_releases(now, &mut actions);
+        self.start_handovers(now, &mut actions);
         self.write(now, &mut actions);
         actions
     }
 
-    /// Until when held shards may be used.
+    /// Until when the held shards may be used.
     pub fn authority_until(&self) -> Option<time::Instant> {
         self.lease_until().max(self.promised_until())
     }
 
-    /// Shards that may be used while there is authority.
+    /// Shards that may be used until [`Machine::authority_until`].
     pub fn held(&self) -> impl Iterator<Item = (&ids::ShardId, &Held)> {
         self.held.iter().filter(|(id, _)| self.is_usable(id))
     }
 
-    /// Shards that the document gives to this member, drained ones included.
+    /// All shards that the document assigns to this member, including those
+    /// that are being handed over.
     pub fn all_held(&self) -> impl Iterator<Item = (&ids::ShardId, &Held)> {
         self.held.iter()
     }
@@ -220,48 +224,48 @@
     }
 
     fn is_usable(&self, shard: &ids::ShardId) -> bool {
-        !self.config.guards.stop_before_handover || !self.giving.contains_key(shard)
+        !self.config.guards.stop_before_handover || !self.handovers.contains_key(shard)
     }
 
-    /// The document as last seen, with its revision.
+    /// The latest known document, with its revision.
     pub fn document(&self) -> Option<(ids::Revision, &claims::Claims)> {
         let document = self.document.as_ref()?;
         Some((document.revision, &document.claims))
     }
 
-    /// Whether it gave up everything and left.
+    /// Whether this member has handed over all shards and left.
     pub fn has_left(&self) -> bool {
         self.left
     }
 
-    /// What people want to see of the state.
+    /// Summary of the state, for operators and logs.
     pub fn status(&self) -> Status {
         Status {
             lease: self.lease.as_ref().map(|lease| lease.id),
             is_member: self.my_member().is_some(),
             lease_until: self.lease_until(),
             promised_until: self.promised_until(),
-            giving: self.giving.keys().cloned().collect(),
+            giving: self.handovers.keys().cloned().collect(),
             evicting: self.evictions.keys().cloned().collect(),
-            unknown_writes: self.unknown.len(),
+            unknown_writes: self.unknown_writes.len(),
             left: self.left,
         }
     }
 
-    /// Until when the lease that the document names is surely valid.
+    /// Until when the lease that the document names is certainly valid.
     fn lease_until(&self) -> Option<time::Instant> {
         let member = self.my_member()?;
         let lease = self.lease.as_ref()?;
         (member.lease == lease.id).then_some(lease.valid_until)?
     }
 
-    /// This life's entry in the document as last seen.
+    /// The entry of this incarnation in the latest known document.
     fn my_member(&self) -> Option<&claims::Member> {
         let member = self.document.as_ref()?.claims.members.get(&self.me.id)?;
         (member.incarnation == self.me.incarnation).then_some(member)
     }
 
-    fn take_in(&mut self, now: time::Instant, input: Input) {
+    fn apply_input(&mut self, now: time::Instant, input: Input) {
         match input {
             Input::Tick => {}
             Input::Granted { sent_at, result } => self.granted(now, sent_at, result),
@@ -281,12 +285,12 @@
                 answer,
             } => self.answered(question, sent_at, answer),
             Input::Instances(list) => {
-                self.gone.read(&list, &self.me.id, now);
-                let known = self.list.as_ref();
-                // An unchanged list comes as the very same one.
+                self.missing_members.read(&list, &self.me.id, now);
+                let known = self.instance_list.as_ref();
+                // An unchanged list arrives as the same `Arc`.
                 if !known.is_some_and(|known| sync::Arc::ptr_eq(known, &list)) {
                     self.shards = (self.config.shards_of)(&list);
-                    self.list = Some(list);
+                    self.instance_list = Some(list);
                 }
             }
             Input::ClockJumped => self.clock_jumped(),
@@ -295,21 +299,21 @@
     }
 
     fn drained(&mut self, shard: ids::ShardId, clean: bool) {
-        if let Some(giving) = self.giving.get_mut(&shard) {
-            *giving = Giving::Ready(clean);
+        if let Some(handover) = self.handovers.get_mut(&shard) {
+            *handover = Handover::Ready(clean);
         }
     }
 
     fn clock_jumped(&mut self) {
-        self.promises.clear();
+        self.received_promises.clear();
         if let Some(lease) = &mut self.lease {
             lease.valid_until = None;
         }
-        self.schedule.hurry(Op::Renew, self.started);
+        self.schedule.make_due(Op::Renew, self.started);
     }
 
-    /// Takes in a document that was seen, unless a later one was.
-    fn learn(&mut self, now: time::Instant, seen: Document) {
+    /// Adopts a document that was read or written, unless a later one is known.
+    fn adopt(&mut self, now: time::Instant, seen: Document) {
         let known = self.document.as_ref();
         if known.is_some_and(|known| known.revision >= seen.revision) {
             return;
@@ -318,10 +322,11 @@
         if old_keys != Some(seen.claims.keys()) {
             self.members_changed_at = now;
         }
-        self.unknown.retain(|write| write.base >= seen.revision);
+        self.unknown_writes
+            .retain(|write| write.base >= seen.revision);
         self.update_held(now, &seen.claims);
         let named = |lease: &ids::LeaseId| seen.claims.members.values().any(|m| m.lease == *lease);
-        self.lapsed.retain(named);
+        self.expired.retain(named);
         self.evictions.retain(|key, eviction| {
             let member = seen.claims.members.get(&key.id);
             member.is_some_and(|m| m.incarnation == key.incarnation && m.lease == eviction.lease)
@@ -341,20 +346,19 @@
             });
             held.insert(id.clone(), entry);
         }
-        self.giving.retain(|id, _| {
+        self.handovers.retain(|id, _| {
             let old = self.held.get(id).map(|held| held.epoch);
             old.is_some() && old == held.get(id).map(|held| held.epoch)
         });
         self.held = held;
     }
 
-    /// Time for which a grant or promise can bind, by any clock.
+    /// Longest time for which a lease or promise can be valid, by any clock.
     fn longest_promise(&self) -> time::Duration {
         self.config.lease + self.config.margin
     }
 }
 
-/// The document of an answer to a read.
 impl From<(ids::Revision, claims::Claims)> for Document {
     fn from((revision, claims): (ids::Revision, claims::Claims)) -> Self {
         Self { revision, claims }
--- a/crates/figscale-core/src/claims/machine/evict.rs
+++ b/crates/figscale-core/src/claims/machine/evict.rs
@@ -1,4 +1,4 @@
-//! Evictions: members whose lease lapsed while they held shards.
+//! Evictions of members whose lease expired while they held shards.
 
 use std::time;
 
@@ -15,21 +15,21 @@
 use super::Machine;
 use super::promise;
 
-/// What was gathered to evict a holder.
+/// Progress of the eviction of a holder.
 #[derive(Debug)]
 pub(super) struct Eviction {
-    /// The lease that lapsed.
+    /// The lease that expired.
     pub(super) lease: ids::LeaseId,
-    /// Witnesses that released it.
+    /// Witnesses that have released it.
     pub(super) released: IndexSet<ids::MemberKey>,
     start: time::Instant,
-    asked_at: IndexMap<ids::MemberKey, time::Instant>,
+    requested_at: IndexMap<ids::MemberKey, time::Instant>,
 }
 
 impl Machine {
-    /// Asks the witnesses of lapsed holders for releases.
-    pub(super) fn ask_releases(&mut self, now: time::Instant, actions: &mut Vec<Action>) {
-        self.notice_lapsed(now);
+    /// Asks the witnesses of holders with an expired lease for releases.
+    pub(super) fn request_releases(&mut self, now: time::Instant, actions: &mut Vec<Action>) {
+        self.start_evictions(now);
         let mut questions = Vec::new();
         for (holder, eviction) in &mut self.evictions {
             let Some(document) = &self.document else {
@@ -38,14 +38,14 @@
             if now < eviction.start {
                 continue;
             }
-            let again = self.config.heartbeat / 2;
+            let retry_interval = self.config.heartbeat / 2;
             for witness in counted_witnesses(&document.claims, holder, &self.config) {
-                let asked = eviction.asked_at.get(&witness);
-                let wait = asked.is_some_and(|at| now < *at + again);
-                if wait || eviction.released.contains(&witness) {
+                let last_request = eviction.requested_at.get(&witness);
+                let pending = last_request.is_some_and(|at| now < *at + retry_interval);
+                if pending || eviction.released.contains(&witness) {
                     continue;
                 }
-                eviction.asked_at.insert(witness.clone(), now);
+                eviction.requested_at.insert(witness.clone(), now);
                 questions.push((holder.clone(), eviction.lease, witness));
             }
         }
@@ -59,8 +59,9 @@
         }
     }
 
-    /// Starts an eviction for each lapsed holder, the nearest member first.
-    fn notice_lapsed(&mut self, now: time::Instant) {
+    /// Starts an eviction for each holder with an expired lease. Members start
+    /// one after another, in an order that depends on the holder.
+    fn start_evictions(&mut self, now: time::Instant) {
         let Some(document) = &self.document else {
             return;
         };
@@ -69,21 +70,21 @@
                 id: id.clone(),
                 incarnation: member.incarnation,
             };
-            let lapsed = self.lapsed.contains(&member.lease) && key != self.me;
-            if lapsed && !self.evictions.contains_key(&key) {
+            let expired = self.expired.contains(&member.lease) && key != self.me;
+            if expired && !self.evictions.contains_key(&key) {
                 let rank = u32::try_from(self.rank(id)).unwrap_or(u32::MAX);
                 let eviction = Eviction {
                     lease: member.lease,
                     released: IndexSet::new(),
                     start: now + self.config.settle * rank,
-                    asked_at: IndexMap::new(),
+                    requested_at: IndexMap::new(),
                 };
                 self.evictions.insert(key, eviction);
             }
         }
     }
 
-    /// How many live members come before this one in evicting `holder`.
+    /// Number of live members that start evicting `holder` before this one.
     fn rank(&self, holder: &ids::MemberId) -> usize {
         let Some(document) = &self.document else {
             return 0;
@@ -91,15 +92,15 @@
         let order = |id: &ids::MemberId| hash::hash(&[holder.as_str(), id.as_str()]);
         let mine = match self.my_member() {
             Some(_) => order(&self.me.id),
-            // Members go first.
+            // This instance is not yet a member; members go first.
             None => u64::MAX,
         };
         let members = document.claims.members.iter();
-        let live = members.filter(|(_, member)| !self.lapsed.contains(&member.lease));
+        let live = members.filter(|(_, member)| !self.expired.contains(&member.lease));
         live.filter(|(id, _)| order(id) < mine).count()
     }
 
-    /// Holders that no majority of their witnesses can promise to any more.
+    /// Holders to which no majority of their witnesses can promise any more.
     pub(super) fn ready_evictions(&self, now: time::Instant) -> Vec<ids::MemberKey> {
         let ready = |(holder, eviction): &(&ids::MemberKey, &Eviction)| {
             now >= eviction.start && self.is_released(holder, eviction)
@@ -119,13 +120,14 @@
         let witnesses = counted_witnesses(&document.claims, holder, &self.config);
         let longest = self.longest_promise();
         let released = witnesses.iter().filter(|witness| {
-            eviction.released.contains(*witness) || self.gone.is_gone(&witness.id, longest)
+            eviction.released.contains(*witness)
+                || self.missing_members.is_gone(&witness.id, longest)
         });
         released.count() >= release_quorum(witnesses.len())
     }
 }
 
-/// The witnesses over whom releases from `holder` count.
+/// The witnesses whose releases count for the eviction of `holder`.
 fn counted_witnesses(
     claims: &claims::Claims,
     holder: &ids::MemberKey,
--- a/crates/figscale-core/src/claims/machine/observe.rs
+++ b/crates/figscale-core/src/claims/machine/observe.rs
@@ -1,4 +1,4 @@
-//! The lease, and what is read of the store.
+//! This member's lease, and reads of the store.
 
 use std::time;
 
@@ -38,7 +38,8 @@
         result: Result<(), StoreFailure>,
     ) {
         match result {
-            // A conflict is our own earlier write, whose answer was lost.
+            // A conflict means that an earlier attempt wrote the key and its
+            // response was lost.
             Ok(()) | Err(StoreFailure::Conflict) => {
                 self.schedule.succeeded(Op::Announce, now);
                 if let Some(lease) = self.lease.as_mut().filter(|lease| lease.id == id) {
@@ -96,7 +97,7 @@
                     self.schedule.succeeded(Op::Read, now);
                     self.stale = false;
                 }
-                self.learn(now, Document::from(seen));
+                self.adopt(now, Document::from(seen));
             }
             Err(_) if asked => self.schedule.failed(Op::Read, now, &mut self.rng),
             Err(_) => {}
@@ -108,20 +109,20 @@
         now: time::Instant,
         result: Result<Vec<ids::LeaseId>, StoreFailure>,
     ) {
-        let Ok(alive) = result else {
+        let Ok(live) = result else {
             self.schedule.failed(Op::List, now, &mut self.rng);
             return;
         };
         self.schedule
             .succeeded(Op::List, now + self.config.heartbeat);
-        let asked_for = match self.config.guards.list_after_document {
-            true => std::mem::take(&mut self.listing),
+        let candidates = match self.config.guards.list_after_document {
+            true => std::mem::take(&mut self.leases_to_check),
             false => self.named_leases(),
         };
-        let lapsed = asked_for.into_iter().filter(|id| !alive.contains(id));
-        self.lapsed.extend(lapsed);
+        let expired = candidates.into_iter().filter(|id| !live.contains(id));
+        self.expired.extend(expired);
         let own = self.lease.as_ref().map(|lease| lease.id);
-        if let Some(own) = own.filter(|own| self.lapsed.contains(own)) {
+        if let Some(own) = own.filter(|own| self.expired.contains(own)) {
             self.lease_gone(own);
         }
     }
@@ -132,8 +133,8 @@
         members.map(|member| member.lease).collect()
     }
 
-    /// Grants, announces and renews the lease.
-    pub(super) fn keep_lease(&mut self, now: time::Instant, actions: &mut Vec<Action>) {
+    /// Requests the calls that are due to create, announce or renew the lease.
+    pub(super) fn maintain_lease(&mut self, now: time::Instant, actions: &mut Vec<Action>) {
         let Some(lease) = &self.lease else {
             if self.schedule.start(Op::Grant, now) {
                 actions.push(Action::Grant);
@@ -149,21 +150,23 @@
         }
     }
 
-    /// Reads the document when it may have changed, and the keys every so often.
-    pub(super) fn keep_reading(&mut self, now: time::Instant, actions: &mut Vec<Action>) {
+    /// Reads the document if it may have changed, and lists the member keys once
+    /// per heartbeat.
+    pub(super) fn refresh_document(&mut self, now: time::Instant, actions: &mut Vec<Action>) {
         let unread = self.document.is_none() || self.stale;
         if unread && self.schedule.start(Op::Read, now) {
             actions.push(Action::Read);
         }
         if self.document.is_some() && self.schedule.start(Op::List, now) {
-            self.listing = self.named_leases();
+            self.leases_to_check = self.named_leases();
             actions.push(Action::List);
         }
     }
 
-    /// Whether the store has not renewed the lease for some time.
-    pub(super) fn misses_store(&self, now: time::Instant) -> bool {
+    /// Whether the last renewal of the lease is so long ago that the store counts
+    /// as unavailable.
+    pub(super) fn is_store_unavailable(&self, now: time::Instant) -> bool {
         let since = self.last_renewed.unwrap_or(self.started);
-        now.saturating_duration_since(since) > self.config.store_unseen
+        now.saturating_duration_since(since) > self.config.store_unavailable_after
     }
 }
--- a/crates/figscale-core/src/claims/machine/promise.rs
+++ b/crates/figscale-core/src/claims/machine/promise.rs
@@ -1,4 +1,4 @@
-//! Promises while the store is away, and the answers to peers.
+//! Promises while the store is unavailable, and answers to questions of peers.
 
 use std::time;
 
@@ -11,11 +11,12 @@
 use super::Machine;
 
 impl Machine {
-    /// Answers a peer.
+    /// Answers a question of a peer.
     ///
-    /// A promise is refused while this member has the store: a holder that
-    /// alone is cut off from it cannot do what needs the store, and should
-    /// lose its shards to one that can. That is policy, not safety.
+    /// A promise is refused while this member can reach the store: a holder
+    /// that alone is cut off from the store cannot do work that needs it, and
+    /// should lose its shards to a member that can. This is a policy, not
+    /// needed for safety.
     pub fn answer(
         &mut self,
         now: time::Instant,
@@ -31,8 +32,10 @@
                 *witness == self.me
                     && from == holder
                     && !leases.is_empty()
-                    && self.misses_store(now)
-                    && self.granted.promise(holder, leases, now, &self.config)
+                    && self.is_store_unavailable(now)
+                    && self
+                        .witness_record
+                        .promise(holder, leases, now, &self.config)
             }
             PeerQuestion::Release {
                 witness,
@@ -54,15 +57,18 @@
         lease: ids::LeaseId,
     ) -> bool {
         if *witness == self.me {
-            return self.granted.release(holder, lease, now, &self.config);
+            return self
+                .witness_record
+                .release(holder, lease, now, &self.config);
         }
-        let is_earlier_life = witness.id == self.me.id && witness.incarnation < self.me.incarnation;
+        let is_earlier_incarnation =
+            witness.id == self.me.id && witness.incarnation < self.me.incarnation;
         let age = now.saturating_duration_since(self.started);
-        let waited = age > self.longest_promise() || !self.config.guards.new_lives_wait;
-        is_earlier_life && waited
+        let waited = age > self.longest_promise() || !self.config.guards.new_incarnations_wait;
+        is_earlier_incarnation && waited
     }
 
-    /// Takes in the answer of a peer.
+    /// Processes the answer of a peer.
     pub(super) fn answered(
         &mut self,
         question: PeerQuestion,
@@ -74,7 +80,7 @@
         }
         match question {
             PeerQuestion::Promise { witness, .. } => {
-                self.promises.add(witness, sent_at, &self.config);
+                self.received_promises.add(witness, sent_at, &self.config);
             }
             PeerQuestion::Release {
                 witness,
@@ -89,18 +95,20 @@
         }
     }
 
-    /// Asks the witnesses for promises while the store is away.
-    pub(super) fn keep_promises(&mut self, now: time::Instant, actions: &mut Vec<Action>) {
-        let again = self.config.heartbeat / 2;
-        let asked = self.promises_asked_at.is_some_and(|at| now < at + again);
-        if asked || self.held.is_empty() || !self.misses_store(now) {
+    /// Asks the witnesses for promises while the store is unavailable.
+    pub(super) fn request_promises(&mut self, now: time::Instant, actions: &mut Vec<Action>) {
+        let retry_interval = self.config.heartbeat / 2;
+        let pending = self
+            .promises_requested_at
+            .is_some_and(|at| now < at + retry_interval);
+        if pending || self.held.is_empty() || !self.is_store_unavailable(now) {
             return;
         }
-        let leases = self.leases_in_question();
+        let leases = self.possible_leases();
         if leases.is_empty() {
             return;
         }
-        self.promises_asked_at = Some(now);
+        self.promises_requested_at = Some(now);
         let mut witnesses: Vec<_> = self.witness_lists().concat();
         witnesses.sort();
         witnesses.dedup();
@@ -114,7 +122,7 @@
         }
     }
 
-    /// Asks a witness; this member itself is asked at once.
+    /// Asks a witness; if that is this member itself, it answers immediately.
     pub(super) fn ask(
         &mut self,
         now: time::Instant,
@@ -136,38 +144,42 @@
         Some(members.get(id)?.peer_address)
     }
 
-    /// Until when promises are good, whatever came of unknown writes.
+    /// Until when the received promises are valid, whatever the outcome of writes
+    /// that are still unknown.
     pub(super) fn promised_until(&self) -> Option<time::Instant> {
         self.my_member()?;
         if !self.config.guards.need_promises {
-            return self.promises_asked_at.map(|at| at + self.config.lease);
+            return self.promises_requested_at.map(|at| at + self.config.lease);
         }
         let ends = self
             .witness_lists()
             .into_iter()
-            .map(|list| self.promises.majority_until(&list));
+            .map(|list| self.received_promises.majority_until(&list));
         ends.min().flatten()
     }
 
-    /// The lists of witnesses that the document may give this member.
+    /// The witness lists that the document in the store may have for this member.
     fn witness_lists(&self) -> Vec<Vec<ids::MemberKey>> {
         let Some(document) = &self.document else {
             return Vec::new();
         };
         let written = witnesses_of(&document.claims, &self.me);
-        let unknown = self.unknown.iter().map(|write| write.witnesses.clone());
-        [written].into_iter().chain(unknown).collect()
+        let unknown_lists = self
+            .unknown_writes
+            .iter()
+            .map(|write| write.witnesses.clone());
+        [written].into_iter().chain(unknown_lists).collect()
     }
 
-    /// The leases under which the document may name this member.
-    fn leases_in_question(&self) -> Vec<ids::LeaseId> {
+    /// The leases that the document in the store may name for this member.
+    fn possible_leases(&self) -> Vec<ids::LeaseId> {
         let named = self.my_member().map(|member| member.lease);
-        let unknown = self.unknown.iter().filter_map(|write| write.lease);
-        named.into_iter().chain(unknown).collect()
+        let unknown_leases = self.unknown_writes.iter().filter_map(|write| write.lease);
+        named.into_iter().chain(unknown_leases).collect()
     }
 }
 
-/// The witnesses that a member listed, itself if it listed none.
+/// The witnesses that a member has listed; the member itself if it listed none.
 pub(super) fn witnesses_of(claims: &claims::Claims, key: &ids::MemberKey) -> Vec<ids::MemberKey> {
     match claims.witnesses.get(&key.id) {
         Some(list) if !list.is_empty() => list.clone(),
--- a/crates/figscale-core/src/claims/mod.rs
+++ b/crates/figscale-core/src/claims/mod.rs
@@ -1,37 +1,45 @@
-//! Who may use which shard: leases, the claims document, and witnesses.
+//! Ownership of shards among entry instances: leases, the claims document, and
+//! witnesses.
 //!
-//! Every entry instance runs one [`Machine`]. All of them edit one document in
-//! the platform's store by compare-and-swap; it names the members and the
-//! holder of each shard. A member keeps a lease in the store and may use its
-//! shards while that lease is surely valid: counted by its own monotonic clock
-//! from before the renewal was sent, less a margin for clock rates.
+//! Work is divided into *shards*, and at any time at most one entry instance,
+//! its *holder*, may use a shard. Every entry instance is a *member* and runs
+//! one [`Machine`]. All members edit one document in the platform's store, the
+//! *claims*, by compare-and-swap; it lists the members and the holder of each
+//! shard. Every
+//! assignment of a shard starts a new *epoch*, a higher number than before. A
+//! member keeps a lease in the store and may use its shards while that lease is
+//! certainly valid: measured by its own monotonic clock from before the renewal
+//! was sent, less a margin for clock drift.
 //!
-//! While the store is away no lease can be renewed, yet work has to go on.
-//! Then a holder asks its *witnesses*, the members that it listed in the
-//! document itself, for a promise not to help evict it. With the promises of a
-//! majority of them it goes on. To evict a holder, a member needs to see its
-//! lease gone from the store, and so many releases from the holder's witnesses
-//! that no majority is left to promise. A release is for ever: a witness that
-//! released a lease never promises for it again. The two sets meet in one
-//! witness, which has either promised or released; that is the whole proof.
+//! While the store is unavailable no lease can be renewed, but work has to
+//! continue. Then a holder asks its *witnesses*, the members that it has listed
+//! in the document itself, to *promise* not to help evict it. With promises
+//! from a majority of them it may continue. To evict a holder, a member must
+//! observe that the holder's lease has expired in the store, and must collect
+//! *releases* from so many of the holder's witnesses that no majority is left
+//! to promise. A release is permanent: a witness that released a lease never
+//! promises for it again. The two quorums intersect in at least one witness,
+//! which has either promised or released; this is the entire safety argument.
 //!
 //! The rules in detail:
 //!
 //! - The store key `member/ID/LEASE` exists under the lease before the document
-//!   names it. So when a list of keys, asked for after the document was seen
-//!   to name a lease, lacks the key, that lease has lapsed for ever.
-//! - A write whose outcome is unknown may take effect until the document is
-//!   seen at a later revision. Until then promises must be good under the
-//!   witnesses of either outcome, and a shard given up is not used again.
-//! - A witness is a life of a process. A later life answers for an earlier one
-//!   once it has run longer than any promise. A witness that the platform's
-//!   instance list has shown gone for longer than the list's lag and the
-//!   longest promise counts as having released. This relies on the platform:
-//!   an instance that the list dropped has ended, and one name has one process.
+//!   names the lease. So if a list of keys that was requested after reading a
+//!   document that names a lease lacks the key, that lease has expired for good.
+//! - A write with an unknown outcome may take effect until the document is
+//!   read at a later revision. Until then promises must be valid under the
+//!   witnesses of either outcome, and a shard that was handed over is not used
+//!   again.
+//! - A witness is one incarnation of a process. A later incarnation may answer
+//!   for an earlier one once it has run longer than any promise lasts. A
+//!   witness that has been missing from the platform's instance list for longer
+//!   than the list's lag and the longest promise counts as having released.
+//!   This relies on the platform: an instance that the list dropped has ended,
+//!   and only one process runs under a name.
 //!
-//! The price is that holders which die while most of their witnesses are
-//! unreachable leave their shards unused until the instance list or new lives
-//! of the witnesses settle it.
+//! The trade-off: if a holder dies while most of its witnesses are unreachable,
+//! its shards stay unused until the instance list or new incarnations of the
+//! witnesses allow the eviction.
 
 mod action;
 mod edit;
@@ -58,33 +66,36 @@
 pub use shards::by_shard;
 pub use targets::targets;
 
-/// Time bounds of the claims.
+/// Timing of the claims protocol.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Life of a lease, and of a promise.
+    /// Duration of a lease, and of a promise.
     pub lease: time::Duration,
-    /// Time between renewals.
+    /// Interval between lease renewals.
     pub heartbeat: time::Duration,
-    /// Part of a lease or promise left unused, for clock rates and scheduling.
+    /// Part of a lease or promise that is left unused, to allow for clock drift
+    /// and scheduling delays.
     pub margin: time::Duration,
-    /// Time without an answer after which the store counts as away.
-    pub store_unseen: time::Duration,
-    /// Time for which the members must stay the same before shards move.
+    /// Time since the last lease renewal after which the store counts as
+    /// unavailable.
+    pub store_unavailable_after: time::Duration,
+    /// Time for which the members must stay the same before shards are moved.
+    /// Also staggers evictions and writes of witness lists between members.
     pub settle: time::Duration,
-    /// The shards that a list of instances gives rise to.
+    /// Derives the shards from a list of instances.
     pub shards_of: fn(&instances::InstanceList) -> Vec<ids::ShardId>,
-    /// Rules that only trials of the checker turn off.
+    /// Safety rules, which only tests of the invariant checker turn off.
     pub guards: Guards,
 }
 
 impl Config {
-    /// Bounds derived from the lease, the heartbeat and the margin.
+    /// Derives the other durations from the lease and the heartbeat.
     pub fn new(lease: time::Duration, heartbeat: time::Duration, margin: time::Duration) -> Self {
         Self {
             lease,
             heartbeat,
             margin,
-            store_unseen: lease / 3,
+            store_unavailable_after: lease / 3,
             settle: heartbeat / 3,
             shards_of: |list| shards::by_shard(list).into_keys().collect(),
             guards: Guards::default(),
@@ -92,30 +103,32 @@
     }
 }
 
-/// Rules on which safety rests, each of which can be taken out so that a test
-/// sees the checker find the fault that the rule prevents.
+/// Rules on which safety depends. Each can be turned off, so that a test can
+/// verify that the invariant checker finds the violation that the rule prevents.
 #[derive(Clone, Copy, Debug)]
 pub struct Guards {
-    /// Count a lease from before its renewal was sent, not from the answer.
+    /// Measure a lease from before its renewal was sent, not from the response.
     pub count_from_sent: bool,
-    /// Keep a margin of leases and promises unused.
+    /// Leave a margin of leases and promises unused.
     pub keep_margin: bool,
-    /// Evict only with releases.
+    /// Evict a holder only with releases from its witnesses.
     pub need_releases: bool,
-    /// Never promise for a lease that was released.
-    pub releases_last: bool,
-    /// Refuse a release while a promise lasts.
-    pub promises_bind: bool,
-    /// List keys only after the document that names the leases.
+    /// Never promise for a lease that this witness has released.
+    pub releases_are_final: bool,
+    /// Refuse a release while a promise to the holder is valid.
+    pub promises_block_releases: bool,
+    /// Judge only leases that the document named before the keys were listed.
     pub list_after_document: bool,
-    /// Go on without the store only with promises.
+    /// Continue without the store only with promises.
     pub need_promises: bool,
-    /// Count promises over the list in the document, not the latest members.
+    /// Count releases over the holder's witness list in the document, not over
+    /// the current members.
     pub count_over_written_list: bool,
-    /// Use a shard no more once it is being given up.
+    /// Stop using a shard as soon as its handover begins.
     pub stop_before_handover: bool,
-    /// A new life releases for an earlier one only after the longest promise.
-    pub new_lives_wait: bool,
+    /// Let a new incarnation release for an earlier one only after the longest
+    /// promise has ended.
+    pub new_incarnations_wait: bool,
 }
 
 impl Default for Guards {
@@ -124,23 +137,23 @@
             count_from_sent: true,
             keep_margin: true,
             need_releases: true,
-            releases_last: true,
-            promises_bind: true,
+            releases_are_final: true,
+            promises_block_releases: true,
             list_after_document: true,
             need_promises: true,
             count_over_written_list: true,
             stop_before_handover: true,
-            new_lives_wait: true,
+            new_incarnations_wait: true,
         }
     }
 }
 
-/// Members that make a majority of `len` witnesses.
+/// Number of members that form a majority of `len` witnesses.
 fn majority(len: usize) -> usize {
     len / 2 + 1
 }
 
-/// Releases after which no majority of `len` witnesses can promise.
+/// Number of releases after which no majority of `len` witnesses can promise.
 fn release_quorum(len: usize) -> usize {
     len - majority(len) + 1
 }
--- a/crates/figscale-core/src/claims/schedule.rs
+++ b/crates/figscale-core/src/claims/schedule.rs
@@ -1,7 +1,7 @@
-//! When each kind of store call is due.
+//! Schedule of the store calls, by kind of call.
 //!
-//! At most one call of a kind is in progress. A failed one is repeated after a
-//! growing delay with jitter, at most a heartbeat.
+//! At most one call of a kind is in progress. A failed call is retried after an
+//! exponential backoff with jitter of at most one heartbeat.
 
 use std::time;
 
@@ -10,7 +10,7 @@
 
 use crate::backoff;
 
-/// Delay bound after the first failure.
+/// Upper bound of the retry delay after the first failure.
 const FIRST_DELAY_MS: u64 = 50;
 
 /// Kinds of store call.
@@ -31,7 +31,7 @@
     backoff: backoff::Backoff,
 }
 
-/// The calls in progress and the times of the next ones.
+/// The calls in progress and the due times of the next ones.
 #[derive(Debug)]
 pub(super) struct Schedule {
     start: time::Instant,
@@ -62,7 +62,8 @@
         self.states.get(&op).is_some_and(|state| state.running)
     }
 
-    /// Starts a call if it is due and none is in progress.
+    /// Marks a call as started if it is due and none of its kind is in progress;
+    /// returns whether it was.
     pub(super) fn start(&mut self, op: Op, now: time::Instant) -> bool {
         let state = self.state(op);
         let start = !state.running && state.due <= now;
@@ -70,7 +71,7 @@
         start
     }
 
-    /// Notes a success; the next call is due at `next`.
+    /// Records a success; the next call is due at `next`.
     pub(super) fn succeeded(&mut self, op: Op, next: time::Instant) {
         let state = self.state(op);
         state.running = false;
@@ -78,15 +79,15 @@
         state.backoff.reset();
     }
 
-    /// Notes a failure; the next call is due after a delay.
+    /// Records a failure; the next call is due after the backoff delay.
     pub(super) fn failed(&mut self, op: Op, now: time::Instant, rng: &mut rngs::SmallRng) {
         let state = self.state(op);
         state.running = false;
         state.due = now + state.backoff.next_delay(rng);
     }
 
-    /// Makes a call due at once.
-    pub(super) fn hurry(&mut self, op: Op, now: time::Instant) {
+    /// Makes a call due immediately.
+    pub(super) fn make_due(&mut self, op: Op, now: time::Instant) {
         let state = self.state(op);
         state.due = state.due.min(now);
     }
--- a/crates/figscale-core/src/claims/targets.rs
+++ b/crates/figscale-core/src/claims/targets.rs
@@ -1,12 +1,13 @@
-//! Which member should hold which shard.
+//! Assignment of shards to members.
 //!
-//! Rendezvous hashing with bounded loads: each shard goes to the member with
-//! the highest hash of both names, unless that member already has its fill of
-//! the shards of this kind. A shard of a failure domain goes to a member of
-//! the same domain when there is one. Every process computes the same targets
-//! from the same members and shards, and a member that joins or leaves moves
-//! about its own share only. Plain rendezvous hashing would move a little less,
-//! but with a dozen shards of a kind it leaves some members with none.
+//! Uses rendezvous hashing with bounded loads: each shard is assigned to the
+//! member with the highest hash of both names, unless that member already has
+//! the maximum number of shards of this kind. A shard of a failure domain is
+//! assigned to a member of the same domain if there is one. Every process
+//! computes the same targets from the same members and shards, and when a member
+//! joins or leaves, only about its own share of shards moves. Plain rendezvous
+//! hashing would move slightly fewer, but with a dozen shards of a kind it
+//! leaves some members without any.
 
 use std::cell;
 use std::rc;
@@ -15,10 +16,10 @@
 use figscale_types::ids;
 use indexmap::IndexMap;
 
-/// Fill of a member over the even share, in percent.
-const FILL_PERCENT: usize = 125;
+/// Maximum load of a member, in percent of an even share.
+const MAX_LOAD_PERCENT: usize = 125;
 
-/// Names the target holder of every shard; empty when there is no member.
+/// Computes the target holder of every shard; empty if there are no members.
 pub fn targets<'a>(
     shards: impl IntoIterator<Item = &'a ids::ShardId>,
     members: &[(ids::MemberId, ids::FailureDomain)],
@@ -35,46 +36,48 @@
     targets
 }
 
-/// Targets as last worked out, with what they were worked out from.
+/// The targets last computed, with their inputs.
 #[derive(Debug)]
-struct Known {
+struct Computed {
     shards: Vec<ids::ShardId>,
     members: Vec<(ids::MemberId, ids::FailureDomain)>,
     targets: rc::Rc<IndexMap<ids::ShardId, ids::MemberId>>,
 }
 
-/// Remembers the last targets, since members and shards rarely change from one
-/// input to the next and hashing every pair of them costs most of a decision.
+/// Caches the last targets, since members and shards rarely change from one
+/// input to the next, and hashing every pair of them is most of the cost of a
+/// decision.
 #[derive(Debug, Default)]
-pub(super) struct Memo {
-    known: cell::RefCell<Option<Known>>,
+pub(super) struct Cache {
+    last: cell::RefCell<Option<Computed>>,
 }
 
-impl Memo {
-    /// As [`targets`], for shards in order and without repeats.
+impl Cache {
+    /// Same as [`targets`], for sorted shards without duplicates.
     pub(super) fn targets(
         &self,
         shards: &[&ids::ShardId],
         members: &[(ids::MemberId, ids::FailureDomain)],
     ) -> rc::Rc<IndexMap<ids::ShardId, ids::MemberId>> {
-        let mut known = self.known.borrow_mut();
-        if let Some(known) = &*known
-            && known.members == members
-            && known.shards.iter().eq(shards.iter().copied())
+        let mut last = self.last.borrow_mut();
+        if let Some(last) = &*last
+            && last.members == members
+            && last.shards.iter().eq(shards.iter().copied())
         {
-            return known.targets.clone();
+            return last.targets.clone();
         }
-        let found = rc::Rc::new(targets(shards.iter().copied(), members));
-        *known = Some(Known {
+        let computed = rc::Rc::new(targets(shards.iter().copied(), members));
+        *last = Some(Computed {
             shards: shards.iter().copied().cloned().collect(),
             members: members.to_vec(),
-            targets: found.clone(),
+            targets: computed.clone(),
         });
-        found
+        computed
     }
 }
 
-/// Shards that are spread as one: all of a kind, or those in one domain.
+/// Name of the group within which shards are balanced: all shards of a kind, or
+/// those of a kind in one failure domain.
 fn group_of(shard: &ids::ShardId) -> String {
     let name = shard.as_str();
     let kind = name.split('/').next().unwrap_or_default();
@@ -84,10 +87,10 @@
     }
 }
 
-/// The failure domain that a shard's name gives before its rack.
+/// The failure domain in a shard's name, which precedes the rack.
 fn domain_of(name: &str) -> Option<&str> {
-    let placed = name.starts_with("runner/") || name.starts_with("worker/");
-    placed.then(|| name.rsplit('/').nth(1)).flatten()
+    let has_domain = name.starts_with("runner/") || name.starts_with("worker/");
+    has_domain.then(|| name.rsplit('/').nth(1)).flatten()
 }
 
 fn candidates<'a>(
@@ -95,13 +98,13 @@
     members: &'a [(ids::MemberId, ids::FailureDomain)],
 ) -> Vec<&'a ids::MemberId> {
     let domain = group.split_once('/').map(|(_, domain)| domain);
-    let near = members
+    let local = members
         .iter()
         .filter(|(_, own)| domain.is_some_and(|domain| own.as_str() == domain));
-    let near: Vec<_> = near.map(|(id, _)| id).collect();
-    match near.is_empty() {
+    let local: Vec<_> = local.map(|(id, _)| id).collect();
+    match local.is_empty() {
         true => members.iter().map(|(id, _)| id).collect(),
-        false => near,
+        false => local,
     }
 }
 
@@ -113,12 +116,12 @@
     if candidates.is_empty() {
         return;
     }
-    let fill = (shards.len() * FILL_PERCENT).div_ceil(candidates.len() * 100);
+    let max_load = (shards.len() * MAX_LOAD_PERCENT).div_ceil(candidates.len() * 100);
     let mut loads: IndexMap<&ids::MemberId, usize> = IndexMap::new();
     for &shard in shards {
         let best = candidates
             .iter()
-            .filter(|id| loads.get(*id).copied().unwrap_or(0) < fill)
+            .filter(|id| loads.get(*id).copied().unwrap_or(0) < max_load)
             .max_by_key(|id| (hash::hash(&[id.as_str(), shard.as_str()]), id.as_str()));
         if let Some(&id) = best {
             *loads.entry(id).or_default() += 1;
--- a/crates/figscale-core/src/claims/witness.rs
+++ b/crates/figscale-core/src/claims/witness.rs
@@ -1,5 +1,5 @@
-//! Promises and releases: what a member grants to others, and what it was
-//! granted itself.
+//! Promises and releases: those that a member gives to others as their witness,
+//! and the promises that it has received from its own witnesses.
 
 use std::time;
 
@@ -10,18 +10,18 @@
 use super::Config;
 use super::lease;
 
-/// What this member has granted to others as their witness.
+/// Promises and releases that this member has given as a witness.
 #[derive(Debug, Default)]
-pub(super) struct Granted {
+pub(super) struct WitnessRecord {
     promised_until: IndexMap<ids::MemberKey, time::Instant>,
-    /// Never forgotten within a life; a lease is eight bytes, and one is added
-    /// for each holder that died.
+    /// Never removed while the process runs; a lease is eight bytes, and one is
+    /// added for each holder that died.
     released: IndexSet<ids::LeaseId>,
 }
 
-impl Granted {
-    /// Promises not to release `holder` for the life of a lease, if none of
-    /// its leases was released.
+impl WitnessRecord {
+    /// Promises not to release `holder` for the duration of a lease, unless one
+    /// of its leases was released. Returns whether it promised.
     pub(super) fn promise(
         &mut self,
         holder: &ids::MemberKey,
@@ -31,7 +31,7 @@
     ) -> bool {
         self.promised_until.retain(|_, until| *until > now);
         let released = leases.iter().any(|lease| self.released.contains(lease));
-        if released && config.guards.releases_last {
+        if released && config.guards.releases_are_final {
             return false;
         }
         let until = now + config.lease;
@@ -39,7 +39,8 @@
         true
     }
 
-    /// Releases a lapsed lease of `holder`, unless a promise to it lasts.
+    /// Releases an expired lease of `holder`, unless a promise to it is still
+    /// valid. Returns whether it released.
     pub(super) fn release(
         &mut self,
         holder: &ids::MemberKey,
@@ -51,7 +52,7 @@
             .promised_until
             .get(holder)
             .is_some_and(|until| *until > now);
-        if promised && config.guards.promises_bind {
+        if promised && config.guards.promises_block_releases {
             return false;
         }
         self.released.insert(lease);
@@ -59,26 +60,26 @@
     }
 }
 
-/// Promises that this member holds from its witnesses.
+/// Promises that this member has received from its witnesses.
 #[derive(Debug, Default)]
-pub(super) struct Promises {
+pub(super) struct ReceivedPromises {
     valid_until: IndexMap<ids::MemberKey, time::Instant>,
 }
 
-impl Promises {
-    /// Notes a promise that was asked for at `sent_at`.
+impl ReceivedPromises {
+    /// Records a promise whose request was sent at `sent_at`.
     pub(super) fn add(&mut self, witness: ids::MemberKey, sent_at: time::Instant, config: &Config) {
         let until = lease::valid_until(sent_at, config);
         let known = self.valid_until.entry(witness).or_insert(until);
         *known = until.max(*known);
     }
 
-    /// Forgets all, since their ends can no longer be told.
+    /// Drops all promises, since their ends are no longer known.
     pub(super) fn clear(&mut self) {
         self.valid_until.clear();
     }
 
-    /// Until when a majority of `witnesses` has promised.
+    /// Until when promises of a majority of `witnesses` are valid.
     pub(super) fn majority_until(&self, witnesses: &[ids::MemberKey]) -> Option<time::Instant> {
         let mut ends: Vec<_> = witnesses
             .iter()
--- a/crates/figscale-core/tests/claims_check.rs
+++ b/crates/figscale-core/tests/claims_check.rs
@@ -155,8 +155,8 @@
 
 #[rstest]
 #[case::need_releases(guards(|g| g.need_releases = false))]
-#[case::releases_last(guards(|g| g.releases_last = false))]
-#[case::promises_bind(guards(|g| g.promises_bind = false))]
+#[case::releases_are_final(guards(|g| g.releases_are_final = false))]
+#[case::promises_block_releases(guards(|g| g.promises_block_releases = false))]
 #[case::need_promises(guards(|g| g.need_promises = false))]
 #[case::stop_before_handover(guards(|g| g.stop_before_handover = false))]
 fn finds_the_fault_without(#[case] config: core::Config) {
--- a/crates/figscale-core/tests/claims_faults.rs
+++ b/crates/figscale-core/tests/claims_faults.rs
@@ -95,7 +95,7 @@
 #[rstest]
 #[case::count_from_sent(pause_during_renewal, without(|g| g.count_from_sent = false))]
 #[case::keep_margin(cut_with_a_slow_clock, without(|g| g.keep_margin = false))]
-#[case::new_lives_wait(witness_comes_back, without(|g| g.new_lives_wait = false))]
+#[case::new_incarnations_wait(witness_comes_back, without(|g| g.new_incarnations_wait = false))]
 #[case::written_list(
     three_of_five_cut_off_while_three_join,
     without(|g| g.count_over_written_list = false)
