--- a/crates/figscale-core/tests/claims_faults.rs
+++ b/crates/figscale-core/tests/claims_faults.rs
@@ -1,248 +1,274 @@
-//! Particular faults, each with the rule that it is meant for and without it.
+//! Specific fault schedules, each run with and without the safety rule that
+//! guards against it.
 //!
-//! A schedule is tried at many moments. With the rule no moment gives a shard
-//! two users; without it one does, so the schedule reaches what the rule is for.
+//! Each schedule is run with its faults at many different times. With the rule,
+//! no shard ever has two users; without it, one does at some time, which shows
+//! that the schedule reaches the fault that the rule prevents.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
 mod claims_world;
 
-use claims_world::World;
+use claims_world::Simulation;
 use figscale_core::claims as core;
 use figscale_types::claims;
 use figscale_types::ids;
 use figscale_types::instances;
 use rstest::rstest;
 
-fn without(change: impl FnOnce(&mut core::Guards)) -> core::Config {
+fn config_without(change: impl FnOnce(&mut core::Guards)) -> core::Config {
     let mut config = claims_world::config();
     change(&mut config.guards);
     config
 }
 
-/// Nodes that share the shards, after a while of calm.
-fn calm_world(moment: u64, len: usize, config: &core::Config) -> World {
-    let mut world = World::new(moment, config.clone());
+/// Runs a number of nodes without faults until they share the shards.
+fn stable_simulation(moment: u64, len: usize, config: &core::Config) -> Simulation {
+    let mut simulation = Simulation::new(moment, config.clone());
     for _ in 0..len {
-        world.add();
+        simulation.add();
     }
-    world.run(4_000 + moment * 13);
-    assert!(world.all_in_use(), "no users to begin with");
-    world
+    simulation.run(4_000 + moment * 13);
+    assert!(
+        simulation.all_in_use(),
+        "a shard is unused before the faults"
+    );
+    simulation
 }
 
-/// Whether some moment gives a shard two users.
-fn violates(schedule: fn(u64, &core::Config) -> World, config: &core::Config) -> bool {
+/// Whether some start time of the faults leads to a violation.
+fn has_violation(schedule: fn(u64, &core::Config) -> Simulation, config: &core::Config) -> bool {
     (0..60).any(|moment| schedule(moment, config).violation.is_some())
 }
 
-fn holder_of(world: &World, shard: &str) -> usize {
-    world.users(&shard.parse().unwrap())[0]
+fn holder_of(simulation: &Simulation, shard: &str) -> usize {
+    simulation.users(&shard.parse().unwrap())[0]
 }
 
-/// The holder stops for long, perhaps with the answer to a renewal on its way.
-fn pause_during_renewal(moment: u64, config: &core::Config) -> World {
-    let mut world = calm_world(moment, 3, config);
-    let holder = holder_of(&world, "id/00");
-    world.pause(holder);
-    world.run(6_000);
-    world.resume(holder);
-    world.run(1_000);
-    world
+/// The holder is paused for a long time, possibly while the response to a
+/// renewal is in flight.
+fn pause_during_renewal(moment: u64, config: &core::Config) -> Simulation {
+    let mut simulation = stable_simulation(moment, 3, config);
+    let holder = holder_of(&simulation, "id/00");
+    simulation.pause(holder);
+    simulation.run(6_000);
+    simulation.resume(holder);
+    simulation.run(1_000);
+    simulation
 }
 
 /// The holder is cut off from the store, and its clock is slow.
-fn cut_with_a_slow_clock(moment: u64, config: &core::Config) -> World {
-    let mut world = World::new(moment, config.clone());
-    world.add();
-    world.nodes[0].rate = -claims_world::MAX_RATE;
-    // The moments of the two's calls lie apart differently each time.
-    world.run(moment * 17);
-    world.add();
-    world.nodes[1].rate = 0;
-    world.run(4_000);
-    world.cut(Some(0), None, true);
-    world.run(6_000);
-    world
+fn cut_off_with_a_slow_clock(moment: u64, config: &core::Config) -> Simulation {
+    let mut simulation = Simulation::new(moment, config.clone());
+    simulation.add();
+    simulation.nodes[0].clock_drift = -claims_world::MAX_CLOCK_DRIFT;
+    // Varies the offset between the calls of the two nodes.
+    simulation.run(moment * 17);
+    simulation.add();
+    simulation.nodes[1].clock_drift = 0;
+    simulation.run(4_000);
+    simulation.set_blocked(Some(0), None, true);
+    simulation.run(6_000);
+    simulation
 }
 
-/// A witness that has promised dies, comes back with the store, and the holder
-/// stays cut off from it.
-fn witness_comes_back(moment: u64, config: &core::Config) -> World {
-    let mut world = calm_world(moment, 2, config);
-    world.store.down = true;
-    world.run(3_000);
-    world.kill(1);
-    world.start(1);
-    world.cut(Some(0), None, true);
-    world.store.down = false;
-    world.run(6_000);
-    world
+/// A witness that has promised dies and restarts. The store becomes available
+/// again, but the holder stays cut off from it.
+fn witness_restarts_with_the_store(moment: u64, config: &core::Config) -> Simulation {
+    let mut simulation = stable_simulation(moment, 2, config);
+    simulation.store.down = true;
+    simulation.run(3_000);
+    simulation.kill(1);
+    simulation.start(1);
+    simulation.set_blocked(Some(0), None, true);
+    simulation.store.down = false;
+    simulation.run(6_000);
+    simulation
 }
 
-/// Three of five are cut off together while three new ones join.
-fn three_of_five_cut_off_while_three_join(moment: u64, config: &core::Config) -> World {
-    let mut world = calm_world(moment, 5, config);
-    world.run(3_000);
+/// Three of five members are partitioned off together while three new ones join.
+fn three_of_five_cut_off_while_three_join(moment: u64, config: &core::Config) -> Simulation {
+    let mut simulation = stable_simulation(moment, 5, config);
+    simulation.run(3_000);
     for _ in 0..3 {
-        world.add();
+        simulation.add();
     }
-    world.cut_off(&[3, 4, 5, 6, 7], &[0, 1, 2], true);
-    world.run(15_000);
-    world
+    simulation.set_partitioned(&[3, 4, 5, 6, 7], &[0, 1, 2], true);
+    simulation.run(15_000);
+    simulation
 }
 
 #[rstest]
-#[case::count_from_sent(pause_during_renewal, without(|g| g.count_from_sent = false))]
-#[case::keep_margin(cut_with_a_slow_clock, without(|g| g.keep_margin = false))]
-#[case::new_incarnations_wait(witness_comes_back, without(|g| g.new_incarnations_wait = false))]
+#[case::count_from_sent(pause_during_renewal, config_without(|g| g.count_from_sent = false))]
+#[case::keep_margin(cut_off_with_a_slow_clock, config_without(|g| g.keep_margin = false))]
+#[case::new_incarnations_wait(
+    witness_restarts_with_the_store,
+    config_without(|g| g.new_incarnations_wait = false)
+)]
 #[case::written_list(
     three_of_five_cut_off_while_three_join,
-    without(|g| g.count_over_written_list = false)
+    config_without(|g| g.count_over_written_list = false)
 )]
-fn the_rule_is_needed(
-    #[case] schedule: fn(u64, &core::Config) -> World,
-    #[case] bad: core::Config,
+fn violation_only_without_the_rule(
+    #[case] schedule: fn(u64, &core::Config) -> Simulation,
+    #[case] without_rule: core::Config,
 ) {
     assert!(
-        !violates(schedule, &claims_world::config()),
-        "with the rule"
+        !has_violation(schedule, &claims_world::config()),
+        "violation with the rule"
+    );
+    assert!(
+        has_violation(schedule, &without_rule),
+        "no violation without the rule"
     );
-    assert!(violates(schedule, &bad), "blind without the rule");
 }
 
-/// Runs until every shard has a user; the time that it took.
-fn time_to_users(world: &mut World, longest_ms: u64) -> u64 {
-    let began_ms = world.now_ms;
-    while !world.all_in_use() {
-        world.run(50);
-        let waited_ms = world.now_ms - began_ms;
-        assert!(waited_ms < longest_ms, "no users after {waited_ms} ms");
+/// Runs until every shard is in use; returns the time that this took.
+fn run_until_all_in_use(simulation: &mut Simulation, longest_ms: u64) -> u64 {
+    let began_ms = simulation.now_ms;
+    while !simulation.all_in_use() {
+        simulation.run(50);
+        let waited_ms = simulation.now_ms - began_ms;
+        assert!(
+            waited_ms < longest_ms,
+            "a shard is unused after {waited_ms} ms"
+        );
     }
-    world.now_ms - began_ms
+    simulation.now_ms - began_ms
 }
 
 #[test]
-fn three_of_five_cut_off_settle_once_the_cut_ends() {
+fn three_of_five_cut_off_recover_once_the_partition_ends() {
     for moment in 0..20 {
         let config = claims_world::config();
-        let mut world = three_of_five_cut_off_while_three_join(moment, &config);
-        world.mend();
-        time_to_users(&mut world, 15_000);
-        assert!(world.violation.is_none());
+        let mut simulation = three_of_five_cut_off_while_three_join(moment, &config);
+        simulation.end_faults();
+        run_until_all_in_use(&mut simulation, 15_000);
+        assert!(simulation.violation.is_none());
     }
 }
 
-/// All are replaced at once while the store is away, under the same names or
-/// under new ones.
+/// All members are replaced at once while the store is unavailable, under the
+/// same names or under new ones.
 #[rstest]
 #[case::same_names(true)]
 #[case::new_names(false)]
-fn all_replaced_during_an_outage(#[case] same_names: bool) {
+fn all_members_replaced_during_an_outage(#[case] same_names: bool) {
     for moment in 0..20 {
-        let mut world = calm_world(moment, 5, &claims_world::config());
-        world.store.down = true;
-        world.run(4_000);
-        assert!(world.all_in_use(), "an outage stops nobody");
+        let mut simulation = stable_simulation(moment, 5, &claims_world::config());
+        simulation.store.down = true;
+        simulation.run(4_000);
+        assert!(
+            simulation.all_in_use(),
+            "a shard is unused during an outage of the store"
+        );
         for index in 0..5 {
-            world.kill(index);
+            simulation.kill(index);
         }
         for index in 0..5 {
             match same_names {
-                true => world.start(index),
+                true => simulation.start(index),
                 false => {
-                    world.add();
+                    simulation.add();
                 }
             }
         }
-        world.run(4_000);
-        world.store.down = false;
-        time_to_users(&mut world, 15_000);
-        assert!(world.violation.is_none());
+        simulation.run(4_000);
+        simulation.store.down = false;
+        run_until_all_in_use(&mut simulation, 15_000);
+        assert!(simulation.violation.is_none());
     }
 }
 
-/// A witness that died in an outage counts as gone only after a while, since
-/// its last promise outlives it. Seen to fail with the time counted from the
-/// last list that showed it.
+/// A witness that died during an outage counts as gone only after a delay, since
+/// its last promise is still valid after its death. Guards against measuring
+/// this delay from the last list that showed the witness: that fails here.
 #[test]
-fn dead_witness_binds_until_its_promise_ends() {
+fn dead_witness_counts_as_gone_only_after_its_promise_ends() {
     for moment in 0..40 {
-        let mut world = calm_world(moment, 3, &claims_world::config());
-        world.run(3_000);
-        let holder = holder_of(&world, "id/00");
+        let mut simulation = stable_simulation(moment, 3, &claims_world::config());
+        simulation.run(3_000);
+        let holder = holder_of(&simulation, "id/00");
         let (witness, other) = ((holder + 1) % 3, (holder + 2) % 3);
-        world.cut(Some(other), Some(holder), true);
-        world.store.down = true;
-        world.run(8_000 + moment * 7);
-        world.kill(witness);
-        world.run(claims_world::LAG_MS - 100);
-        world.cut(Some(holder), None, true);
-        world.store.down = false;
-        world.run(6_000);
-        assert!(world.violation.is_none(), "{:?}", world.violation);
+        simulation.set_blocked(Some(other), Some(holder), true);
+        simulation.store.down = true;
+        simulation.run(8_000 + moment * 7);
+        simulation.kill(witness);
+        simulation.run(claims_world::LAG_MS - 100);
+        simulation.set_blocked(Some(holder), None, true);
+        simulation.store.down = false;
+        simulation.run(6_000);
+        assert!(simulation.violation.is_none(), "{:?}", simulation.violation);
     }
 }
 
-/// In an outage of any length all go on, and nothing changes hands.
+/// During a long outage of the store all shards stay in use and keep their
+/// holders.
 #[test]
-fn outage_of_an_hour() {
-    let mut world = calm_world(1, 4, &claims_world::config());
-    let before = world.store.claims.shards.clone();
-    world.store.down = true;
+fn shards_stay_in_use_during_an_hour_of_outage() {
+    let mut simulation = stable_simulation(1, 4, &claims_world::config());
+    let before = simulation.store.claims.shards.clone();
+    simulation.store.down = true;
     for _ in 0..120 {
-        world.run(30_000);
-        assert!(world.all_in_use());
+        simulation.run(30_000);
+        assert!(simulation.all_in_use());
     }
-    world.store.down = false;
-    world.run(5_000);
-    assert!(world.all_in_use() && world.violation.is_none());
-    assert_eq!(world.store.claims.shards, before);
+    simulation.store.down = false;
+    simulation.run(5_000);
+    assert!(simulation.all_in_use() && simulation.violation.is_none());
+    assert_eq!(simulation.store.claims.shards, before);
 }
 
-/// An entry dies in an outage: the others go on, and its shards find a holder
-/// when the store is back.
+/// A member dies during an outage: the others continue, and its shards get a new
+/// holder once the store is available again.
 #[test]
-fn death_during_an_outage() {
+fn shards_of_a_member_that_dies_in_an_outage_move() {
     for moment in 0..20 {
-        let mut world = calm_world(moment, 5, &claims_world::config());
-        world.store.down = true;
-        world.run(4_000);
-        let dead = holder_of(&world, "id/00");
-        world.kill(dead);
-        world.run(30_000);
-        let others = world.users(&"job/00".parse().unwrap());
-        assert!(!others.is_empty() || holder_in_document(&world, "job/00") == dead);
-        world.store.down = false;
-        time_to_users(&mut world, 15_000);
-        assert!(world.violation.is_none());
+        let mut simulation = stable_simulation(moment, 5, &claims_world::config());
+        simulation.store.down = true;
+        simulation.run(4_000);
+        let dead = holder_of(&simulation, "id/00");
+        simulation.kill(dead);
+        simulation.run(30_000);
+        let others = simulation.users(&"job/00".parse().unwrap());
+        assert!(!others.is_empty() || holder_in_document(&simulation, "job/00") == dead);
+        simulation.store.down = false;
+        run_until_all_in_use(&mut simulation, 15_000);
+        assert!(simulation.violation.is_none());
     }
 }
 
-fn holder_in_document(world: &World, shard: &str) -> usize {
-    let shard = &world.store.claims.shards[&shard.parse::<ids::ShardId>().unwrap()];
+fn holder_in_document(simulation: &Simulation, shard: &str) -> usize {
+    let shard = &simulation.store.claims.shards[&shard.parse::<ids::ShardId>().unwrap()];
     let holder = shard.holder.as_ref().unwrap();
-    let index = world.nodes.iter().position(|node| node.id == holder.id);
+    let index = simulation
+        .nodes
+        .iter()
+        .position(|node| node.id == holder.id);
     index.unwrap()
 }
 
-/// At rest only leases are renewed and keys listed; the document stays.
+/// Without changes of the members only leases are renewed and keys are listed;
+/// the document is not written.
 #[test]
-fn document_is_not_written_at_rest() {
-    let mut world = calm_world(1, 8, &claims_world::config());
-    world.run(10_000);
-    let writes = world.store.writes;
-    world.run(60_000);
-    assert_eq!(world.store.writes, writes);
-    assert!(writes < 60, "{writes} writes for eight to join");
+fn document_is_not_written_without_changes() {
+    let mut simulation = stable_simulation(1, 8, &claims_world::config());
+    simulation.run(10_000);
+    let writes = simulation.store.writes;
+    simulation.run(60_000);
+    assert_eq!(simulation.store.writes, writes);
+    assert!(
+        writes < 60,
+        "{writes} document writes for eight members to join"
+    );
 }
 
-/// A list of keys that was asked for before the document named a lease says
-/// nothing of it.
+/// A list of keys that was requested before the document named a lease does not
+/// show whether that lease has expired.
 #[rstest]
 #[case::rule(claims_world::config(), false)]
-#[case::no_rule(without(|g| g.list_after_document = false), true)]
-fn an_earlier_list_proves_nothing(#[case] config: core::Config, #[case] asks: bool) {
+#[case::no_rule(config_without(|g| g.list_after_document = false), true)]
+fn an_earlier_key_list_expires_no_lease(#[case] config: core::Config, #[case] expected: bool) {
     let now = std::time::Instant::now();
     let key = |name: &str| ids::MemberKey {
         id: name.parse().unwrap(),
@@ -277,20 +303,20 @@
     machine.handle(now, read(2, document));
     let listed = core::Input::Listed { result: Ok(vec![]) };
     let actions = machine.handle(now, listed);
-    let asked = actions
+    let asks = actions
         .iter()
         .any(|action| matches!(action, core::Action::Ask { .. }));
-    assert_eq!(asked, asks);
+    assert_eq!(asks, expected);
 }
 
-/// Every member computes the same targets; a member that joins or leaves moves
-/// little more than its share.
+/// When a member joins, not many more shards move than its share, and no member
+/// holds many more than its share.
 #[rstest]
 #[case(2)]
 #[case(5)]
 #[case(8)]
 #[case(15)]
-fn targets_move_little(#[case] len: usize) {
+fn few_targets_move_when_a_member_joins(#[case] len: usize) {
     let list = instances::InstanceList::default();
     let shards: Vec<_> = core::by_shard(&list).into_keys().collect();
     let member = |index: usize| {
@@ -315,16 +341,17 @@
     }
 }
 
-/// A member dies while others drain shards for it and cannot write. Whoever keeps such a shard
-/// holds it under a new epoch, since its users have stopped for the old one.
+/// A member dies while others drain shards for it and cannot write. A drained
+/// shard that stays with its holder is used only under a new epoch, since its
+/// use under the old epoch has ended.
 #[test]
 fn drained_shards_are_not_used_under_the_same_epoch() {
     for moment in 0..60 {
-        let mut world = calm_world(moment, 2, &claims_world::config());
-        let joined = world.add();
+        let mut simulation = stable_simulation(moment, 2, &claims_world::config());
+        let joined = simulation.add();
         for _ in 0..400 {
-            world.run(20);
-            if world.nodes[0]
+            simulation.run(20);
+            if simulation.nodes[0]
                 .machine
                 .as_ref()
                 .unwrap()
@@ -334,57 +361,60 @@
             {
                 continue;
             }
-            // Nobody can write until the new member is known to be gone.
-            world.cut(Some(0), None, true);
-            world.cut(Some(1), None, true);
-            world.kill(joined);
-            world.run(1_500 + moment * 50);
-            world.mend();
+            // No member can write until the new member is known to be dead.
+            simulation.set_blocked(Some(0), None, true);
+            simulation.set_blocked(Some(1), None, true);
+            simulation.kill(joined);
+            simulation.run(1_500 + moment * 50);
+            simulation.end_faults();
             break;
         }
         for _ in 0..600 {
-            world.run(25);
-            assert_eq!(world.used_after_drain(), None, "moment {moment}");
+            simulation.run(25);
+            assert_eq!(simulation.used_after_drain(), None, "moment {moment}");
         }
-        assert!(world.all_in_use() && world.violation.is_none());
+        assert!(simulation.all_in_use() && simulation.violation.is_none());
     }
 }
 
-/// After the monotonic clock stood still, nothing is used before the store has
-/// renewed the lease.
+/// After the monotonic clock has stood still, a member uses no shard until the
+/// store has renewed its lease.
 #[test]
-fn a_jumped_clock_waits_for_the_store() {
-    let mut world = calm_world(1, 3, &claims_world::config());
+fn no_shard_is_used_after_a_clock_jump_until_renewal() {
+    let mut simulation = stable_simulation(1, 3, &claims_world::config());
     let shard = "id/00".parse().unwrap();
-    let holder = holder_of(&world, "id/00");
-    world.clock_jumped(holder);
-    assert!(world.users(&shard).is_empty());
-    assert!(time_to_users(&mut world, 1_000) > 0);
+    let holder = holder_of(&simulation, "id/00");
+    simulation.clock_jumped(holder);
+    assert!(simulation.users(&shard).is_empty());
+    assert!(run_until_all_in_use(&mut simulation, 1_000) > 0);
 }
 
-/// The first member takes all shards and dies soon after others joined, while
-/// the platform's list still names it: its shards come into use again.
+/// The first member holds all shards and dies soon after others have joined, and
+/// the platform's instance list keeps listing it: its shards get new holders.
 #[test]
-fn a_first_holder_that_dies_soon_is_survived() {
+fn shards_of_a_first_member_that_dies_soon_get_new_holders() {
     for moment in 0..40 {
-        let mut world = World::new(moment, claims_world::config());
-        world.add();
-        world.run(1_000 + moment * 7);
-        assert!(world.all_in_use(), "moment {moment}");
-        world.add();
-        world.add();
-        let members = |world: &World| {
-            let machine = world.nodes[0].machine.as_ref();
+        let mut simulation = Simulation::new(moment, claims_world::config());
+        simulation.add();
+        simulation.run(1_000 + moment * 7);
+        assert!(simulation.all_in_use(), "moment {moment}");
+        simulation.add();
+        simulation.add();
+        let members = |simulation: &Simulation| {
+            let machine = simulation.nodes[0].machine.as_ref();
             let document = machine.and_then(core::Machine::document);
             document.map_or(0, |(_, claims)| claims.members.len())
         };
-        while members(&world) < 3 {
-            world.run(5);
+        while members(&simulation) < 3 {
+            simulation.run(5);
         }
-        world.run(150);
-        world.kill_listed(0);
-        world.run(10_000);
-        assert!(world.violation.is_none(), "moment {moment}");
-        assert!(world.all_in_use(), "moment {moment}: nobody took over");
+        simulation.run(150);
+        simulation.kill_listed(0);
+        simulation.run(10_000);
+        assert!(simulation.violation.is_none(), "moment {moment}");
+        assert!(
+            simulation.all_in_use(),
+            "moment {moment}: a shard has no new holder"
+        );
     }
 }
--- a/crates/figscale-core/tests/claims_world/mod.rs
+++ b/crates/figscale-core/tests/claims_world/mod.rs
@@ -1,7 +1,8 @@
-//! A small world for claims machines: a store, paths that break, clocks that
-//! run apart, processes that pause and die. Time is a number; nothing waits.
+//! Discrete-event simulation of claims machines: a store, network paths that can
+//! be blocked, clocks that drift, and processes that pause and die. Time is
+//! simulated, so nothing sleeps.
 //!
-//! After every event the world checks that no shard is in use by two members.
+//! After every event the simulation checks that no two members use a shard.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 #![expect(dead_code, reason = "each test binary uses a part")]
@@ -29,15 +30,15 @@
 
 pub const LEASE_MS: u64 = 2_000;
 pub const LAG_MS: u64 = 1_000;
-/// Time after which a caller gives a call up.
+/// Time after which a caller takes a call as unanswered.
 const TIMEOUT_MS: u64 = 500;
-/// Largest error of a clock, in parts in a thousand; two of them together stay
-/// within the margin.
-pub const MAX_RATE: i64 = 45;
+/// Maximum drift of a clock, in parts per thousand; the drift of two clocks
+/// together stays within the margin.
+pub const MAX_CLOCK_DRIFT: i64 = 45;
 const TICK_MS: u64 = 100;
 const LIST_MS: u64 = 400;
 
-/// The shards of the world.
+/// The shards of the simulation.
 pub fn shards(_: &instances::InstanceList) -> Vec<ids::ShardId> {
     ["id/00", "job/00"].map(|name| name.parse().unwrap()).into()
 }
@@ -50,7 +51,7 @@
     }
 }
 
-/// Two members that use one shard at one time.
+/// Several members that use the same shard at the same time.
 #[derive(Debug)]
 pub struct Violation {
     pub at_ms: u64,
@@ -75,40 +76,42 @@
         call: Call,
         input: core::Input,
     },
-    GiveUp {
+    TimedOut {
         call: Call,
         input: core::Input,
     },
 }
 
-/// A call of one life of a node.
+/// A call made by one incarnation of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Call {
     node: usize,
-    life: u64,
+    incarnation: u64,
     number: u64,
 }
 
 pub struct Node {
     pub id: ids::MemberId,
-    pub life: u64,
+    pub incarnation: u64,
     pub machine: Option<core::Machine>,
     pub paused: bool,
-    /// Parts in a thousand by which its clock is fast.
-    pub rate: i64,
-    waiting: Vec<Event>,
-    /// When it died, by the world's clock; `None` while it lives.
+    /// Drift of its clock in parts per thousand; positive if it runs fast.
+    pub clock_drift: i64,
+    /// Events that arrived while the node was paused.
+    deferred: Vec<Event>,
+    /// Simulated time at which it died; `None` while it runs, or if the
+    /// platform's instance list never drops it.
     died_ms: Option<u64>,
-    born_ms: u64,
+    started_ms: u64,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now_ms: u64,
     pub nodes: Vec<Node>,
     pub store: Store,
-    /// Paths that lose everything, from one to the other; `None` is the store.
-    pub cuts: HashSet<(Option<usize>, Option<usize>)>,
-    /// Longest delay of a message on its way.
+    /// Directed paths that drop every message; `None` is the store.
+    pub blocked_paths: HashSet<(Option<usize>, Option<usize>)>,
+    /// Maximum delay of a message.
     pub max_delay_ms: u64,
     pub violation: Option<Violation>,
     pub rng: rngs::SmallRng,
@@ -118,19 +121,19 @@
     queue: BTreeMap<(u64, u64), Event>,
     queued: u64,
     calls: u64,
-    /// Calls without an answer, with the time before each.
-    open: HashMap<Call, time::Instant>,
-    /// Lives, shards and epochs that were drained.
+    /// Pending calls, with the time before each call.
+    pending: HashMap<Call, time::Instant>,
+    /// Node, incarnation, shard and epoch of every drain.
     drained: HashSet<(usize, u64, ids::ShardId, ids::Epoch)>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, config: core::Config) -> Self {
         Self {
             now_ms: 0,
             nodes: Vec::new(),
             store: Store::default(),
-            cuts: HashSet::new(),
+            blocked_paths: HashSet::new(),
             max_delay_ms: 10,
             violation: None,
             rng: rngs::SmallRng::seed_from_u64(seed),
@@ -140,7 +143,7 @@
             queue: BTreeMap::new(),
             queued: 0,
             calls: 0,
-            open: HashMap::new(),
+            pending: HashMap::new(),
             drained: HashSet::new(),
         }
     }
@@ -150,25 +153,25 @@
         let index = self.nodes.len();
         self.nodes.push(Node {
             id: format!("m{index}").parse().unwrap(),
-            life: 0,
+            incarnation: 0,
             machine: None,
             paused: false,
-            rate: self.rng.random_range(-MAX_RATE..=MAX_RATE),
-            waiting: Vec::new(),
+            clock_drift: self.rng.random_range(-MAX_CLOCK_DRIFT..=MAX_CLOCK_DRIFT),
+            deferred: Vec::new(),
             died_ms: Some(0),
-            born_ms: 0,
+            started_ms: 0,
         });
         self.start(index);
         index
     }
 
-    /// Starts a node that is not running, as a new life.
+    /// Starts a node that is not running, as a new incarnation.
     pub fn start(&mut self, index: usize) {
-        let life = self.nodes[index].life + 1;
+        let incarnation = self.nodes[index].incarnation + 1;
         let now = self.local(index);
         let me = ids::MemberKey {
             id: self.nodes[index].id.clone(),
-            incarnation: ids::Incarnation(life),
+            incarnation: ids::Incarnation(incarnation),
         };
         let site = core::Site {
             peer_address: address(index),
@@ -176,27 +179,27 @@
         };
         let seed = self.rng.random();
         let machine = core::Machine::new(self.config.clone(), me, site, seed, now);
-        let born_ms = self.now_ms;
+        let started_ms = self.now_ms;
         let node = &mut self.nodes[index];
-        node.life = life;
+        node.incarnation = incarnation;
         node.machine = Some(machine);
         node.paused = false;
-        node.waiting.clear();
+        node.deferred.clear();
         node.died_ms = None;
-        node.born_ms = born_ms;
-        self.push(0, Event::Tick(index, life));
-        self.push(0, Event::List(index, life));
+        node.started_ms = started_ms;
+        self.push(0, Event::Tick(index, incarnation));
+        self.push(0, Event::List(index, incarnation));
     }
 
     pub fn kill(&mut self, index: usize) {
         let now_ms = self.now_ms;
         let node = &mut self.nodes[index];
         node.machine = None;
-        node.waiting.clear();
+        node.deferred.clear();
         node.died_ms.get_or_insert(now_ms);
     }
 
-    /// Kills a node that the platform's list goes on to name.
+    /// Kills a node that the platform's instance list keeps listing.
     pub fn kill_listed(&mut self, index: usize) {
         self.kill(index);
         self.nodes[index].died_ms = None;
@@ -213,40 +216,40 @@
     pub fn resume(&mut self, index: usize) {
         self.nodes[index].paused = false;
         self.check();
-        let waiting = std::mem::take(&mut self.nodes[index].waiting);
-        for event in waiting {
-            self.happen(event);
+        let deferred = std::mem::take(&mut self.nodes[index].deferred);
+        for event in deferred {
+            self.process(event);
             self.check();
         }
     }
 
-    /// Asks a node to leave in order.
+    /// Makes a node hand over its shards and leave.
     pub fn leave(&mut self, index: usize) {
         self.input(index, core::Input::Leave);
     }
 
-    /// Cuts or mends a path in both directions.
-    pub fn cut(&mut self, one: Option<usize>, other: Option<usize>, cut: bool) {
+    /// Blocks or unblocks a path in both directions.
+    pub fn set_blocked(&mut self, one: Option<usize>, other: Option<usize>, blocked: bool) {
         for path in [(one, other), (other, one)] {
-            match cut {
-                true => self.cuts.insert(path),
-                false => self.cuts.remove(&path),
+            match blocked {
+                true => self.blocked_paths.insert(path),
+                false => self.blocked_paths.remove(&path),
             };
         }
     }
 
-    /// Cuts or mends the paths between two groups, and those of the second to
-    /// the store.
-    pub fn cut_off(&mut self, rest: &[usize], group: &[usize], cut: bool) {
+    /// Blocks or unblocks the paths between two groups, and those between the
+    /// second group and the store.
+    pub fn set_partitioned(&mut self, rest: &[usize], group: &[usize], blocked: bool) {
         for &member in group {
-            self.cut(Some(member), None, cut);
+            self.set_blocked(Some(member), None, blocked);
             for &other in rest {
-                self.cut(Some(member), Some(other), cut);
+                self.set_blocked(Some(member), Some(other), blocked);
             }
         }
     }
 
-    /// Runs for a while, or until there is a violation.
+    /// Runs for the given time, or until there is a violation.
     pub fn run(&mut self, for_ms: u64) {
         let end_ms = self.now_ms + for_ms;
         while let Some(entry) = self.queue.first_entry() {
@@ -257,13 +260,13 @@
             let event = entry.remove();
             self.now_ms = self.now_ms.max(at_ms);
             self.store.expire(self.now_ms);
-            self.happen(event);
+            self.process(event);
             self.check();
         }
         self.now_ms = self.now_ms.max(end_ms);
     }
 
-    /// Members that use a shard at this moment.
+    /// Members that may use a shard now.
     pub fn users(&self, shard: &ids::ShardId) -> Vec<usize> {
         let uses = |index: &usize| {
             let node = &self.nodes[*index];
@@ -273,38 +276,38 @@
         (0..self.nodes.len()).filter(uses).collect()
     }
 
-    fn note_drain(&mut self, index: usize, shard: &ids::ShardId) {
+    fn record_drain(&mut self, index: usize, shard: &ids::ShardId) {
         let node = &self.nodes[index];
         let held = node.machine.iter().flat_map(core::Machine::all_held);
         let found = held.filter(|(id, _)| *id == shard);
-        let lines: Vec<_> = found
-            .map(|(id, held)| (index, node.life, id.clone(), held.epoch))
+        let drains: Vec<_> = found
+            .map(|(id, held)| (index, node.incarnation, id.clone(), held.epoch))
             .collect();
-        self.drained.extend(lines);
+        self.drained.extend(drains);
     }
 
-    /// A shard in use under an epoch that was drained, if any.
+    /// Finds a shard that is in use under an epoch that was already drained.
     pub fn used_after_drain(&self) -> Option<(usize, ids::ShardId)> {
         self.nodes.iter().enumerate().find_map(|(index, node)| {
             let mut held = node.machine.as_ref()?.held();
             let used = held.find(|(id, held)| {
-                let line = (index, node.life, (*id).clone(), held.epoch);
-                self.drained.contains(&line)
+                let drain = (index, node.incarnation, (*id).clone(), held.epoch);
+                self.drained.contains(&drain)
             });
             used.map(|(id, _)| (index, id.clone()))
         })
     }
 
-    /// Whether every shard is in use by somebody.
+    /// Whether every shard is in use by some member.
     pub fn all_in_use(&self) -> bool {
         self.shards
             .iter()
             .all(|shard| !self.users(shard).is_empty())
     }
 
-    /// Ends every fault.
-    pub fn mend(&mut self) {
-        self.cuts.clear();
+    /// Ends all faults except dead nodes and lost responses of the store.
+    pub fn end_faults(&mut self) {
+        self.blocked_paths.clear();
         self.store.down = false;
         self.max_delay_ms = 10;
         for index in 0..self.nodes.len() {
@@ -323,7 +326,7 @@
             if users.len() > 1 {
                 let key = |index: usize| ids::MemberKey {
                     id: self.nodes[index].id.clone(),
-                    incarnation: ids::Incarnation(self.nodes[index].life),
+                    incarnation: ids::Incarnation(self.nodes[index].incarnation),
                 };
                 self.violation = Some(Violation {
                     at_ms: self.now_ms,
@@ -335,15 +338,15 @@
         }
     }
 
-    /// The monotonic clock of a node is found to have stood still.
+    /// Reports to a node that its monotonic clock has stood still.
     pub fn clock_jumped(&mut self, index: usize) {
         self.input(index, core::Input::ClockJumped);
     }
 
-    /// A node's own clock.
+    /// The time by a node's own clock.
     fn local(&self, index: usize) -> time::Instant {
-        let skew = self.now_ms as i64 * self.nodes[index].rate / 1_000;
-        // Far from the start, so that no clock is ever before the base.
+        let skew = self.now_ms as i64 * self.nodes[index].clock_drift / 1_000;
+        // An offset from the base, so that a slow clock never precedes it.
         let millis = 1_000_000 + self.now_ms as i64 + skew;
         self.base + time::Duration::from_millis(millis as u64)
     }
@@ -358,35 +361,39 @@
         self.rng.random_range(1..=self.max_delay_ms)
     }
 
-    fn happen(&mut self, event: Event) {
-        let (node, life) = match &event {
-            Event::Tick(node, life) | Event::List(node, life) => (*node, *life),
-            Event::Answer { call, .. } | Event::GiveUp { call, .. } => (call.node, call.life),
-            Event::AtPeer { to, .. } => (*to, self.nodes[*to].life),
+    fn process(&mut self, event: Event) {
+        let (node, incarnation) = match &event {
+            Event::Tick(node, incarnation) | Event::List(node, incarnation) => {
+                (*node, *incarnation)
+            }
+            Event::Answer { call, .. } | Event::TimedOut { call, .. } => {
+                (call.node, call.incarnation)
+            }
+            Event::AtPeer { to, .. } => (*to, self.nodes[*to].incarnation),
             Event::AtStore { call, action } => return self.at_store(*call, action.clone()),
         };
-        if self.nodes[node].life != life || self.nodes[node].machine.is_none() {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].machine.is_none() {
             return;
         }
         if self.nodes[node].paused {
-            self.nodes[node].waiting.push(event);
+            self.nodes[node].deferred.push(event);
             return;
         }
         match event {
-            Event::Tick(node, life) => {
-                self.push(TICK_MS, Event::Tick(node, life));
+            Event::Tick(node, incarnation) => {
+                self.push(TICK_MS, Event::Tick(node, incarnation));
                 self.input(node, core::Input::Tick);
             }
-            Event::List(node, life) => {
-                self.push(LIST_MS, Event::List(node, life));
-                if !self.store.down && !self.is_cut(Some(node), None) {
+            Event::List(node, incarnation) => {
+                self.push(LIST_MS, Event::List(node, incarnation));
+                if !self.store.down && !self.is_blocked(Some(node), None) {
                     let list = sync::Arc::new(self.instance_list());
                     self.input(node, core::Input::Instances(list));
                     self.watch(node);
                 }
             }
-            Event::Answer { call, input } | Event::GiveUp { call, input } => {
-                if self.open.remove(&call).is_some() {
+            Event::Answer { call, input } | Event::TimedOut { call, input } => {
+                if self.pending.remove(&call).is_some() {
                     self.input(call.node, input);
                 }
             }
@@ -395,15 +402,15 @@
         }
     }
 
-    /// Brings a node the document, as its watch would, perhaps late.
+    /// Sends a node the document, as a watch would; it may arrive late.
     fn watch(&mut self, node: usize) {
         self.calls += 1;
         let call = Call {
             node,
-            life: self.nodes[node].life,
+            incarnation: self.nodes[node].incarnation,
             number: self.calls,
         };
-        self.open.insert(call, self.base);
+        self.pending.insert(call, self.base);
         let document = (
             ids::Revision(self.store.revision),
             self.store.claims.clone(),
@@ -416,8 +423,8 @@
         self.push(delay_ms, Event::Answer { call, input });
     }
 
-    fn is_cut(&self, one: Option<usize>, other: Option<usize>) -> bool {
-        self.cuts.contains(&(one, other)) || self.cuts.contains(&(other, one))
+    fn is_blocked(&self, one: Option<usize>, other: Option<usize>) -> bool {
+        self.blocked_paths.contains(&(one, other)) || self.blocked_paths.contains(&(other, one))
     }
 
     fn input(&mut self, index: usize, input: core::Input) {
@@ -426,21 +433,21 @@
             return;
         };
         for action in machine.handle(now, input) {
-            self.carry_out(index, action);
+            self.execute(index, action);
         }
     }
 
-    fn carry_out(&mut self, index: usize, action: core::Action) {
+    fn execute(&mut self, index: usize, action: core::Action) {
         self.calls += 1;
         let call = Call {
             node: index,
-            life: self.nodes[index].life,
+            incarnation: self.nodes[index].incarnation,
             number: self.calls,
         };
         let sent_at = self.local(index);
-        self.open.insert(call, sent_at);
+        self.pending.insert(call, sent_at);
         if let core::Action::Drain { shard } = action {
-            self.note_drain(index, &shard);
+            self.record_drain(index, &shard);
             let input = core::Input::Drained { shard, clean: true };
             let delay_ms = self.rng.random_range(0..300);
             self.push(delay_ms, Event::Answer { call, input });
@@ -453,31 +460,32 @@
                 sent_at,
                 answer: None,
             };
-            self.push(TIMEOUT_MS, Event::GiveUp { call, input });
-            if !self.cuts.contains(&(Some(index), Some(to))) {
+            self.push(TIMEOUT_MS, Event::TimedOut { call, input });
+            if !self.blocked_paths.contains(&(Some(index), Some(to))) {
                 let delay_ms = self.delay_ms();
                 self.push(delay_ms, Event::AtPeer { call, to, question });
             }
             return;
         }
-        if let Some(input) = store::unanswered(&action, sent_at) {
-            self.push(TIMEOUT_MS, Event::GiveUp { call, input });
+        if let Some(input) = store::timed_out_input(&action, sent_at) {
+            self.push(TIMEOUT_MS, Event::TimedOut { call, input });
         }
-        if !self.cuts.contains(&(Some(index), None)) {
+        if !self.blocked_paths.contains(&(Some(index), None)) {
             let delay_ms = self.delay_ms();
             self.push(delay_ms, Event::AtStore { call, action });
         }
     }
 
-    /// A call takes effect at the store, even if its caller is gone.
+    /// Executes a call at the store, even if its caller no longer runs.
     fn at_store(&mut self, call: Call, action: core::Action) {
-        // An answer to a call that was given up is not heard.
-        let sent_at = self.open.get(&call).copied().unwrap_or(self.base);
-        let Some(input) = self.store.take(self.now_ms, &action, sent_at) else {
+        // The response to a call that has timed out is ignored.
+        let sent_at = self.pending.get(&call).copied().unwrap_or(self.base);
+        let Some(input) = self.store.execute(self.now_ms, &action, sent_at) else {
             return;
         };
-        let lost = self.store.lose_one_in > 0 && self.rng.random_ratio(1, self.store.lose_one_in);
-        if !lost && !self.cuts.contains(&(None, Some(call.node))) {
+        let lost = self.store.lose_response_one_in > 0
+            && self.rng.random_ratio(1, self.store.lose_response_one_in);
+        if !lost && !self.blocked_paths.contains(&(None, Some(call.node))) {
             let delay_ms = self.delay_ms();
             self.push(delay_ms, Event::Answer { call, input });
         }
@@ -487,31 +495,34 @@
         let now = self.local(to);
         let from = ids::MemberKey {
             id: self.nodes[call.node].id.clone(),
-            incarnation: ids::Incarnation(call.life),
+            incarnation: ids::Incarnation(call.incarnation),
         };
         let Some(machine) = &mut self.nodes[to].machine else {
             return;
         };
         let answer = machine.answer(now, &from, &question);
-        if self.cuts.contains(&(Some(to), Some(call.node))) {
+        if self.blocked_paths.contains(&(Some(to), Some(call.node))) {
             return;
         }
         let input = core::Input::Answered {
             question,
-            sent_at: self.open.get(&call).copied().unwrap_or(self.base),
+            sent_at: self.pending.get(&call).copied().unwrap_or(self.base),
             answer: Some(answer),
         };
         let delay_ms = self.delay_ms();
         self.push(delay_ms, Event::Answer { call, input });
     }
 
-    /// What the platform shows: the dead are gone after the lag.
+    /// The platform's instance list: new nodes appear and dead ones disappear
+    /// after the lag.
     fn instance_list(&self) -> instances::InstanceList {
         let shown = |node: &&Node| {
             let dead = node
                 .died_ms
                 .is_some_and(|died| died + LAG_MS <= self.now_ms);
-            let new = node.born_ms > 0 && node.born_ms + LAG_MS > self.now_ms && node.life == 1;
+            let new = node.started_ms > 0
+                && node.started_ms + LAG_MS > self.now_ms
+                && node.incarnation == 1;
             !dead && !new
         };
         let nodes = self.nodes.iter().filter(shown);
--- a/crates/figscale-core/tests/claims_world/store.rs
+++ b/crates/figscale-core/tests/claims_world/store.rs
@@ -1,4 +1,4 @@
-//! The store of the small world.
+//! The store of the simulation.
 
 use std::collections::HashMap;
 use std::time;
@@ -13,14 +13,14 @@
 #[derive(Debug, Default)]
 pub struct Store {
     pub down: bool,
-    /// One write in so many loses its answer; 0 for none.
-    pub lose_one_in: u32,
+    /// The response to one call in this number is lost; 0 for none.
+    pub lose_response_one_in: u32,
     pub revision: u64,
     pub claims: claims::Claims,
-    /// Writes of the document that took effect.
+    /// Number of document writes that took effect.
     pub writes: u64,
     last_lease: u64,
-    /// Ends of leases, and whether their keys exist.
+    /// End of each lease, and whether its member key exists.
     leases: HashMap<u64, (u64, bool)>,
 }
 
@@ -29,8 +29,8 @@
         self.leases.retain(|_, (ends_ms, _)| *ends_ms > now_ms);
     }
 
-    /// Carries out a call; `None` when the store says nothing.
-    pub fn take(
+    /// Executes a call; `None` if the store does not respond.
+    pub fn execute(
         &mut self,
         now_ms: u64,
         action: &core::Action,
@@ -108,8 +108,9 @@
     }
 }
 
-/// What a caller takes in when no answer came.
-pub fn unanswered(action: &core::Action, sent_at: time::Instant) -> Option<core::Input> {
+/// The input that a caller processes when a call times out; `None` for calls
+/// that are not store calls with a result.
+pub fn timed_out_input(action: &core::Action, sent_at: time::Instant) -> Option<core::Input> {
     let input = match action {
         core::Action::Grant => core::Input::Granted {
             sent_at,
@@ -141,7 +142,7 @@
     Some(input)
 }
 
-/// The time before the call that an input answers.
+/// The time before the call whose result an input carries.
 pub fn sent_at(input: &core::Input) -> Option<time::Instant> {
     match input {
         core::Input::Granted { sent_at, .. }
