--- a/crates/figscale-core/src/claims/machine.rs
+++ b/crates/figscale-core/src/claims/machine.rs
@@ -114,7 +114,8 @@
     /// Time before the last call that granted or renewed the lease.
     last_renewed: Option<time::Instant>,
     document: Option<Document>,
-    /// Whether an own write may have changed the document since it was read.
+    /// Whether a write of this member may have changed the document since it was
+    /// read.
     stale: bool,
     pending_write: Option<Document>,
     unknown_writes: Vec<UnknownWrite>,
--- a/crates/figscale-core/src/claims/mod.rs
+++ b/crates/figscale-core/src/claims/mod.rs
@@ -5,11 +5,10 @@
 //! its *holder*, may use a shard. Every entry instance is a *member* and runs
 //! one [`Machine`]. All members edit one document in the platform's store, the
 //! *claims*, by compare-and-swap; it lists the members and the holder of each
-//! shard. Every
-//! assignment of a shard starts a new *epoch*, a higher number than before. A
-//! member keeps a lease in the store and may use its shards while that lease is
-//! certainly valid: measured by its own monotonic clock from before the renewal
-//! was sent, less a margin for clock drift.
+//! shard. Every assignment of a shard starts a new *epoch*, a higher number
+//! than before. A member keeps a lease in the store and may use its shards while
+//! that lease is certainly valid: measured by its own monotonic clock from
+//! before the renewal was sent, less a margin for clock drift.
 //!
 //! While the store is unavailable no lease can be renewed, but work has to
 //! continue. Then a holder asks its *witnesses*, the members that it has listed
@@ -28,8 +27,8 @@
 //!   document that names a lease lacks the key, that lease has expired for good.
 //! - A write with an unknown outcome may take effect until the document is
 //!   read at a later revision. Until then promises must be valid under the
-//!   witnesses of either outcome, and a shard that was handed over is not used
-//!   again.
+//!   witnesses of either outcome, and a shard that is being handed over is not
+//!   used again.
 //! - A witness is one incarnation of a process. A later incarnation may answer
 //!   for an earlier one once it has run longer than any promise lasts. A
 //!   witness that has been missing from the platform's instance list for longer
