--- a/crates/figscale-core/src/request/admission.rs
+++ b/crates/figscale-core/src/request/admission.rs
@@ -1,14 +1,14 @@
-//! Admission by the catalogue, at the entry instance that received a request.
+//! Admission against the catalogue, at the entry instance that received a request.
 //!
-//! Limits of an owner are for the whole cell; each entry instance enforces its
-//! equal part, so that no message is needed on the way of a request. Parts of
-//! whole numbers are rounded up, so the parts together may exceed the limit by
-//! less than one for each entry instance; and an owner whose callers all come
-//! to one entry instance gets only that one's part.
+//! The limits of an owner apply to the whole cell. Each entry instance enforces
+//! an equal part of them, so that admission needs no message to other instances.
+//! Parts of whole numbers are rounded up, so the sum of the parts may exceed the
+//! limit by less than one per entry instance. An owner whose callers all connect
+//! to one entry instance gets only the part of that instance.
 //!
-//! Whoever is refused is told when to come back. Times are drawn from a range
-//! that grows with the backlog, so that those refused together do not return
-//! together.
+//! A refused caller is told when to retry. The time is drawn from a range that
+//! grows with the backlog, so that callers that are refused together do not
+//! retry together.
 
 use std::time;
 
@@ -17,31 +17,31 @@
 use indexmap::IndexMap;
 use rand::RngExt as _;
 
-/// Times to come back are drawn from one to so many times the shortest.
-const SPREAD: u32 = 3;
+/// Upper end of the range of retry times, as a multiple of its lower end.
+const RETRY_AFTER_SPREAD: u32 = 3;
 
 /// Settings of admission.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionConfig {
-    /// Seconds' worth of an owner's rate that may come at once. Default 1.
+    /// Burst that is allowed at once, in seconds of the owner's rate. Default 1.
     pub burst_s: f64,
-    /// Shortest time that a refused caller is told to stay away. Default 1 s.
-    pub shortest_return: time::Duration,
-    /// Longest such time. Default 30 s.
-    pub longest_return: time::Duration,
+    /// Shortest time after which a refused caller is told to retry. Default 1 s.
+    pub min_retry_after: time::Duration,
+    /// Longest time after which a refused caller is told to retry. Default 30 s.
+    pub max_retry_after: time::Duration,
 }
 
 impl Default for AdmissionConfig {
     fn default() -> Self {
         Self {
             burst_s: 1.0,
-            shortest_return: time::Duration::from_secs(1),
-            longest_return: time::Duration::from_secs(30),
+            min_retry_after: time::Duration::from_secs(1),
+            max_retry_after: time::Duration::from_secs(30),
         }
     }
 }
 
-/// Why a request was not let in, or let go before it had a slot.
+/// Why a request was not admitted, or was dropped before it got a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// The catalogue has no such entry.
@@ -50,24 +50,24 @@
     UnknownOwner,
     /// The owner may not use the entry.
     OwnerNotAllowed,
-    /// The entry is for jobs.
+    /// The entry is for jobs, not for requests.
     NotForRequests,
-    /// Over the owner's rate.
+    /// The owner's rate limit is exceeded.
     OverRate,
-    /// Over the owner's number of requests in progress.
+    /// The owner's limit of requests in progress is reached.
     OverConcurrency,
     /// The queue is full.
     QueueFull,
     /// The deadline cannot be met.
     Unreachable,
-    /// The deadline came while the request waited.
+    /// The deadline passed while the request waited.
     Expired,
-    /// Nobody holds a runner of the service.
+    /// No instance holds a runner of the service.
     NoHolder,
 }
 
 impl Reason {
-    /// The word for it in answers, logs and metrics.
+    /// Name of the reason in responses, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::UnknownEntry => "unknown-entry",
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Whether asking again later may help.
+    /// Whether a later retry may succeed.
     pub fn is_transient(self) -> bool {
         !matches!(
             self,
@@ -92,7 +92,7 @@
     }
 }
 
-/// A request that was let in.
+/// A request that was admitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admitted {
     /// Limits of its entry.
@@ -104,11 +104,11 @@
 #[derive(Clone, Debug)]
 struct Bucket {
     tokens: f64,
-    filled: time::Instant,
+    refilled_at: time::Instant,
     in_progress: u32,
 }
 
-/// What owners use at this entry instance.
+/// Usage of the limits by owner, at this entry instance.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     config: AdmissionConfig,
@@ -116,7 +116,7 @@
 }
 
 impl Admission {
-    /// Nothing in use.
+    /// Creates a state with no request in progress.
     pub fn new(config: AdmissionConfig) -> Self {
         Self {
             config,
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Lets a request in, counting it until [`Admission::leave`], or says why not.
+    /// Admits a request, which counts as in progress until [`Admission::leave`],
+    /// or returns the reason for refusing it.
     ///
     /// `parts` is the number of entry instances that share the owner's limits.
     pub fn enter(
@@ -146,14 +147,14 @@
         let catalogue::Policy::Requests(policy) = &found.policy else {
             return Err(Reason::NotForRequests);
         };
-        self.count(owner, limits, parts.max(1), now)?;
+        self.charge(owner, limits, parts.max(1), now)?;
         Ok(Admitted {
             policy: policy.clone(),
             weight: limits.weight,
         })
     }
 
-    fn count(
+    fn charge(
         &mut self,
         owner: &ids::OwnerName,
         limits: &catalogue::Owner,
@@ -161,10 +162,10 @@
         now: time::Instant,
     ) -> Result<(), Reason> {
         let rate = limits.rate_per_s.map(|rate| rate / f64::from(parts));
-        let most = rate.map(|rate| (rate * self.config.burst_s).max(1.0));
+        let burst = rate.map(|rate| (rate * self.config.burst_s).max(1.0));
         let bucket = self.owners.entry(owner.clone()).or_insert(Bucket {
-            tokens: most.unwrap_or(0.0),
-            filled: now,
+            tokens: burst.unwrap_or(0.0),
+            refilled_at: now,
             in_progress: 0,
         });
         if let Some(concurrency) = limits.concurrency
@@ -172,10 +173,12 @@
         {
             return Err(Reason::OverConcurrency);
         }
-        if let (Some(rate), Some(most)) = (rate, most) {
-            let passed = now.saturating_duration_since(bucket.filled).as_secs_f64();
-            bucket.tokens = (bucket.tokens + passed * rate).min(most);
-            bucket.filled = now;
+        if let (Some(rate), Some(burst)) = (rate, burst) {
+            let passed = now
+                .saturating_duration_since(bucket.refilled_at)
+                .as_secs_f64();
+            bucket.tokens = (bucket.tokens + passed * rate).min(burst);
+            bucket.refilled_at = now;
             if bucket.tokens < 1.0 {
                 return Err(Reason::OverRate);
             }
@@ -185,7 +188,7 @@
         Ok(())
     }
 
-    /// Ends the counting of a request that was let in.
+    /// Removes an admitted request from the requests in progress.
     pub fn leave(&mut self, owner: &ids::OwnerName) {
         if let Some(bucket) = self.owners.get_mut(owner) {
             bucket.in_progress = bucket.in_progress.saturating_sub(1);
@@ -198,19 +201,20 @@
         owners.map(|(owner, bucket)| (owner, bucket.in_progress))
     }
 
-    /// When a refused caller should come back, given the time that the backlog
-    /// needs.
+    /// Time after which a refused caller should retry, given the time that it
+    /// takes to work off the backlog.
     ///
-    /// A backlog near the longest return or above it still leaves a range to
-    /// draw from, so that nobody is told the same time as everybody else.
+    /// The lower end of the range is capped, so that a backlog near or above the
+    /// longest retry time still leaves a range to draw from, and callers are not
+    /// all told the same time.
     pub fn come_back(&self, backlog: time::Duration, rng: &mut impl rand::Rng) -> time::Duration {
-        let longest = self.config.longest_return;
+        let longest = self.config.max_retry_after;
         let least = self
             .config
-            .shortest_return
+            .min_retry_after
             .max(backlog)
-            .min(longest / SPREAD);
-        let spread: f64 = rng.random_range(1.0..f64::from(SPREAD));
+            .min(longest / RETRY_AFTER_SPREAD);
+        let spread: f64 = rng.random_range(1.0..f64::from(RETRY_AFTER_SPREAD));
         least.mul_f64(spread).min(longest)
     }
 }
--- a/crates/figscale-core/src/request/board.rs
+++ b/crates/figscale-core/src/request/board.rs
@@ -1,12 +1,14 @@
-//! What other holders last said of their free slots, and the choice among them.
+//! Free slots last reported by the other holders, and the choice among holders.
 //!
-//! Holders tell each other their counts on change, at a bounded rate. A count is
-//! old the moment it arrives, so every request sent on the strength of it is
-//! subtracted at once, and a line that has not been refreshed for
-//! [`BoardConfig::stale_after`] counts as having nothing free. Of two holders drawn at random the one
-//! with more room wins: drawing spreads what many entry instances decide at the
-//! same moment on the same counts, where taking the best of all would send
-//! everything to one.
+//! Holders push their slot counts to each other on change, at a bounded rate. A
+//! count is out of date when it arrives. Every request that is sent because of it
+//! is therefore subtracted at once, and the counts of a holder that have not been
+//! refreshed for [`BoardConfig::stale_after`] are taken to have no free slot.
+//!
+//! Of two holders drawn at random, the one with more free capacity is chosen.
+//! Many entry instances decide at the same moment on the same counts: the random
+//! draw spreads their requests, whereas choosing the best of all holders would
+//! send everything to one.
 
 use std::time;
 
@@ -19,10 +21,10 @@
 
 use super::queue;
 
-/// Settings of the board.
+/// Settings of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct BoardConfig {
-    /// Age at which a line's free slots count as taken. Default 1,500 ms.
+    /// Age above which the free slots of a holder count as taken. Default 1,500 ms.
     pub stale_after: time::Duration,
 }
 
@@ -34,58 +36,62 @@
     }
 }
 
-/// Room of one holder for one service, by urgency from the most urgent.
+/// Slot counts of one holder for one service; arrays are indexed by urgency, the
+/// most urgent first.
 ///
-/// A slot that is kept for interactive requests is free to them and to nobody
-/// else, and what is less urgent than a request does not stand before it.
+/// A slot that is reserved for more urgent requests is not free for best-effort
+/// ones, and less urgent requests in the queue are not ahead of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Slots in all, free or not, that the holder may grant.
+    /// All slots that the holder may grant, free or not.
     pub slots: u32,
-    /// Slots that a request of each urgency could have now.
+    /// Slots that a request of each urgency could get now.
     pub free: [u32; 3],
-    /// Requests that would go before a request of each urgency.
+    /// Queued requests that would be served before a request of each urgency.
     pub ahead: [u32; 3],
 }
 
 impl Counts {
-    /// Room relative to size: above zero for free slots, below for a queue.
-    pub fn room(&self, urgency: catalogue::Urgency, sent: u32) -> f64 {
+    /// Free capacity relative to the number of slots: positive with free slots,
+    /// negative with a queue. `sent_since` is the number of requests sent to the
+    /// holder since it reported.
+    pub fn room(&self, urgency: catalogue::Urgency, sent_since: u32) -> f64 {
         if self.slots == 0 {
             return f64::NEG_INFINITY;
         }
         let level = queue::level_of(urgency);
-        let left = f64::from(self.free[level]) - f64::from(self.ahead[level]) - f64::from(sent);
+        let left =
+            f64::from(self.free[level]) - f64::from(self.ahead[level]) - f64::from(sent_since);
         left / f64::from(self.slots)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Line {
+struct HolderCounts {
     counts: Counts,
-    heard: time::Instant,
-    sent: u32,
+    received_at: time::Instant,
+    sent_since: u32,
 }
 
-/// Counts of the other holders.
+/// Slot counts of the other holders.
 #[derive(Clone, Debug, Default)]
 pub struct Board {
     config: BoardConfig,
-    lines: IndexMap<ids::ServiceName, IndexMap<ids::MemberKey, Line>>,
-    heard: IndexMap<ids::MemberKey, time::Instant>,
+    by_service: IndexMap<ids::ServiceName, IndexMap<ids::MemberKey, HolderCounts>>,
+    last_report: IndexMap<ids::MemberKey, time::Instant>,
 }
 
-/// A holder that was chosen.
+/// A holder that was chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Who.
+    /// The holder.
     pub member: ids::MemberKey,
-    /// Its room, relative to its size.
+    /// Its free capacity, relative to its number of slots.
     pub room: f64,
 }
 
 impl Board {
-    /// An empty board.
+    /// Creates an empty table.
     pub fn new(config: BoardConfig) -> Self {
         Self {
             config,
@@ -93,59 +99,61 @@
         }
     }
 
-    /// Takes in what a holder says of all its services.
+    /// Replaces all counts of a holder by the ones that it reported.
     pub fn hear(
         &mut self,
         member: &ids::MemberKey,
         counts: &IndexMap<ids::ServiceName, Counts>,
         now: time::Instant,
     ) {
-        self.heard.insert(member.clone(), now);
-        for (service, lines) in &mut self.lines {
+        self.last_report.insert(member.clone(), now);
+        for (service, holders) in &mut self.by_service {
             if !counts.contains_key(service) {
-                lines.swap_remove(member);
+                holders.swap_remove(member);
             }
         }
         for (service, counts) in counts {
-            let line = Line {
+            let holder = HolderCounts {
                 counts: *counts,
-                heard: now,
-                sent: 0,
+                received_at: now,
+                sent_since: 0,
             };
-            let lines = self.lines.entry(service.clone()).or_default();
-            lines.insert(member.clone(), line);
+            let holders = self.by_service.entry(service.clone()).or_default();
+            holders.insert(member.clone(), holder);
         }
     }
 
-    /// Keeps only the lines of live members.
+    /// Removes the counts of members that are not live.
     pub fn retain(&mut self, is_live: impl Fn(&ids::MemberKey) -> bool) {
-        self.heard.retain(|member, _| is_live(member));
-        for lines in self.lines.values_mut() {
-            lines.retain(|member, _| is_live(member));
+        self.last_report.retain(|member, _| is_live(member));
+        for holders in self.by_service.values_mut() {
+            holders.retain(|member, _| is_live(member));
         }
     }
 
-    /// Whether a holder has said nothing for longer than its lines last.
+    /// Whether a holder has never reported, or not within
+    /// [`BoardConfig::stale_after`].
     pub fn is_silent(&self, member: &ids::MemberKey, now: time::Instant) -> bool {
-        let heard = self.heard.get(member);
-        heard.is_none_or(|heard| now.saturating_duration_since(*heard) > self.config.stale_after)
+        let last = self.last_report.get(member);
+        last.is_none_or(|last| now.saturating_duration_since(*last) > self.config.stale_after)
     }
 
-    /// Notes that a request was sent to a holder on the strength of its counts.
+    /// Records that a request was sent to a holder because of its counts.
     pub fn sent(&mut self, service: &ids::ServiceName, member: &ids::MemberKey) {
-        if let Some(line) = self.line_mut(service, member) {
-            line.sent += 1;
+        if let Some(holder) = self.counts_mut(service, member) {
+            holder.sent_since += 1;
         }
     }
 
-    /// Notes that a holder refused for want of room.
+    /// Records that a holder refused a request for lack of free slots.
     pub fn refused(&mut self, service: &ids::ServiceName, member: &ids::MemberKey) {
-        if let Some(line) = self.line_mut(service, member) {
-            line.sent = line.sent.max(line.counts.free[0]);
+        if let Some(holder) = self.counts_mut(service, member) {
+            holder.sent_since = holder.sent_since.max(holder.counts.free[0]);
         }
     }
 
-    /// The better of two holders drawn at random, `None` without any.
+    /// Chooses the better of two holders drawn at random; `None` if there is no
+    /// holder with slots that is not excluded.
     pub fn choose(
         &self,
         service: &ids::ServiceName,
@@ -154,10 +162,10 @@
         now: time::Instant,
         rng: &mut impl rand::Rng,
     ) -> Option<Choice> {
-        let lines = self.lines.get(service)?;
-        let open: Vec<_> = lines
+        let holders = self.by_service.get(service)?;
+        let open: Vec<_> = holders
             .iter()
-            .filter(|(member, line)| line.counts.slots > 0 && !excluded.contains(member))
+            .filter(|(member, holder)| holder.counts.slots > 0 && !excluded.contains(member))
             .collect();
         if open.is_empty() {
             return None;
@@ -169,7 +177,7 @@
         }
         let best = [open[first], open[second]]
             .into_iter()
-            .map(|(member, line)| (member, self.room(line, urgency, now)))
+            .map(|(member, holder)| (member, self.room(holder, urgency, now)))
             .reduce(|a, b| if b.1 > a.1 { b } else { a })?;
         Some(Choice {
             member: best.0.clone(),
@@ -177,37 +185,37 @@
         })
     }
 
-    /// Members that said anything, if only that they hold nothing.
+    /// Members that have reported, including those that hold nothing.
     pub fn heard(&self) -> impl Iterator<Item = &ids::MemberKey> {
-        self.heard.keys()
+        self.last_report.keys()
     }
 
-    /// Lines for a dump: service, holder, counts.
+    /// All counts, by service and holder.
     pub fn lines(&self) -> impl Iterator<Item = (&ids::ServiceName, &ids::MemberKey, Counts)> {
-        self.lines.iter().flat_map(|(service, lines)| {
-            lines
+        self.by_service.iter().flat_map(|(service, holders)| {
+            holders
                 .iter()
-                .map(move |(member, line)| (service, member, line.counts))
+                .map(move |(member, holder)| (service, member, holder.counts))
         })
     }
 
-    fn room(&self, line: &Line, urgency: catalogue::Urgency, now: time::Instant) -> f64 {
-        let stale = now.saturating_duration_since(line.heard) > self.config.stale_after;
+    fn room(&self, holder: &HolderCounts, urgency: catalogue::Urgency, now: time::Instant) -> f64 {
+        let stale = now.saturating_duration_since(holder.received_at) > self.config.stale_after;
         let counts = match stale {
             true => Counts {
                 free: [0; 3],
-                ..line.counts
+                ..holder.counts
             },
-            false => line.counts,
+            false => holder.counts,
         };
-        counts.room(urgency, line.sent)
+        counts.room(urgency, holder.sent_since)
     }
 
-    fn line_mut(
+    fn counts_mut(
         &mut self,
         service: &ids::ServiceName,
         member: &ids::MemberKey,
-    ) -> Option<&mut Line> {
-        self.lines.get_mut(service)?.get_mut(member)
+    ) -> Option<&mut HolderCounts> {
+        self.by_service.get_mut(service)?.get_mut(member)
     }
 }
--- a/crates/figscale-core/src/request/dispatcher/counts.rs
+++ b/crates/figscale-core/src/request/dispatcher/counts.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher tells of itself: waits, counts and the next thing due.
+//! State of a dispatcher as read from outside: expected waits, slot counts and
+//! the time of the next poll.
 
 use std::time;
 
@@ -14,10 +15,10 @@
 use crate::request::slots;
 
 impl Dispatcher {
-    /// Time that a request of this urgency would wait behind those before it.
+    /// Time that a new request of this urgency is expected to wait.
     ///
-    /// The larger of two estimates: what the run times allow, and the pace at
-    /// which requests of its urgency were granted slots of late.
+    /// The larger of two estimates: one from the mean run time and the requests
+    /// ahead, the other from the recent time between grants to its urgency.
     pub fn expected_wait(
         &self,
         name: &ids::ServiceName,
@@ -31,11 +32,12 @@
         let ahead = service.queue.ahead_of(urgency);
         let rounds = ahead as f64 / f64::from(slots.max(1));
         let by_runs = self.times.of_service(name).mul_f64(rounds);
-        let pace = &service.paces[queue::level_of(urgency)];
-        by_runs.max(pace.expect(service.queue.len_of(urgency), now))
+        let grant_interval = &service.grant_intervals[queue::level_of(urgency)];
+        by_runs.max(grant_interval.expected_wait(service.queue.len_of(urgency), now))
     }
 
-    /// Counts of every service with a held runner, for the other holders.
+    /// Slot counts of every service with a held runner, to be pushed to the other
+    /// holders.
     pub fn counts(&self, now: time::Instant) -> IndexMap<ids::ServiceName, board::Counts> {
         let names = self.table.services();
         names
@@ -43,7 +45,7 @@
             .collect()
     }
 
-    /// Counts of one service.
+    /// Slot counts of one service.
     pub fn counts_of(&self, name: &ids::ServiceName, now: time::Instant) -> board::Counts {
         let live = self.table.of_service(name).filter(|r| !r.is_leaving());
         let slots = live.map(|runner| runner.instance.slots).sum();
@@ -64,7 +66,7 @@
         }
     }
 
-    /// When to poll next though nothing has changed.
+    /// Time of the next poll that is due even if nothing changes until then.
     pub fn next_wake(&self, now: time::Instant) -> Option<time::Instant> {
         let services = self.services.values();
         let timers = services.flat_map(|service| {
@@ -95,12 +97,12 @@
         self.waiting.len()
     }
 
-    /// Whether a runner is set aside.
+    /// Whether a runner is ejected.
     pub fn is_ejected(&self, runner: &slots::Runner, now: time::Instant) -> bool {
         let service = runner.instance.service.as_ref();
         let service = service.and_then(|name| self.services.get(name));
         service.is_some_and(|service| {
-            service.outliers.use_of(&runner.instance.id, now) == outlier::Use::Ejected
+            service.outliers.eligibility(&runner.instance.id, now) == outlier::Eligibility::Ejected
         })
     }
 }
--- a/crates/figscale-core/src/request/dispatcher/message.rs
+++ b/crates/figscale-core/src/request/dispatcher/message.rs
@@ -1,4 +1,4 @@
-//! What is asked of a dispatcher, and what it answers.
+//! Settings, inputs and results of a dispatcher.
 
 use std::net;
 use std::time;
@@ -20,9 +20,10 @@
     pub outlier: outlier::OutlierConfig,
     /// Settings of the slot table.
     pub slots: slots::SlotConfig,
-    /// Share of the slots that best-effort work leaves free. Default 0.1.
+    /// Share of the slots that is reserved from best-effort requests. Default 0.1.
     pub reserve_share: f64,
-    /// Time after an interactive request for which the share is kept. Default 30 s.
+    /// Time after an interactive request during which that share is reserved.
+    /// Default 30 s.
     pub reserve_for: time::Duration,
 }
 
@@ -38,16 +39,16 @@
     }
 }
 
-/// A request that asks for a slot.
+/// A request for a slot.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Its name at this dispatcher.
+    /// Identifies the request at this dispatcher.
     pub ticket: queue::Ticket,
     /// Catalogue entry.
     pub entry: ids::EntryName,
     /// Service whose runner it needs.
     pub service: ids::ServiceName,
-    /// Owner on whose behalf it is asked.
+    /// Owner on whose behalf the request is made.
     pub owner: ids::OwnerName,
     /// The owner's weight.
     pub weight: u32,
@@ -55,82 +56,82 @@
     pub urgency: catalogue::Urgency,
     /// When its caller stops waiting.
     pub deadline: time::Instant,
-    /// Whether running it twice does no harm.
+    /// Whether the request may run twice without harm.
     pub idempotent: bool,
-    /// Runner that just failed it, if any.
+    /// Runner that failed the previous attempt, if any.
     pub avoid: Option<ids::InstanceId>,
-    /// Most requests of its entry that may wait here.
+    /// Maximum number of requests of its entry that may wait here.
     pub max_queue_len: u32,
-    /// Longest run of a request of its entry.
+    /// Longest run time of a request of its entry.
     pub max_run: time::Duration,
 }
 
-/// Names a granted slot.
+/// Identifies a granted slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SlotId(pub u64);
 
 /// A slot granted to one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Its name.
+    /// Identifies the grant.
     pub slot: SlotId,
     /// The runner.
     pub runner: ids::InstanceId,
-    /// Where it listens.
+    /// Address on which the runner listens.
     pub address: net::SocketAddr,
-    /// Most connections to it.
+    /// Maximum number of connections to the runner.
     pub connections: u32,
-    /// Its shard.
+    /// Shard of the runner.
     pub shard: ids::ShardId,
     /// Epoch under which the shard is held.
     pub epoch: ids::Epoch,
 }
 
-/// A request that was refused, with the time that the backlog needs.
+/// Why a request was refused, with the size of the backlog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: admission::Reason,
-    /// Time until the present backlog is done.
+    /// Time that it takes to work off the present backlog.
     pub backlog: time::Duration,
 }
 
-/// What became of a submission.
+/// Result of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Submitted {
-    /// It has a slot.
+    /// It was granted a slot.
     Granted(Grant),
-    /// It waits.
+    /// It waits in the queue.
     Queued,
     /// It was refused.
     Refused(Refusal),
 }
 
-/// What became of a waiting request.
+/// Result for a request that waited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// It has a slot.
+    /// It was granted a slot.
     Granted(queue::Ticket, Grant),
-    /// It has to go.
+    /// It was removed from the queue without a slot.
     Refused(queue::Ticket, Refusal),
 }
 
 /// How the use of a slot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The runner answered in full.
+    /// The runner sent a complete response.
     Answered {
-        /// Time that it took.
+        /// Run time of the request.
         ran: time::Duration,
-        /// Whether the answer speaks for the runner.
+        /// Whether the response counts as a success of the runner.
         good: bool,
     },
     /// The runner refused the request without running it.
     RefusedByRunner,
-    /// Nothing reached the runner, and the fault may be its own.
+    /// Nothing reached the runner, and the runner may be at fault.
     Unreachable,
-    /// Nothing was sent, for a reason that has nothing to do with the runner.
+    /// Nothing was sent, for a reason unrelated to the runner.
     NotSent,
-    /// The request may still run.
+    /// The outcome is unknown; the request may still run.
     Lost,
 }
--- a/crates/figscale-core/src/request/dispatcher/mod.rs
+++ b/crates/figscale-core/src/request/dispatcher/mod.rs
@@ -1,16 +1,16 @@
-//! Grants slots to requests: the holder's side.
+//! Grants runner slots to requests, at the holder of the runners' shards.
 //!
-//! Put together from the slot table, a fair queue for each service, the records
-//! of failing runners and the measured service times. A request is submitted,
-//! and is granted a slot at once, waits, or is refused at once because its
-//! deadline cannot be met or the queue is full. Whatever changes the slots is
-//! followed by [`Dispatcher::poll`], which answers with the waiting requests
-//! that got a slot or have to go.
+//! Combines the slot table, a fair queue for each service, outlier ejection of
+//! failing runners and the measured service times. A submitted request is granted
+//! a slot at once, waits, or is refused at once because its deadline cannot be
+//! met or the queue is full. Every change of the slots must be followed by
+//! [`Dispatcher::poll`], which returns the waiting requests that were granted a
+//! slot or are refused.
 //!
-//! Part of the slots is kept free of best-effort work while interactive requests
-//! are about, so that an interactive one finds a slot without waiting for a
-//! long run to end; a service that nobody asks interactively loses nothing by
-//! it.
+//! A share of the slots is reserved from best-effort requests while interactive
+//! requests arrive, so that an interactive request finds a free slot without
+//! waiting for a long run to end. A service without interactive requests has no
+//! such reservation.
 
 use std::time;
 
@@ -50,10 +50,10 @@
     queue: queue::FairQueue,
     outliers: outlier::Outliers,
     last_interactive: Option<time::Instant>,
-    paces: [service_time::Pace; 3],
+    grant_intervals: [service_time::GrantInterval; 3],
 }
 
-/// The slots that this process may grant, and who waits for them.
+/// The slots that this process may grant, and the requests that wait for them.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     config: DispatcherConfig,
@@ -68,7 +68,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher without slots.
+    /// Creates a dispatcher without slots.
     pub fn new(config: DispatcherConfig) -> Self {
         Self {
             config,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes in which shards are held; follow with [`Dispatcher::poll`].
+    /// Applies the set of shards that are held; follow with [`Dispatcher::poll`].
     pub fn update(
         &mut self,
         mut held: IndexMap<ids::ShardId, slots::HeldShard>,
@@ -102,7 +102,7 @@
 
     /// Stops granting slots of a shard that is about to be handed over.
     ///
-    /// The shard is used again only under another epoch.
+    /// The shard is used again only when it is held under another epoch.
     pub fn drain(&mut self, shard: &ids::ShardId) {
         let of_shard = self.table.runners().filter(|r| r.shard == *shard);
         let epoch = of_shard.filter_map(|runner| runner.epoch).next();
@@ -112,12 +112,12 @@
         }
     }
 
-    /// Whether nothing of a shard can be in progress.
+    /// Whether no request can be in progress on the runners of a shard.
     pub fn is_shard_idle(&self, shard: &ids::ShardId, now: time::Instant) -> bool {
         self.table.is_shard_idle(shard, now)
     }
 
-    /// Asks for a slot.
+    /// Requests a slot: it is granted now, queued or refused.
     pub fn submit(&mut self, submission: Submission, now: time::Instant) -> Submitted {
         let name = submission.service.clone();
         if self.table.of_service(&name).next().is_none() {
@@ -131,11 +131,11 @@
         {
             return Submitted::Granted(grant);
         }
-        if let Some(reason) = self.cannot_wait(&submission, now) {
+        if let Some(reason) = self.queue_refusal(&submission, now) {
             return Submitted::Refused(self.refusal(reason, &submission, now));
         }
         let level = queue::level_of(submission.urgency);
-        self.service_mut(&name).paces[level].waits(now);
+        self.service_mut(&name).grant_intervals[level].record_waiting(now);
         self.enqueue(submission);
         Submitted::Queued
     }
@@ -152,7 +152,7 @@
         ahead == 0 && self.usable(name, now) > 0 && self.may_use(name, urgency, now)
     }
 
-    fn cannot_wait(
+    fn queue_refusal(
         &self,
         submission: &Submission,
         now: time::Instant,
@@ -180,14 +180,14 @@
         self.waiting.insert(submission.ticket, submission);
     }
 
-    /// Takes out a waiting request whose caller gave up.
+    /// Removes a waiting request whose caller has cancelled it.
     pub fn cancel(&mut self, ticket: queue::Ticket) {
-        if let Some(submission) = self.forget(ticket) {
+        if let Some(submission) = self.remove_waiting(ticket) {
             self.service_mut(&submission.service).queue.cancel(ticket);
         }
     }
 
-    fn forget(&mut self, ticket: queue::Ticket) -> Option<Submission> {
+    fn remove_waiting(&mut self, ticket: queue::Ticket) -> Option<Submission> {
         let submission = self.waiting.swap_remove(&ticket)?;
         if let Some(count) = self.waiting_by_entry.get_mut(&submission.entry) {
             *count -= 1;
@@ -200,7 +200,7 @@
 
     /// Ends the use of a slot; follow with [`Dispatcher::poll`].
     ///
-    /// Answers the runner when it was ejected by this.
+    /// Returns the runner if this end caused its ejection.
     pub fn finish(
         &mut self,
         slot: SlotId,
@@ -209,7 +209,7 @@
     ) -> Option<ids::InstanceId> {
         let used = self.in_use.swap_remove(&slot)?;
         match end {
-            End::Lost => self.table.lose(&used.runner, used.max_run, now),
+            End::Lost => self.table.mark_lost(&used.runner, used.max_run, now),
             _ => self.table.free(&used.runner),
         }
         if let End::Answered { ran, .. } = end {
@@ -219,19 +219,19 @@
         let outliers = &mut self.service_mut(&used.service).outliers;
         let ejected = match end {
             End::Answered { good: true, .. } => {
-                outliers.good(&used.runner);
+                outliers.record_success(&used.runner);
                 false
             }
             End::NotSent => {
-                outliers.neutral(&used.runner);
+                outliers.record_neutral(&used.runner);
                 false
             }
-            _ => outliers.bad(&used.runner, runners, now),
+            _ => outliers.record_failure(&used.runner, runners, now),
         };
         ejected.then_some(used.runner)
     }
 
-    /// Takes in a runner's report that tells of the moment `taken`, or a later one.
+    /// Applies a runner's report of its busy slots, taken at `taken` or later.
     pub fn report(
         &mut self,
         runner: &ids::InstanceId,
@@ -242,12 +242,13 @@
         self.table.report(runner, busy, taken, now);
     }
 
-    /// Notes that a runner said itself that it is leaving.
+    /// Records that a runner has announced that it is leaving.
     pub fn says_leaving(&mut self, runner: &ids::InstanceId) {
         self.table.says_leaving(runner);
     }
 
-    /// Grants slots to waiting requests and lets go of those that cannot stay.
+    /// Grants slots to waiting requests, and refuses those whose deadline has
+    /// passed or whose service has no held runner any more.
     pub fn poll(&mut self, now: time::Instant) -> Vec<Event> {
         let mut events = Vec::new();
         let names: Vec<_> = (self.services.iter())
@@ -275,12 +276,12 @@
                 self.refuse_waiting(ticket, admission::Reason::NoHolder, now, events);
                 continue;
             }
-            let Some(submission) = self.forget(ticket) else {
+            let Some(submission) = self.remove_waiting(ticket) else {
                 continue;
             };
             match self.grant(&submission, now) {
                 Some(grant) => {
-                    self.note_pace(&submission, now);
+                    self.record_grant(&submission, now);
                     events.push(Event::Granted(ticket, grant));
                 }
                 None => {
@@ -291,10 +292,10 @@
         }
     }
 
-    fn note_pace(&mut self, submission: &Submission, now: time::Instant) {
+    fn record_grant(&mut self, submission: &Submission, now: time::Instant) {
         let service = self.service_mut(&submission.service);
         let left = service.queue.len_of(submission.urgency);
-        service.paces[queue::level_of(submission.urgency)].granted(left, now);
+        service.grant_intervals[queue::level_of(submission.urgency)].record_grant(left, now);
     }
 
     fn next_waiting(
@@ -321,7 +322,7 @@
         now: time::Instant,
         events: &mut Vec<Event>,
     ) {
-        if let Some(submission) = self.forget(ticket) {
+        if let Some(submission) = self.remove_waiting(ticket) {
             let refusal = self.refusal(reason, &submission, now);
             events.push(Event::Refused(ticket, refusal));
         }
--- a/crates/figscale-core/src/request/dispatcher/pick.rs
+++ b/crates/figscale-core/src/request/dispatcher/pick.rs
@@ -1,4 +1,4 @@
-//! Which runner gets a request, and how many slots it may use.
+//! Selection of the runner for a request, and of the slots that it may use.
 
 use std::time;
 
@@ -23,28 +23,29 @@
                 queue: queue::FairQueue::new(config.queue),
                 outliers: outlier::Outliers::new(config.outlier),
                 last_interactive: None,
-                paces: Default::default(),
+                grant_intervals: Default::default(),
             };
             self.services.insert(name.clone(), service);
         }
         &mut self.services[name]
     }
 
-    /// Free slots of runners that are not set aside.
+    /// Free slots of runners that are not ejected; at most one of a runner that
+    /// is due for a probe.
     pub(super) fn usable(&self, name: &ids::ServiceName, now: time::Instant) -> u32 {
         let Some(service) = self.services.get(name) else {
             return 0;
         };
         let usable =
-            |runner: &slots::Runner| match service.outliers.use_of(&runner.instance.id, now) {
-                outlier::Use::Open => runner.free(now),
-                outlier::Use::Probe => runner.free(now).min(1),
-                outlier::Use::Ejected => 0,
+            |runner: &slots::Runner| match service.outliers.eligibility(&runner.instance.id, now) {
+                outlier::Eligibility::Open => runner.free(now),
+                outlier::Eligibility::Probe => runner.free(now).min(1),
+                outlier::Eligibility::Ejected => 0,
             };
         self.table.of_service(name).map(usable).sum()
     }
 
-    /// Whether a request of this urgency may take a free slot, if there is one.
+    /// Whether a request of this urgency may use a free slot, if there is one.
     pub(super) fn may_use(
         &self,
         name: &ids::ServiceName,
@@ -55,17 +56,17 @@
             || self.usable(name, now) > self.reserve(name, now)
     }
 
-    /// Free slots that best-effort work leaves to others.
+    /// Number of free slots that best-effort requests must leave unused.
     pub(super) fn reserve(&self, name: &ids::ServiceName, now: time::Instant) -> u32 {
         let service = self.services.get(name);
         let last = service.and_then(|service| service.last_interactive);
-        let kept =
+        let is_active =
             last.is_some_and(|last| now.saturating_duration_since(last) < self.config.reserve_for);
-        if !kept {
+        if !is_active {
             return 0;
         }
         let slots: u32 = self.table.of_service(name).map(|r| r.instance.slots).sum();
-        // A share of a number of slots, rounded down.
+        // Rounded down.
         (f64::from(slots) * self.config.reserve_share) as u32
     }
 
@@ -74,7 +75,9 @@
         if !self.table.take(&id, now) {
             return None;
         }
-        self.service_mut(&submission.service).outliers.sent(&id);
+        self.service_mut(&submission.service)
+            .outliers
+            .record_sent(&id);
         let runner = self.table.runner(&id)?;
         self.last_slot += 1;
         let grant = Grant {
@@ -95,9 +98,13 @@
         Some(grant)
     }
 
-    /// The runner for a request: a probe where it does no harm, else the one
-    /// with the largest share of its slots free; the one that just failed it
-    /// only when there is no other.
+    /// Selects the runner for a request.
+    ///
+    /// An idempotent request goes first to a runner that is due for a probe.
+    /// Otherwise the runner with the largest share of free slots is selected. A
+    /// runner that is due for a probe gets a request that is not idempotent only
+    /// when no other is free, and the runner that failed the previous attempt is
+    /// the last choice.
     pub(super) fn pick(
         &self,
         submission: &Submission,
@@ -111,17 +118,17 @@
             }
             let share = u64::from(free) * 1_000 / u64::from(runner.instance.slots.max(1));
             let avoided = submission.avoid.as_ref() == Some(&runner.instance.id);
-            let rank = match service.outliers.use_of(&runner.instance.id, now) {
-                outlier::Use::Ejected => return None,
+            let rank = match service.outliers.eligibility(&runner.instance.id, now) {
+                outlier::Eligibility::Ejected => return None,
                 _ if avoided => 1,
-                outlier::Use::Probe if submission.idempotent => 10_000,
-                outlier::Use::Probe => 2,
-                outlier::Use::Open => 10 + share,
+                outlier::Eligibility::Probe if submission.idempotent => 10_000,
+                outlier::Eligibility::Probe => 2,
+                outlier::Eligibility::Open => 10 + share,
             };
             Some((rank, runner.instance.id.clone()))
         };
         let ranked = self.table.of_service(&submission.service).filter_map(rank);
-        // The first of equals wins, so rotate by the last slot's number.
+        // Rotates among runners of equal rank by the number of the last slot.
         let ranked: Vec<_> = ranked.collect();
         let best = ranked.iter().map(|(rank, _)| *rank).max()?;
         let equals: Vec<_> = ranked.iter().filter(|(rank, _)| *rank == best).collect();
--- a/crates/figscale-core/src/request/mod.rs
+++ b/crates/figscale-core/src/request/mod.rs
@@ -1,16 +1,18 @@
-//! Admission, queueing, slot choice, retry and the memory of request ids.
+//! Admission, queueing, slot selection, retries and deduplication of requests.
 //!
 //! A request is admitted by the entry instance that received it ([`admission`])
-//! and needs one slot of one runner. Slots are handed out by the holder of the
-//! runner's shard alone ([`dispatcher`]), from a table in its memory ([`slots`]),
-//! to requests that wait in a fair queue ([`queue`]). An entry instance without
-//! a free slot of its own picks another holder by the counts that holders tell
-//! each other ([`board`]). What may be tried again is decided by [`retry`], and
-//! what must not run twice is remembered by [`once`].
+//! and needs one slot of one runner. Runners are grouped in shards, and only the
+//! holder of a shard (the entry instance that currently owns it) grants the slots
+//! of its runners ([`dispatcher`]). It does so from an in-memory table ([`slots`])
+//! to requests that wait in a fair queue ([`queue`]). An entry instance that has
+//! no free slot of its own chooses another holder by the slot counts that holders
+//! send each other ([`board`]). [`retry`] decides which failed attempts may be
+//! retried, and [`once`] deduplicates the ids of requests that must run at most
+//! once.
 //!
-//! The queue is at the holder, yet what waits there is only a request's head:
-//! its body follows once a slot is granted. So a holder that dies takes nothing
-//! with it but a place in a queue, and the request is known not to have run.
+//! The queue is at the holder, but only the head of a request waits there: its
+//! body is sent once a slot is granted. If a holder dies, a waiting request
+//! therefore loses only its position in a queue and is known not to have run.
 
 pub mod admission;
 pub mod board;
--- a/crates/figscale-core/src/request/once.rs
+++ b/crates/figscale-core/src/request/once.rs
@@ -1,17 +1,18 @@
-//! Memory of the ids of non-idempotent requests, at their home.
+//! Deduplication of the ids of non-idempotent requests, at the home of an id.
 //!
-//! A home remembers every id that it let through until the id is too old to be
-//! accepted at all. Ids are UUIDv7, so their own time stamp orders them, and one
-//! number, the *floor*, stands for everything that was forgotten: an id stamped
-//! at or before the floor is refused as [`Verdict::MayHaveRun`]. A new home
-//! begins with a floor at its taking over plus the clock tolerance, since it
-//! cannot know what the earlier home let through. Ids stamped later than the
-//! home's clock plus the tolerance are refused as [`Verdict::NotRun`], as they
-//! would outlive the floor.
+//! The home of an id is the holder of the shard that the id hashes to. It
+//! remembers every id that it admitted until the id is too old to be accepted at
+//! all. Ids are UUIDv7, so their time stamps order them, and a single number, the
+//! *floor*, covers everything that was forgotten: an id stamped at or before the
+//! floor is refused as [`Verdict::MayHaveRun`]. A new home cannot know which ids
+//! the earlier home admitted, so its floor starts at the time of the take-over
+//! plus twice the clock tolerance. Ids stamped later than the home's clock plus
+//! the tolerance are refused as [`Verdict::NotRun`], as they would outlive the
+//! floor.
 //!
-//! This trades a short time after each take-over, in which fresh ids are
-//! refused, for no store write on any request. In a planned hand-over the old
-//! home passes its memory on ([`Kept`]), and nothing fresh is refused.
+//! The cost is that new ids are refused for a short time after each take-over;
+//! in return no request needs a write to the store. In a planned hand-over the
+//! old home sends its memory to the new one ([`Kept`]), and no new id is refused.
 //!
 //! [`Verdict::MayHaveRun`]: figscale_types::verdict::Verdict::MayHaveRun
 //! [`Verdict::NotRun`]: figscale_types::verdict::Verdict::NotRun
@@ -26,15 +27,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Most ids that one home passes on to the next, so that they fit a message.
+/// Maximum number of ids sent to the next home, so that they fit into a message.
 pub const MAX_KEPT: usize = 100_000;
 
-/// Settings of the memory.
+/// Settings of the deduplication.
 #[derive(Clone, Copy, Debug)]
 pub struct OnceConfig {
-    /// Difference of two clocks that is tolerated. Default 1,000 ms.
+    /// Tolerated difference between two clocks. Default 1,000 ms.
     pub tolerance: time::Duration,
-    /// Most ids remembered by one home. Default 200,000.
+    /// Maximum number of ids remembered by one home. Default 200,000.
     pub capacity: usize,
     /// Time for which an id is remembered. Default 600 s.
     pub keep: time::Duration,
@@ -50,29 +51,30 @@
     }
 }
 
-/// Names one attempt to begin a request, so that a repeated message counts once.
+/// Identifies one attempt to begin a request, so that a repeated message counts
+/// once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptId(pub u64);
 
-/// The answer to a request to begin.
+/// Response of the home to an attempt to begin a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Begin {
-    /// It never began before and may run now.
+    /// The request has not begun before and may run now.
     Fresh,
-    /// It began before; the verdict is what is known of it.
+    /// The request began before; the verdict is what is known of that run.
     Repeat(Verdict),
-    /// It is older than the memory.
+    /// The id is at or below the floor: it may have been forgotten.
     Forgotten,
-    /// It is stamped in the future.
+    /// The id is stamped in the future, or is not a UUIDv7.
     FromFuture,
-    /// This is not its home, or not any more.
+    /// This instance is not, or no longer, the home of the id.
     NotHome,
 }
 
 impl Begin {
-    /// What may be said of a request that is refused with this answer.
+    /// Verdict on a request that is refused with this response.
     ///
-    /// Without a home nobody knows whether it is a repeat of one that ran.
+    /// Without a home it is unknown whether the request repeats one that ran.
     pub fn verdict(self) -> Verdict {
         match self {
             Self::Fresh | Self::FromFuture => Verdict::NotRun,
@@ -83,32 +85,33 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Line {
+struct IdRecord {
     attempt: AttemptId,
     verdict: Verdict,
 }
 
-/// What a home passes on to the next one in a planned hand-over.
+/// Memory that a home sends to the next one in a planned hand-over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
     floor_ms: u64,
-    /// Ids as numbers, which are shorter in a message than as text.
-    lines: Vec<(u128, Line)>,
+    /// Ids as numbers, which are shorter than text in a message.
+    lines: Vec<(u128, IdRecord)>,
 }
 
-/// The memory of one home.
+/// Request ids remembered by one home.
 #[derive(Clone, Debug)]
 pub struct Memory {
     config: OnceConfig,
     floor_ms: u64,
-    ids: BTreeMap<uuid::Uuid, Line>,
+    ids: BTreeMap<uuid::Uuid, IdRecord>,
 }
 
 impl Memory {
-    /// The memory of a home that took over at `taken_unix_ms`.
+    /// Creates the memory of a home that took over at `taken_unix_ms`.
     ///
-    /// The floor leaves room for both clocks: the earlier home's may have been
-    /// ahead by the tolerance when it let an id through that was itself ahead.
+    /// The floor allows for two clock differences: the clock of the earlier home
+    /// may have been ahead by the tolerance when it admitted an id that was
+    /// itself ahead by the tolerance.
     pub fn new(config: OnceConfig, taken_unix_ms: u64) -> Self {
         let tolerance_ms = clock::millis(config.tolerance);
         Self {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// The memory of a home that nobody held before.
+    /// Creates the memory of a home whose shard nobody held before.
     pub fn first(config: OnceConfig) -> Self {
         Self {
             config,
@@ -127,18 +130,18 @@
         }
     }
 
-    /// The memory that an earlier home passed on.
+    /// Creates the memory from what the earlier home sent.
     pub fn from_kept(config: OnceConfig, kept: Kept) -> Self {
-        let line = |(id, line)| (uuid::Uuid::from_u128(id), line);
+        let record = |(id, record)| (uuid::Uuid::from_u128(id), record);
         Self {
             config,
             floor_ms: kept.floor_ms,
-            ids: kept.lines.into_iter().map(line).collect(),
+            ids: kept.lines.into_iter().map(record).collect(),
         }
     }
 
-    /// What the next home has to know; at most [`MAX_KEPT`] of the newest ids,
-    /// the floor standing for the others.
+    /// Memory to send to the next home: the newest ids, at most [`MAX_KEPT`],
+    /// with the floor raised to cover the others.
     pub fn pass_on(&self) -> Kept {
         let older = self.ids.len().saturating_sub(MAX_KEPT);
         let newest_left_out = self.ids.keys().take(older).next_back();
@@ -146,19 +149,19 @@
         let newer = self.ids.iter().skip(older);
         Kept {
             floor_ms: self.floor_ms.max(left_out_ms.unwrap_or(0)),
-            lines: newer.map(|(id, line)| (id.as_u128(), *line)).collect(),
+            lines: newer.map(|(id, record)| (id.as_u128(), *record)).collect(),
         }
     }
 
-    /// Lets an id through once.
+    /// Admits an id once; the same attempt may ask again.
     pub fn begin(&mut self, id: ids::RequestId, attempt: AttemptId, now_unix_ms: u64) -> Begin {
         let Some(stamp_ms) = stamp_ms(id) else {
             return Begin::FromFuture;
         };
-        if let Some(line) = self.ids.get(&id.0) {
-            return match line.attempt == attempt {
+        if let Some(record) = self.ids.get(&id.0) {
+            return match record.attempt == attempt {
                 true => Begin::Fresh,
-                false => Begin::Repeat(line.verdict),
+                false => Begin::Repeat(record.verdict),
             };
         }
         self.forget_old(now_unix_ms);
@@ -166,27 +169,28 @@
             return refused;
         }
         let verdict = Verdict::MayHaveRun;
-        self.ids.insert(id.0, Line { attempt, verdict });
+        self.ids.insert(id.0, IdRecord { attempt, verdict });
         Begin::Fresh
     }
 
-    /// What is known of an id, apart from this attempt; nothing is let through.
+    /// Returns what is known of an id apart from this attempt, without admitting it.
     ///
-    /// [`Begin::Fresh`] means that no other attempt ever began.
+    /// [`Begin::Fresh`] means that no other attempt is known to have begun.
     pub fn peek(&self, id: ids::RequestId, attempt: AttemptId, now_unix_ms: u64) -> Begin {
         let Some(stamp_ms) = stamp_ms(id) else {
             return Begin::FromFuture;
         };
         match self.ids.get(&id.0) {
-            Some(line) if line.attempt == attempt => Begin::Fresh,
-            Some(line) => Begin::Repeat(line.verdict),
+            Some(record) if record.attempt == attempt => Begin::Fresh,
+            Some(record) => Begin::Repeat(record.verdict),
             None => self.refused(stamp_ms, now_unix_ms).unwrap_or(Begin::Fresh),
         }
     }
 
-    /// Whether a time stamp alone refuses an id that is not remembered. The
-    /// floor goes first: below it an earlier home with a clock ahead of ours
-    /// may have let through what is in the future here.
+    /// Refusal of an id that is not remembered, by its time stamp alone.
+    ///
+    /// The floor is checked first: an earlier home whose clock was ahead of ours
+    /// may have admitted an id below the floor that is in the future here.
     fn refused(&self, stamp_ms: u64, now_unix_ms: u64) -> Option<Begin> {
         let latest_ms = now_unix_ms.saturating_add(clock::millis(self.config.tolerance));
         if stamp_ms <= self.floor_ms {
@@ -198,23 +202,23 @@
         }
     }
 
-    /// Notes how an attempt ended; one that did not run may begin again.
+    /// Records how an attempt ended; an id that did not run may begin again.
     pub fn end(&mut self, id: ids::RequestId, attempt: AttemptId, verdict: Verdict) {
-        let Some(line) = self.ids.get_mut(&id.0) else {
+        let Some(record) = self.ids.get_mut(&id.0) else {
             return;
         };
-        if line.attempt != attempt {
+        if record.attempt != attempt {
             return;
         }
         match verdict {
             Verdict::NotRun => {
                 self.ids.remove(&id.0);
             }
-            verdict => line.verdict = verdict,
+            verdict => record.verdict = verdict,
         }
     }
 
-    /// Ids remembered.
+    /// Number of remembered ids.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
@@ -224,7 +228,8 @@
         self.ids.is_empty()
     }
 
-    /// Time stamp up to which every id is refused, in milliseconds since 1970.
+    /// Time stamp up to which an id that is not remembered is refused, in
+    /// milliseconds since 1970.
     pub fn floor_ms(&self) -> u64 {
         self.floor_ms
     }
@@ -252,7 +257,7 @@
     u64::try_from(bytes >> 80).ok()
 }
 
-/// The shard that is the home of an id: the low, random bits decide.
+/// Shard whose holder is the home of an id, by the low, random bits of the id.
 pub fn home_of(id: ids::RequestId) -> Option<ids::ShardId> {
     let number = id.0.as_u128() % u128::from(claims::ID_SHARDS);
     claims::id_shard(u32::try_from(number).ok()?)
--- a/crates/figscale-core/src/request/outlier.rs
+++ b/crates/figscale-core/src/request/outlier.rs
@@ -1,26 +1,28 @@
-//! Runners that fail everything are set aside, and probed back.
+//! Outlier ejection: runners that fail every request are taken out of use and
+//! probed until they succeed.
 //!
 //! A runner that fails [`OutlierConfig::failures`] requests in a row is ejected
-//! for a time that doubles with each repeat. After it, one request at a time is
-//! let through as a probe; a good answer brings the runner back. At most
-//! [`OutlierConfig::max_share`] of a service's runners at one holder are ejected at the same time:
-//! when more fail, the fault is not theirs, and a service is never emptied.
+//! for a time that doubles with each ejection. Afterwards one request at a time
+//! is sent to it as a probe; a successful probe ends the ejection. At most
+//! [`OutlierConfig::max_share`] of a service's runners at one holder are ejected
+//! at the same time. If more fail, the cause is probably not the runners, and a
+//! service must keep runners to use.
 
 use std::time;
 
 use figscale_types::ids;
 use indexmap::IndexMap;
 
-/// Settings of the ejection.
+/// Settings of outlier ejection.
 #[derive(Clone, Copy, Debug)]
 pub struct OutlierConfig {
-    /// Failures in a row that eject. Default 5.
+    /// Failures in a row after which a runner is ejected. Default 5.
     pub failures: u32,
-    /// First time of ejection. Default 2 s.
+    /// Duration of the first ejection. Default 2 s.
     pub base: time::Duration,
-    /// Longest time of ejection. Default 60 s.
+    /// Longest duration of an ejection. Default 60 s.
     pub longest: time::Duration,
-    /// Largest share ejected at the same time. Default 0.3.
+    /// Largest share of runners ejected at the same time. Default 0.3.
     pub max_share: f64,
 }
 
@@ -45,16 +47,16 @@
 
 /// Whether a runner may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
-    /// As any other.
+pub enum Eligibility {
+    /// Without restriction.
     Open,
-    /// For one request at a time.
+    /// For one request at a time, as a probe.
     Probe,
     /// Not at all.
     Ejected,
 }
 
-/// Records of the runners of one service.
+/// Failure records of the runners of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Outliers {
     config: OutlierConfig,
@@ -62,7 +64,7 @@
 }
 
 impl Outliers {
-    /// No records yet.
+    /// Creates a state without records.
     pub fn new(config: OutlierConfig) -> Self {
         Self {
             config,
@@ -71,25 +73,25 @@
     }
 
     /// Whether a runner may be used at `now`.
-    pub fn use_of(&self, runner: &ids::InstanceId, now: time::Instant) -> Use {
+    pub fn eligibility(&self, runner: &ids::InstanceId, now: time::Instant) -> Eligibility {
         let record = self.records.get(runner);
         match record.and_then(|record| Some((record, record.until?))) {
-            None => Use::Open,
-            Some((_, until)) if now < until => Use::Ejected,
-            Some((record, _)) if record.probing => Use::Ejected,
-            Some(_) => Use::Probe,
+            None => Eligibility::Open,
+            Some((_, until)) if now < until => Eligibility::Ejected,
+            Some((record, _)) if record.probing => Eligibility::Ejected,
+            Some(_) => Eligibility::Probe,
         }
     }
 
-    /// Notes that a request was sent to a runner.
-    pub fn sent(&mut self, runner: &ids::InstanceId) {
+    /// Records that a request was sent to a runner; a probe if it is ejected.
+    pub fn record_sent(&mut self, runner: &ids::InstanceId) {
         if let Some(record) = self.records.get_mut(runner) {
             record.probing = record.until.is_some();
         }
     }
 
-    /// Notes a good answer.
-    pub fn good(&mut self, runner: &ids::InstanceId) {
+    /// Records a successful response.
+    pub fn record_success(&mut self, runner: &ids::InstanceId) {
         let Some(record) = self.records.get_mut(runner) else {
             return;
         };
@@ -103,30 +105,35 @@
         }
     }
 
-    /// Notes an attempt that says nothing about the runner, such as one that
+    /// Records an attempt that says nothing about the runner, such as one that
     /// was never sent.
-    pub fn neutral(&mut self, runner: &ids::InstanceId) {
+    pub fn record_neutral(&mut self, runner: &ids::InstanceId) {
         if let Some(record) = self.records.get_mut(runner) {
             record.probing = false;
         }
     }
 
-    /// Notes a failure; `runners` is how many the service has here.
+    /// Records a failure; `runners` is the number of the service's runners here.
     ///
-    /// Answers whether the runner was ejected by it.
-    pub fn bad(&mut self, runner: &ids::InstanceId, runners: usize, now: time::Instant) -> bool {
+    /// Returns whether the runner was ejected because of it.
+    pub fn record_failure(
+        &mut self,
+        runner: &ids::InstanceId,
+        runners: usize,
+        now: time::Instant,
+    ) -> bool {
         let ejected = self.ejected(now);
         let record = self.records.entry(runner.clone()).or_default();
         record.failures += 1;
-        let was_out = record.until.is_some();
+        let was_ejected = record.until.is_some();
         let probe_failed = record.probing;
         record.probing = false;
         let limit = (runners as f64 * self.config.max_share).floor() as usize;
-        let room = was_out || ejected < limit;
-        if !(probe_failed || record.failures >= self.config.failures) || !room {
+        let may_eject = was_ejected || ejected < limit;
+        if !(probe_failed || record.failures >= self.config.failures) || !may_eject {
             return false;
         }
-        if was_out && !probe_failed {
+        if was_ejected && !probe_failed {
             return false;
         }
         let doubled = 1_u32.checked_shl(record.ejections.min(16)).unwrap_or(1);
@@ -136,12 +143,12 @@
         true
     }
 
-    /// Forgets runners that are gone.
+    /// Removes the records of runners that are not known any more.
     pub fn retain(&mut self, is_known: impl Fn(&ids::InstanceId) -> bool) {
         self.records.retain(|runner, _| is_known(runner));
     }
 
-    /// Number of runners that are set aside or being probed.
+    /// Number of runners that are ejected or being probed.
     pub fn ejected(&self, _now: time::Instant) -> usize {
         let out = self
             .records
@@ -150,7 +157,7 @@
         out.count()
     }
 
-    /// When the next ejected runner may be probed.
+    /// Time at which the next ejected runner may be probed.
     pub fn next_probe(&self, now: time::Instant) -> Option<time::Instant> {
         let times = self.records.values().filter_map(|record| record.until);
         times.filter(|until| *until > now).min()
--- a/crates/figscale-core/src/request/queue.rs
+++ b/crates/figscale-core/src/request/queue.rs
@@ -1,14 +1,16 @@
-//! The queue of one service at a holder.
+//! Fair queue of one service at a holder.
 //!
-//! Three levels. Between urgencies, the more urgent one goes first, except that
-//! every [`QueueConfig::lesser_every`]th grant goes to the least urgent one that
-//! waits, so that best-effort work is slowed and never stopped. Inside an urgency, owners take turns by
-//! deficit round robin, weighted by the catalogue. Inside an owner, the earliest
-//! deadline goes first. All requests cost the same in the round robin: a slot
-//! for a time that nobody knows beforehand.
+//! Order is decided on three levels. Between urgencies, the most urgent request
+//! goes first, except that every [`QueueConfig::low_urgency_every`]th grant goes
+//! to the least urgent one that waits, so that best-effort requests are slowed
+//! but never starved. Within an urgency, owners take turns by deficit round robin
+//! with the weights of the catalogue. Within an owner, the earliest deadline goes
+//! first. All requests have the same cost in the round robin, because each takes
+//! one slot for a time that is not known in advance.
 //!
-//! The queue is bounded by count and refuses when full; it never drops what it
-//! took except at its deadline.
+//! A request that was queued leaves only by a grant, a cancellation or its
+//! deadline. The dispatcher bounds the number of waiting requests and refuses new
+//! ones when the queue is full.
 
 use std::collections::BTreeMap;
 use std::time;
@@ -17,29 +19,32 @@
 use figscale_types::ids;
 use indexmap::IndexMap;
 
-/// Names a waiting request.
+/// Identifies a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
 /// Settings of a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueConfig {
-    /// Every how manyth grant goes to the least urgent that waits. Default 8.
-    pub lesser_every: u32,
+    /// Interval, in grants, at which the least urgent waiting request goes first.
+    /// Default 8.
+    pub low_urgency_every: u32,
 }
 
 impl Default for QueueConfig {
     fn default() -> Self {
-        Self { lesser_every: 8 }
+        Self {
+            low_urgency_every: 8,
+        }
     }
 }
 
 /// A request that waits for a slot.
 #[derive(Clone, Debug)]
 pub struct Waiting {
-    /// Its name.
+    /// Identifies the request.
     pub ticket: Ticket,
-    /// Owner on whose behalf it is asked.
+    /// Owner on whose behalf the request is made.
     pub owner: ids::OwnerName,
     /// The owner's weight.
     pub weight: u32,
@@ -52,68 +57,70 @@
 type Key = (time::Instant, Ticket);
 
 #[derive(Clone, Debug, Default)]
-struct OwnerLine {
+struct OwnerQueue {
     weight: u32,
     deficit: u32,
     waiting: BTreeMap<Key, ()>,
 }
 
-/// Owners of one urgency, in the order of their turns.
+/// Owners with waiting requests of one urgency, in round-robin order.
 #[derive(Clone, Debug, Default)]
 struct Level {
-    owners: IndexMap<ids::OwnerName, OwnerLine>,
-    turn: usize,
+    owners: IndexMap<ids::OwnerName, OwnerQueue>,
+    next_owner: usize,
 }
 
 impl Level {
     fn push(&mut self, waiting: &Waiting) {
-        let line = self.owners.entry(waiting.owner.clone()).or_default();
-        line.weight = waiting.weight.max(1);
-        line.waiting.insert((waiting.deadline, waiting.ticket), ());
+        let owner_queue = self.owners.entry(waiting.owner.clone()).or_default();
+        owner_queue.weight = waiting.weight.max(1);
+        owner_queue
+            .waiting
+            .insert((waiting.deadline, waiting.ticket), ());
     }
 
-    /// The next request by deficit round robin, left in place.
+    /// The next request by deficit round robin, without removing it.
     fn peek(&mut self) -> Option<(usize, Key)> {
         let count = self.owners.len();
         if count == 0 {
             return None;
         }
-        self.turn %= count;
-        let (_, line) = self.owners.get_index_mut(self.turn)?;
-        if line.deficit == 0 {
-            line.deficit = line.weight;
+        self.next_owner %= count;
+        let (_, owner_queue) = self.owners.get_index_mut(self.next_owner)?;
+        if owner_queue.deficit == 0 {
+            owner_queue.deficit = owner_queue.weight;
         }
-        let (key, ()) = line.waiting.first_key_value()?;
-        Some((self.turn, *key))
+        let (key, ()) = owner_queue.waiting.first_key_value()?;
+        Some((self.next_owner, *key))
     }
 
     fn pop(&mut self) -> Option<Key> {
         let (index, key) = self.peek()?;
-        let (_, line) = self.owners.get_index_mut(index)?;
-        line.deficit -= 1;
-        let spent = line.deficit == 0;
-        let gone = self.remove(index, key);
-        if spent && !gone {
-            self.turn = index + 1;
+        let (_, owner_queue) = self.owners.get_index_mut(index)?;
+        owner_queue.deficit -= 1;
+        let quantum_used = owner_queue.deficit == 0;
+        let owner_removed = self.remove(index, key);
+        if quantum_used && !owner_removed {
+            self.next_owner = index + 1;
         }
         Some(key)
     }
 
-    /// Takes a request out and forgets an owner that has none left, so that an
-    /// idle owner saves up no turns; answers whether the owner is gone.
+    /// Removes a request, and its owner if that has none left, so that an idle
+    /// owner accumulates no deficit. Returns whether the owner was removed.
     fn remove(&mut self, index: usize, key: Key) -> bool {
-        let Some((_, line)) = self.owners.get_index_mut(index) else {
+        let Some((_, owner_queue)) = self.owners.get_index_mut(index) else {
             return false;
         };
-        line.waiting.remove(&key);
-        let gone = line.waiting.is_empty();
-        if gone {
+        owner_queue.waiting.remove(&key);
+        let owner_removed = owner_queue.waiting.is_empty();
+        if owner_removed {
             self.owners.shift_remove_index(index);
-            if index < self.turn {
-                self.turn -= 1;
+            if index < self.next_owner {
+                self.next_owner -= 1;
             }
         }
-        gone
+        owner_removed
     }
 
     fn is_empty(&self) -> bool {
@@ -121,7 +128,10 @@
     }
 
     fn len(&self) -> usize {
-        self.owners.values().map(|line| line.waiting.len()).sum()
+        self.owners
+            .values()
+            .map(|owner_queue| owner_queue.waiting.len())
+            .sum()
     }
 }
 
@@ -130,7 +140,7 @@
 pub struct FairQueue {
     config: QueueConfig,
     levels: [Level; 3],
-    places: IndexMap<Ticket, (usize, ids::OwnerName, time::Instant)>,
+    positions: IndexMap<Ticket, (usize, ids::OwnerName, time::Instant)>,
     deadlines: BTreeMap<Key, ()>,
     grants: u32,
 }
@@ -150,7 +160,7 @@
 ];
 
 impl FairQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(config: QueueConfig) -> Self {
         Self {
             config,
@@ -160,15 +170,15 @@
 
     /// Number of waiting requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Number of waiting requests that would go before one of this urgency.
+    /// Number of waiting requests that are as urgent or more urgent.
     pub fn ahead_of(&self, urgency: catalogue::Urgency) -> usize {
         let levels = &self.levels[..=level_of(urgency)];
         levels.iter().map(Level::len).sum()
@@ -183,15 +193,15 @@
     pub fn push(&mut self, waiting: &Waiting) {
         let level = level_of(waiting.urgency);
         self.levels[level].push(waiting);
-        let place = (level, waiting.owner.clone(), waiting.deadline);
-        self.places.insert(waiting.ticket, place);
+        let position = (level, waiting.owner.clone(), waiting.deadline);
+        self.positions.insert(waiting.ticket, position);
         self.deadlines
             .insert((waiting.deadline, waiting.ticket), ());
     }
 
-    /// Takes out a request whose caller gave up; `false` when it is not here.
+    /// Removes a cancelled request; `false` if it is not in the queue.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
-        let Some((level, owner, deadline)) = self.places.swap_remove(&ticket) else {
+        let Some((level, owner, deadline)) = self.positions.swap_remove(&ticket) else {
             return false;
         };
         let key = (deadline, ticket);
@@ -203,23 +213,23 @@
         true
     }
 
-    /// Takes the next request among the urgencies that `allowed` admits.
+    /// Removes the next request, among the urgencies for which `allowed` is true.
     pub fn pop(&mut self, allowed: impl Fn(catalogue::Urgency) -> bool) -> Option<Ticket> {
         let open = |index: &usize| !self.levels[*index].is_empty() && allowed(URGENCIES[*index]);
-        let every = self.config.lesser_every.max(1);
-        let turn_of_lesser = self.grants > 0 && self.grants.is_multiple_of(every);
-        let chosen = match turn_of_lesser {
+        let every = self.config.low_urgency_every.max(1);
+        let low_urgency_first = self.grants > 0 && self.grants.is_multiple_of(every);
+        let chosen = match low_urgency_first {
             true => (0..self.levels.len()).rev().find(open),
             false => (0..self.levels.len()).find(open),
         }?;
         let (deadline, ticket) = self.levels[chosen].pop()?;
         self.grants = self.grants.wrapping_add(1);
-        self.places.swap_remove(&ticket);
+        self.positions.swap_remove(&ticket);
         self.deadlines.remove(&(deadline, ticket));
         Some(ticket)
     }
 
-    /// Takes out every request whose deadline has come.
+    /// Removes every request whose deadline has passed.
     pub fn expire(&mut self, now: time::Instant) -> Vec<Ticket> {
         let mut expired = Vec::new();
         while let Some((&(deadline, ticket), ())) = self.deadlines.first_key_value()
--- a/crates/figscale-core/src/request/retry.rs
+++ b/crates/figscale-core/src/request/retry.rs
@@ -1,11 +1,12 @@
-//! Whether a failed attempt may be tried again.
+//! Decides whether a failed attempt may be retried.
 //!
-//! Only what is known not to have run, or what does no harm when run twice, is
-//! tried again; within the deadline, the entry's number of attempts, and a
-//! budget that every first attempt feeds. The budget keeps retries a small
-//! share of the load when everything fails, which is when they do most harm.
-//! A refusal by a holder without room costs a runner nothing and is not charged
-//! to the budget, but is bounded by the number of holders.
+//! An attempt is retried only if it is known not to have run, or may run twice
+//! without harm. Retries end with the deadline, the maximum number of attempts of
+//! the entry, and a budget to which every first attempt contributes. The budget
+//! limits retries to a small share of the load when everything fails, which is
+//! when they do the most harm. A refusal by a holder without free slots costs a
+//! runner nothing: it is not charged to the budget, but is bounded by the number
+//! of holders.
 
 use std::time;
 
@@ -16,7 +17,7 @@
 pub struct RetryConfig {
     /// Retries earned by each first attempt. Default 0.1.
     pub ratio: f64,
-    /// Most retries saved up. Default 20.
+    /// Largest balance of the budget, in retries. Default 20.
     pub burst: f64,
 }
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// Retries that may be spent, shared by all requests of a service.
+/// Retry budget shared by all requests of a service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     config: RetryConfig,
@@ -37,18 +38,18 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(config: RetryConfig) -> Self {
         let saved = config.burst;
         Self { config, saved }
     }
 
-    /// Earns the share of a first attempt.
+    /// Adds the contribution of a first attempt.
     pub fn earn(&mut self) {
         self.saved = (self.saved + self.config.ratio).min(self.config.burst);
     }
 
-    /// Spends one retry, if there is one.
+    /// Takes one retry from the budget; `false` if it has less than one.
     pub fn spend(&mut self) -> bool {
         let enough = self.saved >= 1.0;
         if enough {
@@ -57,7 +58,7 @@
         enough
     }
 
-    /// Retries saved up.
+    /// Balance of the budget, in retries.
     pub fn saved(&self) -> f64 {
         self.saved
     }
@@ -68,18 +69,18 @@
 pub struct Failed {
     /// What is known about the attempt.
     pub verdict: Verdict,
-    /// Whether running it twice does no harm.
+    /// Whether the request may run twice without harm.
     pub idempotent: bool,
-    /// Attempts so far, this one included.
+    /// Attempts so far, including this one.
     pub attempts: u32,
-    /// Most attempts.
+    /// Maximum number of attempts.
     pub max_attempts: u32,
     /// When its caller stops waiting.
     pub deadline: time::Instant,
 }
 
 impl Failed {
-    /// Whether another attempt may start at `now`; spends the budget if so.
+    /// Whether another attempt may start at `now`; if so, takes it from the budget.
     pub fn may_retry(&self, now: time::Instant, budget: &mut RetryBudget) -> bool {
         let harmless = match self.verdict {
             Verdict::NotRun => true,
--- a/crates/figscale-core/src/request/slots.rs
+++ b/crates/figscale-core/src/request/slots.rs
@@ -1,15 +1,17 @@
-//! The slots of the runners that this process holds.
+//! Slots of the runners whose shards this process holds.
 //!
-//! One table in one memory decides what a runner is asked, so that no runner
-//! ever has more requests than slots. A slot is in one of four states: free,
-//! busy with a request of ours, *lost* (a request of ours may still run there,
+//! One in-memory table decides what is sent to a runner, so that no runner ever
+//! has more requests than slots. A slot is in one of four states: free, busy with
+//! a request of this holder, *lost* (a request of this holder may still run there,
 //! since its connection broke), or *foreign* (a request of the shard's earlier
-//! holder may still run there). Lost and foreign slots come back when the
-//! longest run has passed, or when a report of the runner, taken late enough
-//! that everything sent before has arrived, counts fewer requests.
+//! holder may still run there). Lost and foreign slots are withheld until the
+//! longest run time has passed, or until the runner reports fewer requests. Such
+//! a report counts only if it was taken late enough that everything sent before
+//! has arrived.
 //!
-//! A report counts requests and names none, so our own are among them. The table
-//! then keeps more slots back than it must; it never keeps fewer.
+//! A report contains a number of requests and no ids, so it includes the requests
+//! of this holder. The table may therefore withhold more slots than necessary,
+//! but never fewer.
 
 use std::time;
 
@@ -22,18 +24,18 @@
 pub struct HeldShard {
     /// Epoch under which it is held.
     pub epoch: ids::Epoch,
-    /// Latest moment at which an earlier holder can have dispatched; `None`
-    /// when it left nothing in progress.
+    /// Latest time at which an earlier holder can have dispatched a request;
+    /// `None` if it left nothing in progress.
     pub last_foreign_dispatch: Option<time::Instant>,
-    /// Its runners, leaving ones included.
+    /// Its runners, including those that are leaving.
     pub runners: Vec<instances::Instance>,
 }
 
-/// Longest runs that the table reckons with.
+/// Settings of the slot table.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotConfig {
-    /// Time after which a request that was sent has reached its runner or never
-    /// will. Default 1,000 ms.
+    /// Time after which a request that was sent has either reached its runner or
+    /// never will. Default 1,000 ms.
     pub settle: time::Duration,
 }
 
@@ -45,11 +47,12 @@
     }
 }
 
-/// Slots that may still be in use, though not by a request that we watch.
+/// Lost or foreign slots, which may be in use by requests that this holder does
+/// not observe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Quarantine {
+struct WithheldSlots {
     count: u32,
-    /// A report counts only when taken after this.
+    /// Only reports taken after this time can release the slots.
     report_after: time::Instant,
     until: time::Instant,
 }
@@ -57,23 +60,23 @@
 /// A runner with the state of its slots.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// Its line in the instance list.
+    /// Its entry in the instance list.
     pub instance: instances::Instance,
     /// Its shard.
     pub shard: ids::ShardId,
-    /// Epoch under which the shard is held; `None` once it is held no more.
+    /// Epoch under which the shard is held; `None` once it is no longer held.
     pub epoch: Option<ids::Epoch>,
-    /// Whether it said itself that it is leaving.
+    /// Whether the runner itself has announced that it is leaving.
     pub said_leaving: bool,
-    /// Requests of ours in progress.
+    /// Requests of this holder in progress.
     pub busy: u32,
-    quarantines: Vec<Quarantine>,
+    withheld_slots: Vec<WithheldSlots>,
 }
 
 impl Runner {
-    /// Slots kept back at `now`, besides the busy ones.
+    /// Slots withheld at `now`, not counting busy ones.
     pub fn kept_back(&self, now: time::Instant) -> u32 {
-        let open = self.quarantines.iter().filter(|q| now < q.until);
+        let open = self.withheld_slots.iter().filter(|q| now < q.until);
         open.map(|q| q.count).sum()
     }
 
@@ -86,27 +89,29 @@
         self.instance.slots.saturating_sub(used)
     }
 
-    /// Whether it gets no new work.
+    /// Whether the runner is leaving and gets no new requests.
     pub fn is_leaving(&self) -> bool {
         self.said_leaving || self.instance.life == instances::Life::Leaving
     }
 
-    /// Connections that one holder may have to it at once.
+    /// Maximum number of connections that one holder may have to the runner.
     ///
-    /// A fifth of what the runner takes, so that earlier holders that are
-    /// frozen with theirs open leave room, but one for each slot.
+    /// A fifth of the runner's limit, so that connections which frozen earlier
+    /// holders still have open do not exhaust it, but at least one per slot and at
+    /// most two per slot.
     pub fn connections(&self) -> u32 {
         let slots = self.instance.slots;
         (self.instance.connections / 5).clamp(slots.min(self.instance.connections), slots * 2)
     }
 
-    /// Whether nothing of ours or of an earlier holder's can be in progress.
+    /// Whether no request of this or an earlier holder can be in progress.
     pub fn is_idle(&self, now: time::Instant) -> bool {
         self.busy == 0 && self.kept_back(now) == 0
     }
 }
 
-/// The runners of all held shards, and those with requests still in progress.
+/// The runners of all held shards, and other runners on which requests may still
+/// be in progress.
 #[derive(Clone, Debug, Default)]
 pub struct SlotTable {
     config: SlotConfig,
@@ -115,7 +120,7 @@
 }
 
 impl SlotTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(config: SlotConfig) -> Self {
         Self {
             config,
@@ -123,9 +128,9 @@
         }
     }
 
-    /// Takes in which shards are held and their runners.
+    /// Applies the set of held shards and their runners.
     ///
-    /// `longest_run` is the longest run of a request to a service.
+    /// `longest_run` returns the longest run time of a request to a service.
     pub fn update(
         &mut self,
         held: &IndexMap<ids::ShardId, HeldShard>,
@@ -145,8 +150,8 @@
                 self.update_runner(id, shard, instance, &longest_run);
             }
         }
-        self.forget_gone(now);
-        self.index();
+        self.remove_unused(now);
+        self.rebuild_index();
     }
 
     fn update_runner(
@@ -169,7 +174,7 @@
                 epoch: None,
                 said_leaving: false,
                 busy: 0,
-                quarantines: Vec::new(),
+                withheld_slots: Vec::new(),
             });
         runner.instance = instance.clone();
         runner.shard = shard_id.clone();
@@ -178,7 +183,7 @@
         }
         runner.epoch = Some(shard.epoch);
         if let Some(last) = shard.last_foreign_dispatch {
-            runner.quarantines.push(Quarantine {
+            runner.withheld_slots.push(WithheldSlots {
                 count: instance.slots,
                 report_after: last + settle,
                 until: last + settle + longest_run(service),
@@ -186,15 +191,17 @@
         }
     }
 
-    fn forget_gone(&mut self, now: time::Instant) {
+    fn remove_unused(&mut self, now: time::Instant) {
         for runner in self.runners.values_mut() {
-            runner.quarantines.retain(|q| now < q.until && q.count > 0);
+            runner
+                .withheld_slots
+                .retain(|q| now < q.until && q.count > 0);
         }
         self.runners
             .retain(|_, runner| runner.epoch.is_some() || !runner.is_idle(now));
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.by_service.clear();
         for (id, runner) in &self.runners {
             if let (Some(service), Some(_)) = (&runner.instance.service, runner.epoch) {
@@ -215,7 +222,7 @@
         self.by_service.keys()
     }
 
-    /// Every runner, for a dump.
+    /// All runners in the table.
     pub fn runners(&self) -> impl Iterator<Item = &Runner> {
         self.runners.values()
     }
@@ -225,7 +232,7 @@
         self.runners.get(id)
     }
 
-    /// Takes a slot of a runner that has one free; `false` when it has none.
+    /// Takes a free slot of a runner; `false` if it has none.
     pub fn take(&mut self, id: &ids::InstanceId, now: time::Instant) -> bool {
         match self.runners.get_mut(id) {
             Some(runner) if runner.free(now) > 0 => {
@@ -236,19 +243,25 @@
         }
     }
 
-    /// Gives back a slot whose request is known to be over.
+    /// Frees a slot whose request is known to have ended.
     pub fn free(&mut self, id: &ids::InstanceId) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.busy = runner.busy.saturating_sub(1);
         }
     }
 
-    /// Keeps back a slot whose request may still run, for `longest_run` at most.
-    pub fn lose(&mut self, id: &ids::InstanceId, longest_run: time::Duration, now: time::Instant) {
+    /// Withholds a slot whose request may still run, for at most `longest_run` plus
+    /// the time for the request to arrive.
+    pub fn mark_lost(
+        &mut self,
+        id: &ids::InstanceId,
+        longest_run: time::Duration,
+        now: time::Instant,
+    ) {
         let settle = self.config.settle;
         if let Some(runner) = self.runners.get_mut(id) {
             runner.busy = runner.busy.saturating_sub(1);
-            runner.quarantines.push(Quarantine {
+            runner.withheld_slots.push(WithheldSlots {
                 count: 1,
                 report_after: now + settle,
                 until: now + settle + longest_run,
@@ -256,7 +269,7 @@
         }
     }
 
-    /// Takes in a runner's report that tells of the moment `taken`, or a later one.
+    /// Applies a runner's report of its busy slots, taken at `taken` or later.
     pub fn report(
         &mut self,
         id: &ids::InstanceId,
@@ -267,44 +280,44 @@
         let Some(runner) = self.runners.get_mut(id) else {
             return;
         };
-        runner.quarantines.retain(|q| now < q.until);
-        let late_enough = |q: &Quarantine| q.report_after < taken;
-        let counted: u32 = (runner.quarantines.iter())
+        runner.withheld_slots.retain(|q| now < q.until);
+        let late_enough = |q: &WithheldSlots| q.report_after < taken;
+        let counted: u32 = (runner.withheld_slots.iter())
             .filter(|q| late_enough(q))
             .map(|q| q.count)
             .sum();
         let mut excess = counted.saturating_sub(busy);
-        for quarantine in &mut runner.quarantines {
-            if late_enough(quarantine) {
-                let freed = excess.min(quarantine.count);
-                quarantine.count -= freed;
+        for group in &mut runner.withheld_slots {
+            if late_enough(group) {
+                let freed = excess.min(group.count);
+                group.count -= freed;
                 excess -= freed;
             }
         }
-        runner.quarantines.retain(|q| q.count > 0);
+        runner.withheld_slots.retain(|q| q.count > 0);
     }
 
-    /// Notes that a runner said itself that it is leaving.
+    /// Records that a runner has announced that it is leaving.
     pub fn says_leaving(&mut self, id: &ids::InstanceId) {
         if let Some(runner) = self.runners.get_mut(id) {
             runner.said_leaving = true;
         }
     }
 
-    /// Runners for which a report taken now would free slots.
+    /// Runners for which a report taken now could release withheld slots.
     pub fn worth_asking(&self, now: time::Instant) -> impl Iterator<Item = &Runner> {
         self.runners.values().filter(move |runner| {
-            let quarantines = &runner.quarantines;
-            quarantines
+            let withheld_slots = &runner.withheld_slots;
+            withheld_slots
                 .iter()
                 .any(|q| q.report_after < now && now < q.until)
         })
     }
 
-    /// When the next kept-back slot comes back by itself.
+    /// Time at which the next withheld slot is released without a report.
     pub fn next_release(&self, now: time::Instant) -> Option<time::Instant> {
-        let quarantines = self.runners.values().flat_map(|r| &r.quarantines);
-        quarantines
+        let withheld_slots = self.runners.values().flat_map(|r| &r.withheld_slots);
+        withheld_slots
             .map(|q| q.until)
             .filter(|until| *until > now)
             .min()
@@ -317,10 +330,10 @@
                 runner.epoch = None;
             }
         }
-        self.index();
+        self.rebuild_index();
     }
 
-    /// Whether nothing of a shard can be in progress.
+    /// Whether no request can be in progress on the runners of a shard.
     pub fn is_shard_idle(&self, shard: &ids::ShardId, now: time::Instant) -> bool {
         let of_shard = self.runners.values().filter(|r| r.shard == *shard);
         of_shard.into_iter().all(|runner| runner.is_idle(now))
--- a/crates/figscale-core/tests/request_admission.rs
+++ b/crates/figscale-core/tests/request_admission.rs
@@ -1,4 +1,4 @@
-//! Limits of owners, and when the refused come back.
+//! Admission: limits of owners, and the retry times of refused callers.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -55,47 +55,60 @@
 #[case::no_entry("nothing", "desk", Err(Reason::UnknownEntry))]
 #[case::no_owner("quote", "nobody", Err(Reason::UnknownOwner))]
 #[case::for_jobs("fleet", "desk", Err(Reason::NotForRequests))]
-fn who_may(#[case] entry: &str, #[case] owner: &str, #[case] expected: Result<(), Reason>) {
+fn only_permitted_owners_are_admitted(
+    #[case] entry: &str,
+    #[case] owner: &str,
+    #[case] expected: Result<(), Reason>,
+) {
     let now = time::Instant::now();
     assert_eq!(enter(&mut admission(), entry, owner, 1, now), expected);
 }
 
-/// Requests let in at once, and in the ten seconds after, of 50 asked each second.
+/// Number of requests admitted at once and in the ten seconds after, with 50
+/// requests each second.
 #[rstest]
 #[case::alone("brokers", 1, 10, 100)]
 #[case::one_of_two("brokers", 2, 5, 50)]
 #[case::below_one_a_second("slow", 1, 1, 5)]
-fn a_rate(#[case] owner: &str, #[case] parts: u32, #[case] at_once: usize, #[case] later: usize) {
+fn the_rate_limit_is_divided_among_entry_instances(
+    #[case] owner: &str,
+    #[case] parts: u32,
+    #[case] at_once: usize,
+    #[case] later: usize,
+) {
     let start = time::Instant::now();
     let mut admission = admission();
-    let mut ask = |now| {
-        let let_in = (0..50).filter(|_| enter(&mut admission, "quote", owner, parts, now).is_ok());
-        let_in.count()
+    let mut admitted_of_50 = |now| {
+        let admitted =
+            (0..50).filter(|_| enter(&mut admission, "quote", owner, parts, now).is_ok());
+        admitted.count()
     };
-    assert_eq!(ask(start), at_once);
+    assert_eq!(admitted_of_50(start), at_once);
     let seconds = (1..=10).map(time::Duration::from_secs);
     assert_eq!(
-        seconds.map(|passed| ask(start + passed)).sum::<usize>(),
+        seconds
+            .map(|passed| admitted_of_50(start + passed))
+            .sum::<usize>(),
         later
     );
 }
 
-/// Time without requests saves no more than the burst.
+/// After an hour without requests no more than the burst is admitted at once.
 #[test]
-fn a_rest_saves_one_second_of_the_rate() {
+fn idle_time_accumulates_at_most_one_second_of_the_rate() {
     let start = time::Instant::now();
     let mut admission = admission();
     enter(&mut admission, "quote", "brokers", 1, start).unwrap();
     let later = start + time::Duration::from_secs(3_600);
-    let let_in = (0..50).filter(|_| enter(&mut admission, "quote", "brokers", 1, later).is_ok());
-    assert_eq!(let_in.count(), 10);
+    let admitted = (0..50).filter(|_| enter(&mut admission, "quote", "brokers", 1, later).is_ok());
+    assert_eq!(admitted.count(), 10);
 }
 
 #[rstest]
 #[case::alone(1, 5)]
 #[case::rounded_up(2, 3)]
 #[case::more_parts_than_requests(9, 1)]
-fn a_number_in_progress(#[case] parts: u32, #[case] expected: usize) {
+fn requests_in_progress_are_limited(#[case] parts: u32, #[case] expected: usize) {
     let now = time::Instant::now();
     let mut admission = admission();
     let ask =
@@ -109,13 +122,13 @@
     assert_eq!(ask(&mut admission), Err(Reason::OverConcurrency));
 }
 
-/// However long the backlog, the refused do not return together.
+/// Refused callers do not retry together, however long the backlog is.
 #[rstest]
 #[case::none(0, 1_000, 3_000)]
 #[case::short(4_000, 4_000, 12_000)]
 #[case::long(20_000, 10_000, 30_000)]
-#[case::without_end(600_000, 10_000, 30_000)]
-fn returns_are_spread(#[case] backlog_ms: u64, #[case] least_ms: u128, #[case] most_ms: u128) {
+#[case::above_the_longest_retry_time(600_000, 10_000, 30_000)]
+fn retry_times_are_spread(#[case] backlog_ms: u64, #[case] least_ms: u128, #[case] most_ms: u128) {
     let mut rng = rngs::StdRng::seed_from_u64(1);
     let admission = admission();
     let backlog = time::Duration::from_millis(backlog_ms);
@@ -124,7 +137,7 @@
         .collect();
     times.sort_unstable();
     assert!(times[0] >= least_ms && times[99] <= most_ms, "{times:?}");
-    // Half of the time that there is lies between the quarters.
+    // The middle half of the times covers more than a third of the range.
     assert!(
         times[75] - times[25] > (most_ms - least_ms) / 3,
         "{times:?}"
--- a/crates/figscale-core/tests/request_board.rs
+++ b/crates/figscale-core/tests/request_board.rs
@@ -1,4 +1,4 @@
-//! Counts of other holders, and the choice among them.
+//! Slot counts of other holders, and the choice among them.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -27,11 +27,11 @@
     board::Counts { slots, free, ahead }
 }
 
-/// A board on which each holder has so many of 8 slots free.
+/// A table in which each holder has the given number of its 8 slots free.
 fn board(free: &[u32], now: time::Instant) -> board::Board {
     let mut board = board::Board::new(board::BoardConfig::default());
     for (number, free) in free.iter().enumerate() {
-        hear(
+        report(
             &mut board,
             number as u64,
             counts(8, [*free; 3], [0; 3]),
@@ -41,9 +41,9 @@
     board
 }
 
-fn hear(board: &mut board::Board, number: u64, counts: board::Counts, now: time::Instant) {
-    let told = IndexMap::from([(service(), counts)]);
-    board.hear(&member(number), &told, now);
+fn report(board: &mut board::Board, number: u64, counts: board::Counts, now: time::Instant) {
+    let counts = IndexMap::from([(service(), counts)]);
+    board.hear(&member(number), &counts, now);
 }
 
 /// How often each of three holders is chosen in 300 draws.
@@ -62,12 +62,12 @@
 
 #[rstest]
 #[case::free(counts(8, [4, 3, 2], [0; 3]), Urgency::Interactive, 0, 0.5)]
-#[case::kept_for_interactive(counts(8, [4, 2, 2], [0; 3]), Urgency::Deadline, 0, 0.25)]
+#[case::reserved_for_interactive(counts(8, [4, 2, 2], [0; 3]), Urgency::Deadline, 0, 0.25)]
 #[case::a_queue(counts(8, [0; 3], [0, 4, 8]), Urgency::BestEffort, 0, -1.0)]
-#[case::less_urgent_stands_behind(counts(8, [0; 3], [0, 4, 8]), Urgency::Interactive, 0, 0.0)]
+#[case::less_urgent_is_not_ahead(counts(8, [0; 3], [0, 4, 8]), Urgency::Interactive, 0, 0.0)]
 #[case::sent_since(counts(8, [4; 3], [0; 3]), Urgency::Deadline, 6, -0.25)]
 #[case::no_slots(counts(0, [0; 3], [0; 3]), Urgency::Deadline, 0, f64::NEG_INFINITY)]
-fn room(
+fn free_capacity_is_relative_to_slots(
     #[case] counts: board::Counts,
     #[case] urgency: Urgency,
     #[case] sent: u32,
@@ -76,9 +76,10 @@
     assert_eq!(counts.room(urgency, sent), expected);
 }
 
-/// The fullest of three loses every draw, the emptiest wins each that it is in.
+/// Of three holders the one with the fewest free slots is never chosen, and the
+/// one with the most is chosen in each draw that it is part of.
 #[test]
-fn the_better_of_two_wins() {
+fn the_better_of_two_is_chosen() {
     let now = time::Instant::now();
     let [worst, middle, best] = chosen(&board(&[0, 4, 8], now), &[], now);
     assert_eq!(worst, 0);
@@ -86,24 +87,24 @@
 }
 
 #[rstest]
-#[case::what_was_sent(|board: &mut board::Board, _| (0..9).for_each(|_| board.sent(&service(), &member(2))))]
+#[case::requests_sent(|board: &mut board::Board, _| (0..9).for_each(|_| board.sent(&service(), &member(2))))]
 #[case::a_refusal(|board: &mut board::Board, _| board.refused(&service(), &member(2)))]
-#[case::no_slots_left(|board: &mut board::Board, now| hear(board, 2, board::Counts::default(), now))]
-#[case::a_service_given_up(|board: &mut board::Board, now| board.hear(&member(2), &IndexMap::new(), now))]
-#[case::gone(|board: &mut board::Board, _| board.retain(|known| *known != member(2)))]
+#[case::no_slots_left(|board: &mut board::Board, now| report(board, 2, board::Counts::default(), now))]
+#[case::a_service_no_longer_held(|board: &mut board::Board, now| board.hear(&member(2), &IndexMap::new(), now))]
+#[case::member_gone(|board: &mut board::Board, _| board.retain(|known| *known != member(2)))]
 fn the_best_is_no_longer_chosen_after(#[case] change: fn(&mut board::Board, time::Instant)) {
     let now = time::Instant::now();
     let mut board = board(&[1, 1, 8], now);
     assert!(chosen(&board, &[], now)[2] > 0);
     change(&mut board, now);
     assert_eq!(chosen(&board, &[], now)[2], 0);
-    // Whoever speaks again is believed again.
-    hear(&mut board, 2, counts(8, [8; 3], [0; 3]), now);
+    // A new report makes the holder eligible again.
+    report(&mut board, 2, counts(8, [8; 3], [0; 3]), now);
     assert!(chosen(&board, &[], now)[2] > 0);
 }
 
 #[test]
-fn an_excluded_one_is_not_chosen() {
+fn an_excluded_holder_is_not_chosen() {
     let now = time::Instant::now();
     let board = board(&[1, 1, 8], now);
     assert_eq!(chosen(&board, &[member(2)], now)[2], 0);
@@ -112,15 +113,15 @@
 }
 
 #[test]
-fn an_old_line_counts_as_full_and_its_holder_as_silent() {
+fn stale_counts_have_no_free_slot_and_their_holder_is_unresponsive() {
     let now = time::Instant::now();
     let mut board = board(&[1, 1, 8], now);
     let old = now + time::Duration::from_millis(1_501);
     for number in [0, 1] {
-        hear(&mut board, number, counts(8, [1; 3], [0; 3]), old);
+        report(&mut board, number, counts(8, [1; 3], [0; 3]), old);
     }
     assert!(!board.is_silent(&member(2), now + time::Duration::from_millis(1_500)));
     assert!(board.is_silent(&member(2), old));
-    assert!(board.is_silent(&member(9), now), "never heard");
+    assert!(board.is_silent(&member(9), now), "never reported");
     assert_eq!(chosen(&board, &[], old)[2], 0);
 }
--- a/crates/figscale-core/tests/request_once.rs
+++ b/crates/figscale-core/tests/request_once.rs
@@ -1,4 +1,4 @@
-//! The memory of request ids, alone and through changes of home.
+//! Deduplication of request ids, at one home and through changes of home.
 
 use std::time;
 
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn an_id_is_let_through_once() {
+fn an_id_is_admitted_once() {
     let mut memory = memory();
     let id = id(11_000, 1);
     assert_eq!(memory.begin(id, AttemptId(1), 11_000), Begin::Fresh);
-    // A lost answer is asked for again by the same attempt.
+    // The same attempt asks again after its response was lost.
     assert_eq!(memory.begin(id, AttemptId(1), 11_001), Begin::Fresh);
     let repeat = Begin::Repeat(Verdict::MayHaveRun);
     assert_eq!(memory.begin(id, AttemptId(2), 11_002), repeat);
@@ -58,10 +58,10 @@
 }
 
 #[rstest]
-#[case::long_before(9_000, Begin::Forgotten)]
+#[case::long_before_the_floor(9_000, Begin::Forgotten)]
 #[case::at_the_floor(10_200, Begin::Forgotten)]
 #[case::after_the_floor(10_201, Begin::Fresh)]
-#[case::a_little_ahead(11_100, Begin::Fresh)]
+#[case::ahead_within_the_tolerance(11_100, Begin::Fresh)]
 #[case::in_the_future(11_101, Begin::FromFuture)]
 fn a_time_stamp_decides_at_a_new_home(#[case] stamp_ms: u64, #[case] expected: Begin) {
     let answer = memory().begin(id(stamp_ms, 1), AttemptId(1), 11_000);
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn an_id_of_another_kind_is_refused() {
+fn an_id_that_is_not_a_uuidv7_is_refused() {
     let random = ids::RequestId("8d3e0b0c-3f0c-4d2a-9d3f-1f0e2f3a4b5c".parse().unwrap());
     let answer = memory().begin(random, AttemptId(1), 11_000);
     assert_eq!(answer, Begin::FromFuture);
 }
 
 #[test]
-fn memory_is_bounded_and_what_it_forgets_is_refused() {
+fn memory_is_bounded_and_forgotten_ids_are_refused() {
     let mut memory = memory();
     for number in 0..100 {
         let id = id(11_000 + number, number);
@@ -96,16 +96,16 @@
     }
 }
 
-/// One step of the world around a home.
+/// One step of the simulated run around a home.
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
-    /// The caller with this number of a new id, whose clock is this far off.
+    /// A new id from a caller whose clock is off by this many milliseconds.
     New(i64),
-    /// Repeats one of the ids so far.
+    /// Repeats one of the ids used so far.
     Repeat(prop::sample::Index),
     End(prop::sample::Index, bool),
-    /// Another home takes over; its clock is this far off.
+    /// Another home takes over; its clock is off by this many milliseconds.
     NewHome(i64),
 }
 
@@ -121,10 +121,10 @@
 }
 
 proptest! {
-    /// Whatever the homes forget, no id is let through again unless an earlier
-    /// attempt is known not to have run.
+    /// Homes forget ids, and change without a hand-over of their memory. Even so,
+    /// no id is admitted again unless the earlier attempt is known not to have run.
     #[test]
-    fn no_id_is_let_through_twice(steps in prop::collection::vec(step(), 1..200)) {
+    fn no_id_is_admitted_twice(steps in prop::collection::vec(step(), 1..200)) {
         let mut now_ms = 100_000_u64;
         let mut home_off = 0_i64;
         let mut memory = once::Memory::new(config(), now_ms);
@@ -166,7 +166,7 @@
                 attempt += 1;
                 if memory.begin(id, AttemptId(attempt), home_ms) == Begin::Fresh {
                     let before = open.insert(id, AttemptId(attempt));
-                    prop_assert!(before.is_none(), "{id} was let through twice");
+                    prop_assert!(before.is_none(), "{id} was admitted twice");
                 }
             }
         }
--- a/crates/figscale-core/tests/request_outlier.rs
+++ b/crates/figscale-core/tests/request_outlier.rs
@@ -1,11 +1,12 @@
-//! Runners that fail everything: set aside, probed, brought back.
+//! Outlier ejection: runners that fail every request are ejected, probed and
+//! used again.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
 use std::time;
 
 use figscale_core::request::outlier;
-use figscale_core::request::outlier::Use;
+use figscale_core::request::outlier::Eligibility;
 use figscale_types::ids;
 use rstest::rstest;
 
@@ -17,100 +18,106 @@
     outlier::Outliers::new(outlier::OutlierConfig::default())
 }
 
-/// Fails a runner of ten until it is set aside.
+/// Fails requests on one of ten runners until it is ejected.
 fn eject(outliers: &mut outlier::Outliers, number: usize, now: time::Instant) -> bool {
-    (0..5).any(|_| outliers.bad(&runner(number), 10, now))
+    (0..5).any(|_| outliers.record_failure(&runner(number), 10, now))
 }
 
 #[rstest]
-#[case::too_few("bbbb", Use::Open)]
-#[case::in_a_row("bbbbb", Use::Ejected)]
-#[case::not_in_a_row("bbbbgbbbb", Use::Open)]
-#[case::nothing_said("bbbbnb", Use::Ejected)]
-fn failures_in_a_row_eject(#[case] answers: &str, #[case] expected: Use) {
+#[case::too_few("bbbb", Eligibility::Open)]
+#[case::in_a_row("bbbbb", Eligibility::Ejected)]
+#[case::not_in_a_row("bbbbgbbbb", Eligibility::Open)]
+#[case::neutral_ends_do_not_interrupt("bbbbnb", Eligibility::Ejected)]
+fn failures_in_a_row_eject(#[case] answers: &str, #[case] expected: Eligibility) {
     let now = time::Instant::now();
     let mut outliers = outliers();
     for answer in answers.chars() {
-        outliers.sent(&runner(1));
+        outliers.record_sent(&runner(1));
         match answer {
             'b' => {
-                outliers.bad(&runner(1), 10, now);
+                outliers.record_failure(&runner(1), 10, now);
             }
-            'g' => outliers.good(&runner(1)),
-            _ => outliers.neutral(&runner(1)),
+            'g' => outliers.record_success(&runner(1)),
+            _ => outliers.record_neutral(&runner(1)),
         }
     }
-    assert_eq!(outliers.use_of(&runner(1), now), expected);
+    assert_eq!(outliers.eligibility(&runner(1), now), expected);
 }
 
-/// However many fail, a share stays in use.
+/// A share of the runners stays in use, however many fail.
 #[rstest]
 #[case::ten(10, 3)]
 #[case::four(4, 1)]
 #[case::three(3, 0)]
-fn a_service_is_never_emptied(#[case] runners: usize, #[case] expected: usize) {
+fn a_service_keeps_runners_when_all_fail(#[case] runners: usize, #[case] expected: usize) {
     let now = time::Instant::now();
     let mut outliers = outliers();
     for number in 0..runners {
         for _ in 0..9 {
-            outliers.bad(&runner(number), runners, now);
+            outliers.record_failure(&runner(number), runners, now);
         }
     }
     assert_eq!(outliers.ejected(now), expected);
 }
 
 #[test]
-fn one_probe_at_a_time_brings_it_back() {
+fn one_probe_at_a_time_ends_the_ejection() {
     let now = time::Instant::now();
     let mut outliers = outliers();
     assert!(eject(&mut outliers, 1, now));
     let later = now + time::Duration::from_secs(2);
     assert_eq!(outliers.next_probe(now), Some(later));
-    assert_eq!(outliers.use_of(&runner(1), later), Use::Probe);
-    outliers.sent(&runner(1));
-    assert_eq!(outliers.use_of(&runner(1), later), Use::Ejected);
-    // A probe that was never sent leaves the place to the next one.
-    outliers.neutral(&runner(1));
-    assert_eq!(outliers.use_of(&runner(1), later), Use::Probe);
-    outliers.sent(&runner(1));
-    outliers.good(&runner(1));
-    assert_eq!(outliers.use_of(&runner(1), later), Use::Open);
+    assert_eq!(outliers.eligibility(&runner(1), later), Eligibility::Probe);
+    outliers.record_sent(&runner(1));
+    assert_eq!(
+        outliers.eligibility(&runner(1), later),
+        Eligibility::Ejected
+    );
+    // After a probe that was never sent another one is allowed.
+    outliers.record_neutral(&runner(1));
+    assert_eq!(outliers.eligibility(&runner(1), later), Eligibility::Probe);
+    outliers.record_sent(&runner(1));
+    outliers.record_success(&runner(1));
+    assert_eq!(outliers.eligibility(&runner(1), later), Eligibility::Open);
 }
 
-/// One that was brought back is judged like any other: by failures in a row.
+/// A runner whose ejection has ended is ejected again only by failures in a row.
 #[rstest]
-#[case::not_in_a_row("bbbbgbbbb", Use::Open)]
-#[case::in_a_row("bbbbb", Use::Ejected)]
-fn one_brought_back_may_fail_now_and_then(#[case] answers: &str, #[case] expected: Use) {
+#[case::not_in_a_row("bbbbgbbbb", Eligibility::Open)]
+#[case::in_a_row("bbbbb", Eligibility::Ejected)]
+fn after_an_ejection_single_failures_do_not_eject(
+    #[case] answers: &str,
+    #[case] expected: Eligibility,
+) {
     let now = time::Instant::now();
     let mut outliers = outliers();
     eject(&mut outliers, 1, now);
     let later = now + time::Duration::from_secs(2);
-    outliers.sent(&runner(1));
-    outliers.good(&runner(1));
+    outliers.record_sent(&runner(1));
+    outliers.record_success(&runner(1));
     for answer in answers.chars() {
         match answer {
             'b' => {
-                outliers.bad(&runner(1), 10, later);
+                outliers.record_failure(&runner(1), 10, later);
             }
-            _ => outliers.good(&runner(1)),
+            _ => outliers.record_success(&runner(1)),
         }
     }
-    assert_eq!(outliers.use_of(&runner(1), later), expected);
+    assert_eq!(outliers.eligibility(&runner(1), later), expected);
 }
 
-/// An answer to what was sent before the ejection is no probe.
+/// The response to a request sent before the ejection does not end it.
 #[test]
-fn a_late_good_answer_is_no_probe() {
+fn a_late_success_is_not_a_probe() {
     let now = time::Instant::now();
     let mut outliers = outliers();
     eject(&mut outliers, 1, now);
-    outliers.good(&runner(1));
-    assert_eq!(outliers.use_of(&runner(1), now), Use::Ejected);
+    outliers.record_success(&runner(1));
+    assert_eq!(outliers.eligibility(&runner(1), now), Eligibility::Ejected);
 }
 
 #[test]
-fn failed_probes_double_the_time_up_to_the_longest() {
+fn failed_probes_double_the_ejection_up_to_the_longest() {
     let mut now = time::Instant::now();
     let mut outliers = outliers();
     eject(&mut outliers, 1, now);
@@ -118,7 +125,7 @@
         let until = outliers.next_probe(now).unwrap();
         assert_eq!(until - now, time::Duration::from_secs(expected_s));
         now = until;
-        outliers.sent(&runner(1));
-        assert!(outliers.bad(&runner(1), 10, now));
+        outliers.record_sent(&runner(1));
+        assert!(outliers.record_failure(&runner(1), 10, now));
     }
 }
--- a/crates/figscale-core/tests/request_pace.rs
+++ b/crates/figscale-core/tests/request_pace.rs
@@ -1,4 +1,4 @@
-//! Measured run times, and the pace at which a queue moves.
+//! Measured run times, and the time between grants of a queue.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -16,13 +16,13 @@
     format!("entry-{number}").parse().unwrap()
 }
 
-/// Mean of an entry in milliseconds after these run times.
+/// Mean of an entry, in milliseconds, after these run times.
 #[rstest]
-#[case::nothing_known(&[], 0)]
-#[case::the_first_counts_whole(&[200], 200)]
-#[case::a_tenth_of_each_further(&[200, 300], 210)]
-#[case::it_follows(&[200; 100], 200)]
-fn run_times_are_learned(#[case] runs_ms: &[u64], #[case] expected_ms: u64) {
+#[case::no_samples(&[], 0)]
+#[case::the_first_is_the_mean(&[200], 200)]
+#[case::each_further_weighs_a_tenth(&[200, 300], 210)]
+#[case::steady(&[200; 100], 200)]
+fn mean_run_times_follow_samples(#[case] runs_ms: &[u64], #[case] expected_ms: u64) {
     let service = "hullrate".parse().unwrap();
     let mut times = service_time::ServiceTimes::default();
     for run in runs_ms {
@@ -34,9 +34,10 @@
     assert_eq!(times.of_entry(&entry(2)), ms(0));
 }
 
-/// A full memory takes no new entry and goes on learning of those it has.
+/// At the maximum number of entries no entry is added, and the means of the
+/// existing ones are still updated.
 #[test]
-fn a_full_memory_goes_on_learning() {
+fn at_the_limit_existing_entries_are_updated() {
     let service = "hullrate".parse().unwrap();
     let mut times = service_time::ServiceTimes::default();
     for number in 0..10_001 {
@@ -47,29 +48,37 @@
     assert!(times.of_entry(&entry(1)) > ms(890));
 }
 
-/// Grants at these times, with so many left waiting; then what five ahead mean.
+/// Grants at these times, each with the number of requests still waiting, and the
+/// wait expected with five requests ahead.
 #[rstest]
-#[case::nothing_known(&[], 0, 0)]
+#[case::no_grants(&[], 0, 0)]
 #[case::steady(&[(0, 9), (20, 8), (40, 7)], 40, 100)]
-#[case::nobody_waited_between(&[(0, 0), (500, 9), (520, 8)], 520, 100)]
+#[case::nothing_waited_between(&[(0, 0), (500, 9), (520, 8)], 520, 100)]
 #[case::stalled(&[(0, 9), (20, 8)], 320, 1_500)]
-#[case::nobody_waits_now(&[(0, 9), (20, 0)], 9_000, 100)]
-fn a_pace(#[case] grants: &[(u64, usize)], #[case] now_ms: u64, #[case] expected_ms: u64) {
+#[case::nothing_waits_now(&[(0, 9), (20, 0)], 9_000, 100)]
+fn the_time_between_grants_gives_the_wait(
+    #[case] grants: &[(u64, usize)],
+    #[case] now_ms: u64,
+    #[case] expected_ms: u64,
+) {
     let start = time::Instant::now();
-    let mut pace = service_time::Pace::default();
+    let mut grant_interval = service_time::GrantInterval::default();
     for (at, waiting) in grants {
-        pace.granted(*waiting, start + ms(*at));
+        grant_interval.record_grant(*waiting, start + ms(*at));
     }
-    assert_eq!(pace.expect(5, start + ms(now_ms)), ms(expected_ms));
-    assert_eq!(pace.expect(0, start + ms(now_ms)), ms(0));
+    assert_eq!(
+        grant_interval.expected_wait(5, start + ms(now_ms)),
+        ms(expected_ms)
+    );
+    assert_eq!(grant_interval.expected_wait(0, start + ms(now_ms)), ms(0));
 }
 
-/// Whoever waits before the first grant is counted from then on.
+/// Before the first grant, the time since the first request began to wait counts.
 #[test]
 fn a_queue_that_never_moved_is_stalled() {
     let start = time::Instant::now();
-    let mut pace = service_time::Pace::default();
-    pace.waits(start);
-    pace.waits(start + ms(50));
-    assert_eq!(pace.expect(2, start + ms(100)), ms(200));
+    let mut grant_interval = service_time::GrantInterval::default();
+    grant_interval.record_waiting(start);
+    grant_interval.record_waiting(start + ms(50));
+    assert_eq!(grant_interval.expected_wait(2, start + ms(100)), ms(200));
 }
--- a/crates/figscale-core/tests/request_queue.rs
+++ b/crates/figscale-core/tests/request_queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue: shares, order, bounds and the way out.
+//! The fair queue: weights, order, deadlines and removal.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -46,7 +46,7 @@
 fn owners_get_their_weights(#[case] first: u32, #[case] second: u32, #[case] expected: usize) {
     let mut queue = queue::FairQueue::new(queue::QueueConfig::default());
     for ticket in 0..200 {
-        // The second owner's deadlines are all earlier, which buys it nothing.
+        // The second owner's deadlines are all earlier, which must have no effect.
         queue.push(&waiting(ticket, "a", first, Urgency::Deadline, 900));
         queue.push(&waiting(
             1_000 + ticket,
@@ -72,20 +72,22 @@
 }
 
 #[test]
-fn urgent_first_but_nobody_starves() {
-    let mut queue = queue::FairQueue::new(queue::QueueConfig { lesser_every: 8 });
+fn urgent_first_without_starving_best_effort() {
+    let mut queue = queue::FairQueue::new(queue::QueueConfig {
+        low_urgency_every: 8,
+    });
     for ticket in 0..100 {
         queue.push(&waiting(ticket, "a", 1, Urgency::Interactive, 100));
         queue.push(&waiting(1_000 + ticket, "a", 1, Urgency::BestEffort, 100));
     }
     let taken: Vec<_> = (0..80).map(|_| queue.pop(|_| true).unwrap().0).collect();
-    let lesser = taken.iter().filter(|ticket| **ticket >= 1_000).count();
-    assert_eq!(lesser, 9);
+    let best_effort = taken.iter().filter(|ticket| **ticket >= 1_000).count();
+    assert_eq!(best_effort, 9);
     assert!(taken[0] < 1_000);
 }
 
 #[test]
-fn a_closed_urgency_is_passed_over() {
+fn an_urgency_that_is_not_allowed_is_skipped() {
     let mut queue = queue::FairQueue::new(queue::QueueConfig::default());
     queue.push(&waiting(1, "a", 1, Urgency::BestEffort, 100));
     assert_eq!(queue.pop(|u| u != Urgency::BestEffort), None);
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn deadlines_come_in_order() {
+fn requests_expire_in_order_of_deadline() {
     let mut queue = queue::FairQueue::new(queue::QueueConfig::default());
     for (ticket, due_ms) in [(1, 300), (2, 100), (3, 200)] {
         queue.push(&waiting(ticket, "a", 1, Urgency::Deadline, due_ms));
@@ -112,10 +114,10 @@
 }
 
 proptest! {
-    /// Every request leaves exactly once, by a grant or a cancellation, and the
-    /// queue's own count stays right.
+    /// Every request leaves the queue exactly once, by a grant or a cancellation,
+    /// and the queue's length stays correct.
     #[test]
-    fn nothing_is_lost_or_doubled(steps in prop::collection::vec(
+    fn no_request_is_lost_or_duplicated(steps in prop::collection::vec(
         prop_oneof![
             3 => (0_u8..4, 0_u8..3, 0_u16..50).prop_map(|(o, u, d)| Step::Push(o, u, d)),
             2 => Just(Step::Pop),
--- a/crates/figscale-core/tests/request_slots.rs
+++ b/crates/figscale-core/tests/request_slots.rs
@@ -1,4 +1,4 @@
-//! The slot table: who may be asked how much, through takings-over and losses.
+//! The slot table: limits of a runner through take-overs and lost requests.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -49,8 +49,13 @@
     })
 }
 
-/// Takes the shard; `last` is the last dispatch of an earlier holder.
-fn take(table: &mut slots::SlotTable, epoch: u64, last: Option<time::Instant>, now: time::Instant) {
+/// Acquires the shard; `last` is the last dispatch of an earlier holder.
+fn acquire(
+    table: &mut slots::SlotTable,
+    epoch: u64,
+    last: Option<time::Instant>,
+    now: time::Instant,
+) {
     let held = slots::HeldShard {
         epoch: ids::Epoch(epoch),
         last_foreign_dispatch: last,
@@ -68,15 +73,15 @@
 fn a_clean_hand_over_leaves_every_slot_free() {
     let now = time::Instant::now();
     let mut table = table();
-    take(&mut table, 1, None, now);
+    acquire(&mut table, 1, None, now);
     assert_eq!(free(&table, now), SLOTS);
 }
 
 #[test]
-fn an_unclean_one_keeps_all_back_for_the_longest_run() {
+fn an_unclean_take_over_withholds_all_slots_for_the_longest_run() {
     let now = time::Instant::now();
     let mut table = table();
-    take(&mut table, 1, Some(now), now);
+    acquire(&mut table, 1, Some(now), now);
     let end = now + ms(SETTLE_MS + RUN_MS);
     assert_eq!(free(&table, end - ms(1)), 0);
     assert!(!table.take(&runner(), end - ms(1)));
@@ -88,26 +93,26 @@
 #[case::late_enough(SETTLE_MS + 1, 0, 8)]
 #[case::some_still_run(SETTLE_MS + 1, 3, 5)]
 #[case::more_than_there_are(SETTLE_MS + 1, 9, 0)]
-fn a_report_frees_what_it_shows_free(
+fn a_report_releases_slots_that_it_shows_free(
     #[case] taken_ms: u64,
     #[case] busy: u32,
     #[case] expected: u32,
 ) {
     let now = time::Instant::now();
     let mut table = table();
-    take(&mut table, 1, Some(now), now);
+    acquire(&mut table, 1, Some(now), now);
     let taken = now + ms(taken_ms);
     table.report(&runner(), busy, taken, taken);
     assert_eq!(free(&table, taken), expected);
 }
 
 #[test]
-fn a_lost_slot_comes_back_by_report_or_time() {
+fn a_lost_slot_is_released_by_a_report_or_by_time() {
     let now = time::Instant::now();
     let mut table = table();
-    take(&mut table, 1, None, now);
+    acquire(&mut table, 1, None, now);
     assert!(table.take(&runner(), now));
-    table.lose(&runner(), ms(RUN_MS), now);
+    table.mark_lost(&runner(), ms(RUN_MS), now);
     assert_eq!(free(&table, now), SLOTS - 1);
     table.report(&runner(), 0, now + ms(SETTLE_MS), now + ms(SETTLE_MS));
     assert_eq!(free(&table, now), SLOTS - 1, "a report that is too early");
@@ -120,10 +125,10 @@
 #[rstest]
 #[case::by_the_list(true)]
 #[case::by_itself(false)]
-fn a_leaving_runner_gets_nothing(#[case] by_list: bool) {
+fn a_leaving_runner_gets_no_requests(#[case] by_list: bool) {
     let now = time::Instant::now();
     let mut table = table();
-    take(&mut table, 1, None, now);
+    acquire(&mut table, 1, None, now);
     if by_list {
         let held = slots::HeldShard {
             epoch: ids::Epoch(1),
@@ -138,32 +143,32 @@
 }
 
 #[test]
-fn own_requests_outlast_the_shard() {
+fn requests_in_progress_count_after_the_shard_is_released_and_held_again() {
     let now = time::Instant::now();
     let mut table = table();
-    take(&mut table, 1, None, now);
+    acquire(&mut table, 1, None, now);
     for _ in 0..3 {
         assert!(table.take(&runner(), now));
     }
     table.update(&IndexMap::new(), |_| ms(RUN_MS), now);
     assert_eq!(free(&table, now), 0);
     assert!(!table.is_shard_idle(&shard(), now));
-    // Held again, with nothing of the holder between left.
-    take(&mut table, 3, None, now);
+    // Held again; the holder in between left nothing in progress.
+    acquire(&mut table, 3, None, now);
     assert_eq!(free(&table, now), SLOTS - 3);
 }
 
-/// One step of the runner and of whoever holds it.
+/// One step of the runner and its holders.
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
     Dispatch,
-    /// The request with this index ends and is seen to.
+    /// The request with this index ends, and its holder observes the end.
     End(prop::sample::Index),
     /// The connection of the request with this index breaks; it runs on.
     Break(prop::sample::Index),
     Report,
-    /// Another holder takes over, having seen nothing of what runs.
+    /// Another holder takes over without knowing which requests run.
     TakeOver,
 }
 
@@ -178,18 +183,18 @@
     ]
 }
 
-/// A request at the runner: when it arrives, when it must be over, and whether
-/// the present holder watches it.
+/// A request at the runner: when it arrives, when it must have ended, and whether
+/// the present holder observes its end.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     arrives: time::Instant,
     ends: time::Instant,
-    watched: bool,
+    observed: bool,
 }
 
 proptest! {
-    /// The runner, which sees every request however late it arrives, never has
-    /// more of them than slots.
+    /// A runner never has more requests than slots, also when requests of an
+    /// earlier holder or of broken connections arrive late.
     #[test]
     fn a_runner_never_has_more_than_its_slots(
         steps in prop::collection::vec(step(), 1..300),
@@ -197,34 +202,34 @@
     ) {
         let mut now = time::Instant::now();
         let mut table = table();
-        take(&mut table, 1, None, now);
+        acquire(&mut table, 1, None, now);
         let mut epoch = 1;
         let mut runs: Vec<Run> = Vec::new();
         let mut chance = seed;
         for step in steps {
-            // Unwatched runs end by themselves, watched ones when they are seen to.
-            runs.retain(|run| run.watched || now < run.ends);
+            // Unobserved runs end by time, observed ones by a step.
+            runs.retain(|run| run.observed || now < run.ends);
             match step {
                 Step::Wait(wait) => now += ms(wait),
                 Step::Dispatch if table.take(&runner(), now) => {
                     chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
                     let arrives = now + ms((chance >> 33) % SETTLE_MS);
                     let ends = arrives + ms(RUN_MS);
-                    runs.push(Run { arrives, ends, watched: true });
+                    runs.push(Run { arrives, ends, observed: true });
                 }
                 Step::End(index) if !runs.is_empty() => {
                     let at = index.index(runs.len());
-                    if runs[at].watched {
+                    if runs[at].observed {
                         table.free(&runner());
                         runs.swap_remove(at);
                     }
                 }
                 Step::Break(index) if !runs.is_empty() => {
                     let at = index.index(runs.len());
-                    if runs[at].watched {
-                        runs[at].watched = false;
+                    if runs[at].observed {
+                        runs[at].observed = false;
                         runs[at].ends = runs[at].ends.max(now + ms(RUN_MS));
-                        table.lose(&runner(), ms(RUN_MS), now);
+                        table.mark_lost(&runner(), ms(RUN_MS), now);
                     }
                 }
                 Step::Report => {
@@ -233,18 +238,18 @@
                 }
                 Step::TakeOver => {
                     for run in &mut runs {
-                        if run.watched {
-                            run.watched = false;
+                        if run.observed {
+                            run.observed = false;
                             run.ends = now + ms(RUN_MS);
                         }
                     }
                     epoch += 1;
                     table = self::table();
-                    take(&mut table, epoch, Some(now), now);
+                    acquire(&mut table, epoch, Some(now), now);
                 }
                 _ => {}
             }
-            runs.retain(|run| run.watched || now < run.ends);
+            runs.retain(|run| run.observed || now < run.ends);
             prop_assert!(runs.len() <= SLOTS as usize, "{} requests", runs.len());
         }
     }
