--- a/crates/figscale-core/examples/placement_bench/baseline.rs
+++ b/crates/figscale-core/examples/placement_bench/baseline.rs
@@ -1,4 +1,4 @@
-//! Ways of choosing a worker to compare with.
+//! Baseline methods for choosing a worker.
 
 use std::time;
 
@@ -10,11 +10,11 @@
 /// How a worker is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Choice {
-    /// As the product does.
+    /// By score, as figscale does.
     Scored,
-    /// The first that fits.
+    /// The first worker on which the task fits.
     FirstFit,
-    /// One drawn by chance among those that fit.
+    /// A random worker among those on which the task fits.
     Random,
 }
 
@@ -31,11 +31,11 @@
             Self::Scored => return cluster.place(ask, now, None).ok(),
             Self::FirstFit => cluster.workers().find(fits)?.id().clone(),
             Self::Random => {
-                let roomy: Vec<_> = cluster.workers().filter(fits).collect();
-                if roomy.is_empty() {
+                let fitting: Vec<_> = cluster.workers().filter(fits).collect();
+                if fitting.is_empty() {
                     return None;
                 }
-                roomy[rng.random_range(0..roomy.len())].id().clone()
+                fitting[rng.random_range(0..fitting.len())].id().clone()
             }
         };
         cluster.reserve(ask.clone(), &id, now, None).ok()?;
--- a/crates/figscale-core/examples/placement_bench/drive.rs
+++ b/crates/figscale-core/examples/placement_bench/drive.rs
@@ -1,4 +1,5 @@
-//! A loop in virtual time: arrivals and ends go in, placements come out.
+//! Event loop in virtual time: takes arrivals and ends of tasks, decides
+//! placements and measures them.
 
 use std::cmp;
 use std::collections::BinaryHeap;
@@ -20,28 +21,28 @@
 
 const WORKERS: u32 = 50;
 const LOAD: f64 = 1.15;
-/// Time during which jobs arrive.
-const SPAN_S: f64 = 4.0 * 3_600.0;
-/// Time from which packing is counted; the cell is full by then.
-const FULL_FROM_S: f64 = 3_600.0;
-/// Time that a task takes to save its state, and that going on costs.
+/// Duration of the arrivals.
+const ARRIVALS_S: f64 = 4.0 * 3_600.0;
+/// Time from which packing is measured; the cell is full by then.
+const PACKING_FROM_S: f64 = 3_600.0;
+/// Time that a task takes to save its state, and again to resume from it.
 const CHECKPOINT_S: f64 = 5.0;
 const STOP_S: f64 = 1.0;
-/// Everything that happens within this time is decided in one pass.
+/// Events within this time are handled before one pass decides on them.
 const TICK_S: f64 = 0.1;
 
-/// A policy as a whole.
+/// A scheduling policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Policy {
-    /// The product.
+    /// figscale with the weights of the user.
     Figscale,
-    /// The product with the weights of the other user.
+    /// figscale with the weights of the other user.
     Swapped,
-    /// One queue; whoever does not fit holds up all behind it.
+    /// Strict order of arrival: a job that does not fit blocks all jobs behind it.
     Fifo,
-    /// Order of arrival, passing over what does not fit; first worker.
+    /// Order of arrival, skipping jobs that do not fit; first worker that fits.
     FirstFit,
-    /// The same with a worker drawn by chance.
+    /// Like [`Policy::FirstFit`], with a random worker that fits.
     Random,
 }
 
@@ -105,7 +106,7 @@
             weights: match policy {
                 Policy::Figscale => user.weights(),
                 Policy::Swapped => user.other().weights(),
-                // Baselines keep nothing back.
+                // With a waiting weight of 0, baselines reserve nothing for urgent work.
                 _ => catalogue::Weights {
                     waiting: 0.0,
                     packing: 1.0,
@@ -139,26 +140,26 @@
     }
 
     fn run(mut self) -> Report {
-        let mut last_s = FULL_FROM_S;
+        let mut last_s = PACKING_FROM_S;
         while let Some(cmp::Reverse((at, event))) = self.events.pop() {
             let at_s = at as f64 / 1e6;
-            if at_s > FULL_FROM_S && at_s < SPAN_S {
+            if at_s > PACKING_FROM_S && at_s < ARRIVALS_S {
                 self.count_packing(at_s - last_s);
                 last_s = at_s;
             }
             self.now_s = at_s;
-            self.take(event);
+            self.handle(event);
             let until = micros(at_s + TICK_S);
             while let Some(cmp::Reverse((next, _))) = self.events.peek()
                 && *next <= until
             {
                 if let Some(cmp::Reverse((_, event))) = self.events.pop() {
-                    self.take(event);
+                    self.handle(event);
                 }
             }
             self.decide();
         }
-        let full_s = SPAN_S - FULL_FROM_S;
+        let full_s = ARRIVALS_S - PACKING_FROM_S;
         self.report.cpu /= full_s;
         self.report.memory /= full_s;
         self.report.accelerators /= full_s;
@@ -178,7 +179,7 @@
         self.base + time::Duration::from_secs_f64(self.now_s)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival(job) => {
                 let tasks = 0..u32::try_from(self.jobs[job].run_s.len()).expect("few");
@@ -242,7 +243,7 @@
         }
     }
 
-    /// A task gave up its room and waits again.
+    /// Releases the resources of a preempted task and queues it again.
     fn evict(&mut self, job: usize, index: u32, number: u32) {
         let task = task(job, index);
         let Some(attempt) = self.attempts.get_mut(&task) else {
@@ -326,12 +327,12 @@
             self.refresh_ran();
             let ask = work.ask(&placement::Pending::first(0));
             if let Some(plan) = planner.plan(&mut self.cluster, &ask) {
-                self.carry_out(plan);
+                self.execute(plan);
             }
         }
     }
 
-    /// Reports of workers bring how long tasks ran; here that is known.
+    /// Updates how long tasks have run, which workers report in a real cell.
     fn refresh_ran(&mut self) {
         let workers: Vec<_> = self.cluster.workers().map(|w| w.id().clone()).collect();
         let now = self.now();
@@ -365,7 +366,7 @@
         }
     }
 
-    fn carry_out(&mut self, plan: preempt::Plan) {
+    fn execute(&mut self, plan: preempt::Plan) {
         for step in plan.steps {
             let takes_s = match step.action {
                 protocol::TaskAction::Checkpoint => CHECKPOINT_S,
@@ -444,12 +445,12 @@
 }
 
 pub(crate) fn run(seeds: &[u64]) {
-    println!("load {LOAD} of {WORKERS} workers for {SPAN_S} s; waits in seconds, p50/p99");
+    println!("load {LOAD} of {WORKERS} workers for {ARRIVALS_S} s; waits in seconds, p50/p99");
     for user in [mix::User::Fraser, mix::User::Firth] {
         for seed in seeds {
             println!("{user:?}, seed {seed}, weights {:?}", user.weights());
             let mut rng = StdRng::seed_from_u64(*seed);
-            let jobs = mix::draw(user, WORKERS, LOAD, SPAN_S, &mut rng);
+            let jobs = mix::draw(user, WORKERS, LOAD, ARRIVALS_S, &mut rng);
             for policy in [
                 Policy::Figscale,
                 Policy::Swapped,
--- a/crates/figscale-core/examples/placement_bench/main.rs
+++ b/crates/figscale-core/examples/placement_bench/main.rs
@@ -1,13 +1,14 @@
-//! Measures placement against baselines, in one run.
+//! Measures placement decisions and compares them with baselines.
 //!
 //! `placement_bench speed [SEED]` times single decisions and whole passes at
-//! 50, 200 and 930 workers. `placement_bench policy [SEED...]` feeds arrivals
-//! and ends of each user's mix through a loop in virtual time and prints wait
-//! by urgency, packing, deadlines missed and work lost. The loop knows nothing
-//! of networks or failures; it is no simulator of a cell.
+//! 50, 200 and 930 workers. `placement_bench policy [SEED...]` runs the mix of
+//! each user through an event loop in virtual time and prints waits by urgency,
+//! packing, missed deadlines and lost work. The loop models neither the network
+//! nor failures, so it is not a simulator of a cell.
 //!
-//! The loop's figures depend only on the seed. Times are wall-clock times of a
-//! machine that may be busy, so counts of decisions stand beside them.
+//! The figures of the loop depend only on the seed. Times of `speed` are
+//! wall-clock times of a machine that may be busy, so counts of examined workers
+//! and of scans are printed with them.
 
 mod baseline;
 mod drive;
--- a/crates/figscale-core/examples/placement_bench/mix.rs
+++ b/crates/figscale-core/examples/placement_bench/mix.rs
@@ -1,4 +1,4 @@
-//! Work drawn from what each user runs, in virtual seconds.
+//! Random jobs drawn from the mix of each user, with times in virtual seconds.
 
 use figscale_types::catalogue;
 use figscale_types::instances;
@@ -9,15 +9,15 @@
 const GIB: u64 = 1 << 30;
 const RACK_LEN: u32 = 6;
 const DOMAINS: u32 = 4;
-/// One worker in so many has accelerators.
-const ACCELERATED_ONE_IN: u32 = 4;
+/// Every worker whose number is a multiple of this has accelerators.
+const ACCELERATED_EVERY: u32 = 4;
 
 /// A user's cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum User {
-    /// Deadlines bind; waiting weighs most.
+    /// Has binding deadlines; waiting has the larger weight.
     Fraser,
-    /// Members share and pay; packing weighs most.
+    /// Members share the cell and pay for it; packing has the larger weight.
     Firth,
 }
 
@@ -50,7 +50,7 @@
     }
 
     pub(crate) fn worker(self, number: u32) -> instances::Instance {
-        let accelerated = number.is_multiple_of(ACCELERATED_ONE_IN);
+        let accelerated = number.is_multiple_of(ACCELERATED_EVERY);
         let rack = number / RACK_LEN;
         instances::Instance {
             id: format!("w-{number:04}").parse().expect("legal"),
@@ -110,7 +110,7 @@
     use catalogue::JobClass;
     use catalogue::Urgency;
     vec![
-        // Accumulation runs: done before the binding deadline.
+        // Accumulation runs, with a binding deadline.
         Kind {
             load: 0.40,
             class: JobClass::Batch,
@@ -201,7 +201,7 @@
             checkpointable: false,
             preemptible: false,
         },
-        // Reconstructions whose tasks run at once.
+        // Reconstructions whose tasks must run at the same time.
         Kind {
             load: 0.10,
             class: JobClass::Gang,
@@ -232,12 +232,12 @@
     ]
 }
 
-/// Number of owners; the first asks for three times as much as each other.
+/// Number of owners; the first submits three times as many jobs as each other one.
 pub(crate) const OWNERS: usize = 6;
-const HEAVY_TIMES: usize = 3;
+const HEAVY_OWNER_FACTOR: usize = 3;
 
-/// Jobs that arrive within `span_s` seconds and offer `load` times what
-/// `workers` workers hold.
+/// Draws jobs that arrive within `span_s` seconds and together need `load` times
+/// the capacity of `workers` workers.
 pub(crate) fn draw(user: User, workers: u32, load: f64, span_s: f64, rng: &mut StdRng) -> Vec<Job> {
     let kinds = match user {
         User::Fraser => fraser(),
@@ -246,15 +246,15 @@
     let one = user.worker(1).capacity;
     let mut jobs = Vec::new();
     for kind in &kinds {
-        let wanted = kind.load * load * f64::from(workers) * span_s;
+        let target = kind.load * load * f64::from(workers) * span_s;
         let mut offered = 0.0;
-        while offered < wanted {
+        while offered < target {
             let job = draw_job(kind, span_s, rng);
-            let plain = sizes::Resources {
+            let without_accelerators = sizes::Resources {
                 accelerators: 0,
                 ..job.size
             };
-            offered += plain.dominant_share(&one) * job.run_s.iter().sum::<f64>();
+            offered += without_accelerators.dominant_share(&one) * job.run_s.iter().sum::<f64>();
             jobs.push(job);
         }
     }
@@ -266,7 +266,7 @@
     let tasks = rng.random_range(kind.tasks.0..=kind.tasks.1);
     let cores = rng.random_range(kind.cores.0..=kind.cores.1);
     let gib = rng.random_range(kind.gib.0..=kind.gib.1);
-    let seat = rng.random_range(0..OWNERS - 1 + HEAVY_TIMES);
+    let arrival_slot = rng.random_range(0..OWNERS - 1 + HEAVY_OWNER_FACTOR);
     let mut run = || rng.random_range(kind.run_s.0..kind.run_s.1);
     let run_s = match kind.class {
         catalogue::JobClass::Gang => vec![run(); tasks as usize],
@@ -274,7 +274,7 @@
     };
     Job {
         at_s: rng.random_range(0.0..span_s),
-        owner: seat.saturating_sub(HEAVY_TIMES - 1),
+        owner: arrival_slot.saturating_sub(HEAVY_OWNER_FACTOR - 1),
         class: kind.class,
         urgency: kind.urgency,
         size: size(cores, gib, kind.accelerators),
--- a/crates/figscale-core/examples/placement_bench/speed.rs
+++ b/crates/figscale-core/examples/placement_bench/speed.rs
@@ -1,4 +1,5 @@
-//! Times of single decisions and of whole passes.
+//! Times of single decisions and of whole passes, sizes of summaries, and the
+//! time to cancel jobs.
 
 use std::time;
 
@@ -16,29 +17,31 @@
 
 const DECISIONS: usize = 20_000;
 /// Share of the processors in use while decisions are timed.
-const FILL: f64 = 0.85;
-const WAITING: u32 = 10_000;
+const UTILIZATION: f64 = 0.85;
+const WAITING_JOBS: u32 = 10_000;
 const PASSES: usize = 200;
 
 pub(crate) fn run(seed: u64) {
-    println!("single decisions at {FILL} of the processors in use, seed {seed}");
+    println!("single decisions at {UTILIZATION} of the processors in use, seed {seed}");
     println!("workers  choice     median_us  p99_us  placements_per_s  examined_per_decision");
     for workers in [50, 200, 930] {
         for choice in [Choice::Scored, Choice::FirstFit, Choice::Random] {
             decisions(workers, choice, seed);
         }
     }
-    println!("passes with {WAITING} jobs waiting on a full cell, one task ending before each");
+    println!("passes with {WAITING_JOBS} jobs waiting on a full cell, one task ending before each");
     println!("workers  median_us  p99_us  scans_per_pass  placed_per_pass");
     for workers in [50, 200, 930] {
         passes(workers, seed);
     }
-    println!("bytes of a summary, as peers encode it, of 930 workers over so many entries");
+    println!(
+        "bytes of a summary, as peers encode it, of 930 workers divided among the entry instances"
+    );
     println!("entries  whole  all_92_owners_changed  10_owners_changed  bytes_per_s_to_all_peers");
     for entries in [8, 16] {
         summaries(entries, seed);
     }
-    println!("cancelling {WAITING} jobs");
+    println!("cancelling {WAITING_JOBS} jobs");
     cancellations(seed);
 }
 
@@ -84,7 +87,7 @@
     let mut index = 0;
     while times.len() < DECISIONS {
         let cpu = cluster.counted().cpu_millis.0 as f64;
-        let full = cpu > FILL * cluster.capacity().cpu_millis.0 as f64;
+        let full = cpu > UTILIZATION * cluster.capacity().cpu_millis.0 as f64;
         if full {
             let at = rng.random_range(0..tasks.len());
             cluster.release(&tasks.swap_remove(at));
@@ -95,7 +98,7 @@
         let before = (time::Instant::now(), cluster.examined());
         let chosen = choice.place(&mut cluster, &ask, now, &mut rng);
         let took = before.0.elapsed();
-        // The cluster is being filled at first; that is not timed.
+        // Decisions that fill the cluster at first are not timed.
         if index > workers * 20 {
             times.add(took.as_secs_f64() * 1e6);
             examined += cluster.examined() - before.1;
@@ -115,8 +118,8 @@
     );
 }
 
-fn waiting(queue: &mut placement::Queue, now: time::Instant, rng: &mut StdRng) {
-    for number in 0..WAITING {
+fn enqueue_jobs(queue: &mut placement::Queue, now: time::Instant, rng: &mut StdRng) {
+    for number in 0..WAITING_JOBS {
         let ask = ask(number * 20, rng);
         let work = placement::Work {
             job: ask.task.job,
@@ -144,15 +147,15 @@
     let mut shares = placement::Shares::default();
     shares.set_total(cluster.capacity());
     let mut running: Vec<ids::TaskId> = Vec::new();
-    // Fill it up, so that what waits has to wait.
+    // Fill the cluster, so that the queued jobs have to wait.
     for index in 0..workers * 40 {
-        let ask = ask(WAITING * 20 + index, &mut rng);
+        let ask = ask(WAITING_JOBS * 20 + index, &mut rng);
         if cluster.place(&ask, now, None).is_ok() {
             running.push(ask.task);
         }
     }
     let mut queue = placement::Queue::new(placement::QueueConfig::default());
-    waiting(&mut queue, now, &mut rng);
+    enqueue_jobs(&mut queue, now, &mut rng);
     let mut times = stats::Sample::default();
     let (mut scans, mut placed) = (0, 0);
     for _ in 0..PASSES {
@@ -183,7 +186,7 @@
 fn cancellations(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut queue = placement::Queue::new(placement::QueueConfig::default());
-    waiting(&mut queue, time::Instant::now(), &mut rng);
+    enqueue_jobs(&mut queue, time::Instant::now(), &mut rng);
     let jobs: Vec<_> = queue.jobs().map(|(work, _)| work.job.clone()).collect();
     let start = time::Instant::now();
     for job in &jobs {
@@ -192,8 +195,9 @@
     println!("took {:.0} us", start.elapsed().as_secs_f64() * 1e6);
 }
 
-/// One summary a second to every peer; every tenth is whole, in the others
-/// every owner of the size aimed for has changed, or ten have.
+/// Sizes of encoded summaries, of which one per second goes to every peer: a
+/// complete one, and changes with all 92 or with 10 owners changed. The rate
+/// assumes that every tenth summary is complete and the others have 10 changes.
 fn summaries(entries: u32, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut cluster = cluster(930 / entries);
--- a/crates/figscale-core/examples/placement_bench/stats.rs
+++ b/crates/figscale-core/examples/placement_bench/stats.rs
@@ -1,6 +1,6 @@
-//! Order statistics of a sample.
+//! Mean and quantiles of a sample.
 
-/// A sample, sorted when read.
+/// A sample, sorted when a quantile is read.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Sample {
     values: Vec<f64>,
@@ -21,7 +21,7 @@
         self.values.iter().sum::<f64>() / self.values.len().max(1) as f64
     }
 
-    /// The value below which this share lies; 0 of an empty sample.
+    /// Quantile at this share; 0 for an empty sample.
     pub(crate) fn quantile(&mut self, share: f64) -> f64 {
         if !self.sorted {
             self.values.sort_by(f64::total_cmp);
--- a/crates/figscale-core/examples/request_waits/faults.rs
+++ b/crates/figscale-core/examples/request_waits/faults.rs
@@ -1,9 +1,10 @@
-//! What instances tell each other, and what fails.
+//! Messages between entry instances, reports of runners, and the death of an
+//! entry instance.
 
 use crate::setting;
 use crate::world;
 
-impl world::World {
+impl world::Simulation {
     pub(crate) fn push(&mut self, entry: usize) {
         if !self.entries[entry].alive {
             return;
@@ -12,13 +13,16 @@
         let counts = self.entries[entry].dispatcher.counts(self.now);
         self.entries[entry].pushed = counts;
         for other in (0..setting::ENTRIES).filter(|other| *other != entry) {
-            self.after(setting::HOP, world::Event::Heard(entry, other));
+            self.after(
+                setting::HOP_LATENCY,
+                world::Event::CountsReceived(entry, other),
+            );
         }
-        self.after(setting::PUSH, world::Event::Push(entry));
+        self.after(setting::PUSH_INTERVAL, world::Event::Push(entry));
     }
 
     pub(crate) fn report(&mut self) {
-        self.after(setting::REPORT, world::Event::Report);
+        self.after(setting::REPORT_INTERVAL, world::Event::Report);
         for entry in 0..setting::ENTRIES {
             let now = self.now;
             let dispatcher = &mut self.entries[entry].dispatcher;
@@ -37,8 +41,8 @@
     pub(crate) fn kill(&mut self) {
         self.entries[0].alive = false;
         let lost: Vec<_> = self.entries[0].tickets.drain(..).map(|(_, n)| n).collect();
-        let line: Vec<_> = self.entries[0].line.drain(..).collect();
-        for number in lost.into_iter().chain(line) {
+        let queued: Vec<_> = self.entries[0].queue.drain(..).collect();
+        for number in lost.into_iter().chain(queued) {
             if self.requests[number].entry == 0 {
                 self.outcome.failed[self.requests[number].class] += 1;
             } else {
@@ -51,7 +55,7 @@
                 .board
                 .retain(|member| *member != world::key(0, 1));
         }
-        self.after(setting::TAKEOVER, world::Event::TakeOver);
+        self.after(setting::TAKEOVER_DELAY, world::Event::TakeOver);
     }
 
     pub(crate) fn take_over(&mut self) {
@@ -65,7 +69,7 @@
             }
         }
         for entry in 1..setting::ENTRIES {
-            self.hold(entry, Some(&taken));
+            self.update_shards(entry, Some(&taken));
         }
     }
 }
--- a/crates/figscale-core/examples/request_waits/serve.rs
+++ b/crates/figscale-core/examples/request_waits/serve.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request: the holder chosen, its wait, its run.
+//! Course of a request: choice of the holder, wait, run and retries.
 
 use std::time;
 
@@ -9,12 +9,12 @@
 use crate::setting;
 use crate::world;
 
-impl world::World {
+impl world::Simulation {
     pub(crate) fn choose(&mut self, number: usize) {
         let entry = self.requests[number].entry;
         if self.policy == setting::Policy::Fixed {
-            self.entries[entry].line.push_back(number);
-            return self.serve_line(entry);
+            self.entries[entry].queue.push_back(number);
+            return self.serve_queue(entry);
         }
         let urgency = setting::CLASSES[self.requests[number].class].urgency;
         let request = &self.requests[number];
@@ -41,8 +41,8 @@
                 state.board.sent(&world::service(), &choice.member);
                 self.outcome.forwarded += 1;
                 self.after(
-                    setting::HOP,
-                    world::Event::Reach(number, world::number_of(&choice.member)),
+                    setting::HOP_LATENCY,
+                    world::Event::Forwarded(number, world::number_of(&choice.member)),
                 );
             }
             _ if here && own.slots > 0 => self.submit(number, entry, false),
@@ -52,7 +52,7 @@
 
     pub(crate) fn submit(&mut self, number: usize, holder: usize, forwarded: bool) {
         if !self.entries[holder].alive {
-            // The link breaks; nothing was sent but the head.
+            // The connection breaks; only the head of the request was sent.
             let request = &mut self.requests[number];
             request.excluded.push(world::key(holder, 1));
             return self.choose(number);
@@ -82,11 +82,14 @@
                 let moves = self.requests[number].moves;
                 self.entries[holder].tickets.insert(ticket, number);
                 if self.policy == setting::Policy::Shared {
-                    self.after(setting::LOOK, world::Event::Look(number, moves));
+                    self.after(
+                        setting::RECHECK_INTERVAL,
+                        world::Event::Recheck(number, moves),
+                    );
                 }
             }
             dispatcher::Submitted::Refused(_) if forwarded => {
-                self.after(setting::HOP, world::Event::Refused(number, holder));
+                self.after(setting::HOP_LATENCY, world::Event::Refused(number, holder));
             }
             dispatcher::Submitted::Refused(_) => self.refused(number, holder),
         }
@@ -107,8 +110,8 @@
         self.choose(number);
     }
 
-    /// A request that waits moves to a holder with a free slot.
-    pub(crate) fn look(&mut self, number: usize, moves: u32) {
+    /// Moves a waiting request to a holder with a free slot, if there is one.
+    pub(crate) fn recheck(&mut self, number: usize, moves: u32) {
         let request = &self.requests[number];
         let (Some(holder), true) = (request.at, request.moves == moves) else {
             return;
@@ -127,7 +130,10 @@
             .choose(&world::service(), urgency, &excluded, now, &mut self.rng);
         let better = chosen.filter(|c| c.room > 0.0 && world::number_of(&c.member) != holder);
         if !own && better.is_none() {
-            return self.after(setting::LOOK, world::Event::Look(number, moves));
+            return self.after(
+                setting::RECHECK_INTERVAL,
+                world::Event::Recheck(number, moves),
+            );
         }
         let ticket = self.entries[holder]
             .tickets
@@ -146,8 +152,8 @@
                     .board
                     .sent(&world::service(), &choice.member);
                 self.after(
-                    setting::HOP,
-                    world::Event::Reach(number, world::number_of(&choice.member)),
+                    setting::HOP_LATENCY,
+                    world::Event::Forwarded(number, world::number_of(&choice.member)),
                 );
             }
             None => {}
@@ -179,8 +185,8 @@
             false => run,
         };
         self.at_runner[runner] += 1;
-        let most = self.outcome.most_at_runner.max(self.at_runner[runner]);
-        self.outcome.most_at_runner = most;
+        let most = self.outcome.max_at_runner.max(self.at_runner[runner]);
+        self.outcome.max_at_runner = most;
         self.running.insert((holder, slot), (number, runner, run));
         self.after(run, world::Event::Done(holder, slot, runner));
     }
@@ -199,7 +205,7 @@
             if failing {
                 self.outcome.failed[self.requests[number].class] += 1;
             }
-            return self.serve_line(holder);
+            return self.serve_queue(holder);
         }
         let end = match failing {
             true => dispatcher::End::Lost,
@@ -236,14 +242,14 @@
         }
     }
 
-    pub(crate) fn serve_line(&mut self, entry: usize) {
+    pub(crate) fn serve_queue(&mut self, entry: usize) {
         let free: Vec<_> = (0..setting::RUNNERS)
             .filter(|runner| self.entries[entry].used[*runner] == 0)
             .collect();
         if free.is_empty() {
             return;
         }
-        while let Some(number) = self.entries[entry].line.pop_front() {
+        while let Some(number) = self.entries[entry].queue.pop_front() {
             if self.requests[number].deadline < self.now {
                 self.outcome.refused[self.requests[number].class] += 1;
                 continue;
--- a/crates/figscale-core/examples/request_waits/setting.rs
+++ b/crates/figscale-core/examples/request_waits/setting.rs
@@ -1,4 +1,4 @@
-//! The cell that is imagined: sizes, classes of requests, policies, faults.
+//! The simulated cell: sizes, classes of requests, policies and faults.
 
 use std::time;
 
@@ -8,17 +8,18 @@
 pub(crate) const RUNNERS: usize = 50;
 pub(crate) const SHARDS: usize = 16;
 pub(crate) const SLOTS: u32 = 8;
-pub(crate) const HOP: time::Duration = time::Duration::from_micros(1_500);
-pub(crate) const PUSH: time::Duration = time::Duration::from_millis(20);
-pub(crate) const LOOK: time::Duration = time::Duration::from_millis(20);
-pub(crate) const REPORT: time::Duration = time::Duration::from_millis(500);
-pub(crate) const SECONDS: u64 = 60;
-/// Shares of the arrivals, by entry instance.
-pub(crate) const UNEVEN: [f64; ENTRIES] = [8.0, 4.0, 2.0, 2.0, 1.0, 1.0, 1.0, 1.0];
-/// Time from the death of a holder to the taking of its shards.
-pub(crate) const TAKEOVER: time::Duration = time::Duration::from_millis(6_500);
+pub(crate) const HOP_LATENCY: time::Duration = time::Duration::from_micros(1_500);
+pub(crate) const PUSH_INTERVAL: time::Duration = time::Duration::from_millis(20);
+pub(crate) const RECHECK_INTERVAL: time::Duration = time::Duration::from_millis(20);
+pub(crate) const REPORT_INTERVAL: time::Duration = time::Duration::from_millis(500);
+pub(crate) const DURATION_S: u64 = 60;
+/// Relative rates of arrivals, by entry instance.
+pub(crate) const ARRIVAL_SHARES: [f64; ENTRIES] = [8.0, 4.0, 2.0, 2.0, 1.0, 1.0, 1.0, 1.0];
+/// Time from the death of a holder until other instances acquire its shards.
+pub(crate) const TAKEOVER_DELAY: time::Duration = time::Duration::from_millis(6_500);
 
-/// Share, mean run, budget, urgency of the classes.
+/// Classes of requests: share of the arrivals, mean run time, time until the
+/// deadline, urgency.
 pub(crate) const CLASSES: [Class; 3] = [
     Class::new("interactive", 0.4, 50, 3_000, Urgency::Interactive),
     Class::new("deadline", 0.3, 200, 20_000, Urgency::Deadline),
@@ -53,11 +54,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Policy {
-    /// The decisions of this crate.
+    /// The decisions of `figscale_core::request`.
     Shared,
-    /// As [`Policy::Shared`], but a request stays where it first queued.
+    /// Like [`Policy::Shared`], but a request stays in the first queue that it joins.
     Staying,
-    /// Random choice with a fixed limit.
+    /// The baseline: random choice under a fixed limit.
     Fixed,
 }
 
--- a/crates/figscale-core/examples/request_waits/world.rs
+++ b/crates/figscale-core/examples/request_waits/world.rs
@@ -1,4 +1,4 @@
-//! Entry instances, runners and requests in virtual time.
+//! The simulation: entry instances, runners and requests in virtual time.
 
 use std::cmp;
 use std::collections;
@@ -21,16 +21,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
     Arrive,
-    /// A request's head reaches a holder.
-    Reach(usize, usize),
-    /// A refusal comes back from a holder.
+    /// The head of a request reaches a holder.
+    Forwarded(usize, usize),
+    /// A refusal by a holder reaches the entry instance.
     Refused(usize, usize),
-    /// A runner is done, at this holder, in this slot.
+    /// A run ends: holder, slot, runner.
     Done(usize, u64, usize),
-    /// A waiting request looks for a better place.
-    Look(usize, u32),
+    /// A waiting request checks for a holder with a free slot.
+    Recheck(usize, u32),
     Push(usize),
-    Heard(usize, usize),
+    CountsReceived(usize, usize),
     Report,
     Kill,
     TakeOver,
@@ -43,7 +43,7 @@
     pub(crate) deadline: time::Instant,
     pub(crate) run: time::Duration,
     pub(crate) excluded: Vec<ids::MemberKey>,
-    /// Where it waits, and a number that grows when it leaves there.
+    /// Holder where it waits, and a number that grows when it leaves that holder.
     pub(crate) at: Option<usize>,
     pub(crate) moves: u32,
     pub(crate) refusals: u32,
@@ -57,9 +57,9 @@
     pub(crate) board: board::Board,
     pub(crate) pushed: IndexMap<ids::ServiceName, board::Counts>,
     pub(crate) tickets: IndexMap<queue::Ticket, usize>,
-    /// For the baseline: own slots in use by runner, and the queue.
+    /// For the baseline: own slots in use, by runner, and the queue.
     pub(crate) used: Vec<u32>,
-    pub(crate) line: collections::VecDeque<usize>,
+    pub(crate) queue: collections::VecDeque<usize>,
 }
 
 #[derive(Default)]
@@ -67,13 +67,13 @@
     pub(crate) waits_us: [Vec<u64>; 3],
     pub(crate) refused: [u64; 3],
     pub(crate) failed: [u64; 3],
-    pub(crate) asked: [u64; 3],
+    pub(crate) arrived_by_class: [u64; 3],
     pub(crate) forwarded: u64,
     pub(crate) busy_s: f64,
-    pub(crate) most_at_runner: u32,
+    pub(crate) max_at_runner: u32,
 }
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub(crate) policy: setting::Policy,
     pub(crate) fault: setting::Fault,
     pub(crate) base: time::Instant,
@@ -94,10 +94,10 @@
     "hullrate".parse().expect("a name")
 }
 
-pub(crate) fn key(entry: usize, life: u64) -> ids::MemberKey {
+pub(crate) fn key(entry: usize, incarnation: u64) -> ids::MemberKey {
     ids::MemberKey {
         id: format!("entry-{entry}").parse().expect("a name"),
-        incarnation: ids::Incarnation(life),
+        incarnation: ids::Incarnation(incarnation),
     }
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn new(
         policy: setting::Policy,
         fault: setting::Fault,
@@ -147,10 +147,10 @@
                 pushed: IndexMap::new(),
                 tickets: IndexMap::new(),
                 used: vec![0; setting::RUNNERS],
-                line: collections::VecDeque::new(),
+                queue: collections::VecDeque::new(),
             })
             .collect();
-        let mut world = Self {
+        let mut sim = Self {
             policy,
             fault,
             base,
@@ -169,31 +169,35 @@
             rate_per_s: load * (setting::RUNNERS as f64) * f64::from(setting::SLOTS) / mean_s,
         };
         for entry in 0..setting::ENTRIES {
-            world.hold(entry, None);
-            world.after(time::Duration::ZERO, Event::Push(entry));
+            sim.update_shards(entry, None);
+            sim.after(time::Duration::ZERO, Event::Push(entry));
         }
-        world.after(time::Duration::from_millis(100), Event::Arrive);
-        world.after(setting::REPORT, Event::Report);
+        sim.after(time::Duration::from_millis(100), Event::Arrive);
+        sim.after(setting::REPORT_INTERVAL, Event::Report);
         if fault == setting::Fault::KilledEntry {
-            world.after(time::Duration::from_secs(setting::SECONDS / 2), Event::Kill);
+            sim.after(
+                time::Duration::from_secs(setting::DURATION_S / 2),
+                Event::Kill,
+            );
         }
-        world
+        sim
     }
 
     pub(crate) fn after(&mut self, wait: time::Duration, event: Event) {
         self.count += 1;
-        let line = (self.now + wait, self.count, event);
-        self.events.push(cmp::Reverse(line));
+        let timed = (self.now + wait, self.count, event);
+        self.events.push(cmp::Reverse(timed));
     }
 
-    /// Brings the shards of an entry instance into its table.
-    pub(crate) fn hold(&mut self, entry: usize, taken: Option<&[usize]>) {
+    /// Applies the shards of an entry instance to its slot table. `taken` are the
+    /// shards that it takes over from an instance that died.
+    pub(crate) fn update_shards(&mut self, entry: usize, taken: Option<&[usize]>) {
         let now = self.now;
         let held = (0..setting::SHARDS).filter(|shard| self.holder_of_shard[*shard] == entry);
         let held = held
             .map(|shard| {
                 let foreign = taken.is_some_and(|taken| taken.contains(&shard));
-                let line = slots::HeldShard {
+                let held_shard = slots::HeldShard {
                     epoch: ids::Epoch(1 + u64::from(foreign)),
                     last_foreign_dispatch: foreign.then_some(now),
                     runners: (shard..setting::RUNNERS)
@@ -201,7 +205,7 @@
                         .map(instance)
                         .collect(),
                 };
-                (shard_id(shard), line)
+                (shard_id(shard), held_shard)
             })
             .collect();
         let longest = |_: &ids::ServiceName| time::Duration::from_secs(30);
@@ -209,7 +213,7 @@
     }
 
     pub(crate) fn run(mut self) -> Outcome {
-        let end = self.base + time::Duration::from_secs(setting::SECONDS);
+        let end = self.base + time::Duration::from_secs(setting::DURATION_S);
         while let Some(cmp::Reverse((at, _, event))) = self.events.pop() {
             if at > end {
                 break;
@@ -218,20 +222,20 @@
             let busy: u32 = self.at_runner.iter().sum();
             self.outcome.busy_s += f64::from(busy) * passed.as_secs_f64();
             self.now = at;
-            self.step(event);
+            self.handle(event);
         }
         self.outcome
     }
 
-    pub(crate) fn step(&mut self, event: Event) {
+    pub(crate) fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive => self.arrive(),
-            Event::Reach(request, holder) => self.submit(request, holder, true),
+            Event::Forwarded(request, holder) => self.submit(request, holder, true),
             Event::Refused(request, holder) => self.refused(request, holder),
             Event::Done(holder, slot, _) => self.done(holder, slot),
-            Event::Look(request, moves) => self.look(request, moves),
+            Event::Recheck(request, moves) => self.recheck(request, moves),
             Event::Push(entry) => self.push(entry),
-            Event::Heard(from, to) => {
+            Event::CountsReceived(from, to) => {
                 let counts = self.entries[from].pushed.clone();
                 let now = self.now;
                 self.entries[to].board.hear(&key(from, 1), &counts, now);
@@ -250,13 +254,13 @@
         let gap = self.exponential(1.0 / self.rate_per_s);
         self.after(time::Duration::from_secs_f64(gap), Event::Arrive);
         let class = self.draw(&setting::CLASSES.map(|class| class.share));
-        let mut entry = self.draw(&setting::UNEVEN);
+        let mut entry = self.draw(&setting::ARRIVAL_SHARES);
         if !self.entries[entry].alive {
             entry = (entry + 1 + self.rng.random_range(0..setting::ENTRIES - 1)) % setting::ENTRIES;
         }
         let mean_s = setting::CLASSES[class].mean_ms as f64 / 1_000.0;
         let run = time::Duration::from_secs_f64(self.exponential(mean_s));
-        self.outcome.asked[class] += 1;
+        self.outcome.arrived_by_class[class] += 1;
         self.requests.push(Request {
             class,
             entry,
