--- a/crates/figscale/src/peer/client.rs
+++ b/crates/figscale/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! The calling side of links to other entry instances.
+//! Client side of the connections to other entry instances.
 
 use std::error;
 use std::fmt;
@@ -22,21 +22,21 @@
 /// Time to connect to a peer.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// Which connection of a link to use.
+/// Which of the connections to a peer to use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Lane {
+pub enum ConnectionKind {
     /// Calls between services.
     Calls,
     /// Forwarded requests.
     Streams,
 }
 
-/// A call to a peer that got no answer.
+/// A call to a peer that failed.
 #[derive(Debug)]
 pub struct PeerError {
-    /// Whether the peer may have acted on the call.
+    /// Whether the peer may have executed the call.
     pub verdict: Verdict,
-    /// What happened.
+    /// The underlying error.
     pub cause: eyre::Report,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether nobody listens at the peer's address.
+    /// Whether the peer's address refused the connection: no process listens there.
     pub fn is_refused(&self) -> bool {
         let cause = self.cause.downcast_ref::<io::Error>();
         cause.is_some_and(|cause| cause.kind() == io::ErrorKind::ConnectionRefused)
@@ -65,17 +65,18 @@
 
 type Link = client::SendRequest<Bytes>;
 
-/// Links to other entry instances, made when first needed.
+/// Connections to other entry instances, opened on first use and then reused.
 pub struct Peers {
     me: ids::MemberKey,
     token: String,
     runtime: tokio::runtime::Handle,
     routes: IndexMap<net::SocketAddr, net::SocketAddr>,
-    links: sync::Mutex<IndexMap<(net::SocketAddr, Lane), Link>>,
+    links: sync::Mutex<IndexMap<(net::SocketAddr, ConnectionKind), Link>>,
 }
 
 impl Peers {
-    /// Links that present `token`; connections run on `runtime`.
+    /// Creates a client that authenticates with `token`; its connections run on
+    /// `runtime`.
     pub fn new(me: ids::MemberKey, token: String, runtime: tokio::runtime::Handle) -> Self {
         Self {
             me,
@@ -86,22 +87,23 @@
         }
     }
 
-    /// Connects elsewhere than to some published addresses.
+    /// Replaces published peer addresses by others: connections to a key of
+    /// `routes` are made to its value.
     pub fn with_routes(mut self, routes: IndexMap<net::SocketAddr, net::SocketAddr>) -> Self {
         self.routes = routes;
         self
     }
 
-    /// Calls a service of a peer and waits at most `timeout` for the answer.
+    /// Calls a service of a peer and waits at most `timeout` for the response.
     pub async fn call<Q: Serialize, A: de::DeserializeOwned>(
         &self,
         peer: net::SocketAddr,
         service: &str,
-        question: &Q,
+        message: &Q,
         timeout: time::Duration,
     ) -> Result<A, PeerError> {
-        let body = codec::encode(question).map_err(|e| PeerError::new(Verdict::NotRun, e))?;
-        // Once the stream is open the peer may act, whatever happens next.
+        let body = codec::encode(message).map_err(|e| PeerError::new(Verdict::NotRun, e))?;
+        // Once the stream is open the peer may execute the call, whatever fails next.
         let mut opened = false;
         let result = tokio::time::timeout(
             timeout,
@@ -118,7 +120,7 @@
             Err(_) => {
                 return Err(PeerError::new(
                     verdict,
-                    eyre::eyre!("no answer in {timeout:?}"),
+                    eyre::eyre!("no response within {timeout:?}"),
                 ));
             }
         };
@@ -133,7 +135,7 @@
         opened: &mut bool,
     ) -> Result<Bytes, PeerError> {
         let path = format!("{}{service}", super::CALL_PATH);
-        let (answer, mut sender) = self.open(peer, Lane::Calls, &path).await?;
+        let (answer, mut sender) = self.open(peer, ConnectionKind::Calls, &path).await?;
         *opened = true;
         let maybe = |e: h2::Error| PeerError::new(Verdict::MayHaveRun, e);
         send_all(&mut sender, body).await.map_err(maybe)?;
@@ -144,22 +146,25 @@
             http::StatusCode::OK => Ok(bytes),
             http::StatusCode::FORBIDDEN | http::StatusCode::NOT_FOUND => Err(PeerError::new(
                 Verdict::NotRun,
-                eyre::eyre!("peer refused: {status}"),
+                eyre::eyre!("peer rejected the call: {status}"),
             )),
             _ => Err(PeerError::new(
                 Verdict::MayHaveRun,
-                eyre::eyre!("peer failed: {status}: {}", String::from_utf8_lossy(&bytes)),
+                eyre::eyre!(
+                    "call failed at the peer: {status}: {}",
+                    String::from_utf8_lossy(&bytes)
+                ),
             )),
         }
     }
 
     /// Opens a stream at `path` of a peer.
     ///
-    /// An error means that the peer never saw the stream.
+    /// An error means that the peer did not receive the stream.
     pub async fn open(
         &self,
         peer: net::SocketAddr,
-        lane: Lane,
+        kind: ConnectionKind,
         path: &str,
     ) -> Result<(client::ResponseFuture, h2::SendStream<Bytes>), PeerError> {
         let not_run = |e: eyre::Report| PeerError::new(Verdict::NotRun, e);
@@ -168,13 +173,13 @@
             .header(super::FROM, self.me.to_string())
             .body(())
             .map_err(|e| not_run(e.into()))?;
-        let link = self.link(peer, lane).await.map_err(not_run)?;
+        let link = self.link(peer, kind).await.map_err(not_run)?;
         let opened = match link.ready().await {
             Ok(mut link) => link.send_request(request, false),
             Err(error) => Err(error),
         };
         opened.map_err(|error| {
-            self.links().swap_remove(&(peer, lane));
+            self.links().swap_remove(&(peer, kind));
             not_run(error.into())
         })
     }
@@ -186,11 +191,11 @@
         name: &str,
     ) -> Result<(client::ResponseFuture, h2::SendStream<Bytes>), PeerError> {
         let path = format!("{}{name}", super::STREAM_PATH);
-        self.open(peer, Lane::Streams, &path).await
+        self.open(peer, ConnectionKind::Streams, &path).await
     }
 
-    async fn link(&self, peer: net::SocketAddr, lane: Lane) -> eyre::Result<Link> {
-        let known = self.links().get(&(peer, lane)).cloned();
+    async fn link(&self, peer: net::SocketAddr, kind: ConnectionKind) -> eyre::Result<Link> {
+        let known = self.links().get(&(peer, kind)).cloned();
         if let Some(link) = known {
             return Ok(link);
         }
@@ -213,21 +218,21 @@
                 );
             }
         });
-        self.links().insert((peer, lane), link.clone());
+        self.links().insert((peer, kind), link.clone());
         Ok(link)
     }
 
-    /// Drops the links to a peer, so that the next call connects afresh.
+    /// Drops the connections to a peer, so that the next call opens a new one.
     pub fn forget(&self, peer: net::SocketAddr) {
         self.links().retain(|(address, _), _| *address != peer);
     }
 
-    fn links(&self) -> sync::MutexGuard<'_, IndexMap<(net::SocketAddr, Lane), Link>> {
+    fn links(&self) -> sync::MutexGuard<'_, IndexMap<(net::SocketAddr, ConnectionKind), Link>> {
         mutex::lock(&self.links)
     }
 }
 
-/// Sends a whole body within the peer's flow control and ends the stream.
+/// Sends a whole body, respecting the peer's flow control, and ends the stream.
 pub(super) async fn send_all(
     sender: &mut h2::SendStream<Bytes>,
     body: Bytes,
@@ -236,24 +241,24 @@
     sender.send_data(Bytes::new(), true)
 }
 
-/// Sends bytes within the peer's flow control; the stream goes on.
+/// Sends bytes, respecting the peer's flow control; the stream stays open.
 pub(crate) async fn send(
     sender: &mut h2::SendStream<Bytes>,
     mut bytes: Bytes,
 ) -> Result<(), h2::Error> {
     while !bytes.is_empty() {
         sender.reserve_capacity(bytes.len());
-        let room = match std::future::poll_fn(|cx| sender.poll_capacity(cx)).await {
-            Some(room) => room?,
+        let capacity = match std::future::poll_fn(|cx| sender.poll_capacity(cx)).await {
+            Some(capacity) => capacity?,
             None => return Err(h2::Reason::CANCEL.into()),
         };
-        let part = bytes.split_to(room.min(bytes.len()));
+        let part = bytes.split_to(capacity.min(bytes.len()));
         sender.send_data(part, false)?;
     }
     Ok(())
 }
 
-/// Reads a whole body, at most [`codec::MAX_MESSAGE_BYTES`].
+/// Reads a whole body of at most [`codec::MAX_MESSAGE_BYTES`].
 pub(super) async fn read_all(mut body: h2::RecvStream) -> Result<Bytes, h2::Error> {
     let mut all = bytes::BytesMut::new();
     while let Some(part) = body.data().await {
--- a/crates/figscale/src/peer/codec.rs
+++ b/crates/figscale/src/peer/codec.rs
@@ -14,13 +14,13 @@
     )?)
 }
 
-/// Decodes a message; bytes left over are an error.
+/// Decodes a message; trailing bytes are an error.
 pub fn decode<T: de::DeserializeOwned>(bytes: &[u8]) -> eyre::Result<T> {
     let config = bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>();
     let (message, used) = bincode::serde::decode_from_slice(bytes, config)?;
     eyre::ensure!(
         used == bytes.len(),
-        "{} bytes left over after a message",
+        "{} trailing bytes after a message",
         bytes.len() - used
     );
     Ok(message)
--- a/crates/figscale/src/peer/frames.rs
+++ b/crates/figscale/src/peer/frames.rs
@@ -1,6 +1,7 @@
-//! Frames on a stream between entry instances.
+//! Length-prefixed frames on a stream between entry instances.
 //!
-//! A frame is a length of four bytes and a message as `bincode`.
+//! A frame is a big-endian length of four bytes, followed by a message encoded
+//! with `bincode`. Raw bytes, such as a body, may follow the last frame.
 
 use bytes::Buf as _;
 use bytes::Bytes;
@@ -12,7 +13,7 @@
 
 /// Largest frame, in bytes.
 const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Bytes of a frame's length.
+/// Size of the length prefix, in bytes.
 const LENGTH_BYTES: usize = 4;
 
 /// Encodes a frame.
@@ -39,10 +40,13 @@
         }
     }
 
-    /// The next frame; a stream that ends first is an error.
+    /// Reads the next frame; fails if the stream ends first.
     pub(crate) async fn frame<T: de::DeserializeOwned>(&mut self) -> eyre::Result<T> {
         let length = self.take(LENGTH_BYTES).await?.get_u32() as usize;
-        eyre::ensure!(length <= MAX_FRAME_BYTES, "a frame of {length} bytes");
+        eyre::ensure!(
+            length <= MAX_FRAME_BYTES,
+            "frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"
+        );
         let body = self.take(length).await?;
         codec::decode(&body)
     }
@@ -51,7 +55,7 @@
         while self.buffer.len() < length {
             match self.part().await? {
                 Some(part) => self.buffer.extend_from_slice(&part),
-                None => eyre::bail!("the stream ended early"),
+                None => eyre::bail!("stream ended within a frame"),
             }
         }
         Ok(self.buffer.split_to(length).freeze())
@@ -66,7 +70,7 @@
         Ok(Some(part))
     }
 
-    /// The next raw bytes; `None` at the end of the stream.
+    /// Reads the next raw bytes; `None` at the end of the stream.
     pub(crate) async fn raw(&mut self) -> Result<Option<Bytes>, h2::Error> {
         if !self.buffer.is_empty() {
             return Ok(Some(self.buffer.split().freeze()));
@@ -74,14 +78,21 @@
         self.part().await
     }
 
-    /// All raw bytes up to the end of the stream, which must be `length`.
+    /// Reads raw bytes up to the end of the stream; fails unless there are exactly
+    /// `length`.
     pub(crate) async fn whole(&mut self, length: u64) -> eyre::Result<Bytes> {
         let mut all = BytesMut::new();
         while let Some(part) = self.raw().await? {
             all.extend_from_slice(&part);
-            eyre::ensure!(all.len() as u64 <= length, "more bytes than announced");
+            eyre::ensure!(
+                all.len() as u64 <= length,
+                "body is longer than the announced {length} bytes"
+            );
         }
-        eyre::ensure!(all.len() as u64 == length, "fewer bytes than announced");
+        eyre::ensure!(
+            all.len() as u64 == length,
+            "body is shorter than the announced {length} bytes"
+        );
         Ok(all.freeze())
     }
 }
--- a/crates/figscale/src/peer/mod.rs
+++ b/crates/figscale/src/peer/mod.rs
@@ -1,17 +1,19 @@
-//! Links between entry instances: `h2` streams with `bincode`.
+//! Communication between entry instances: HTTP/2 streams (`h2`) that carry
+//! `bincode` messages.
 //!
-//! Two kinds of stream run over a link. A *call* is one message to a named
-//! service of the peer and one answer, both bounded in size. A *stream* is
-//! handed as it is to whoever registered for it, which is how callers'
-//! requests are forwarded. The two use separate connections, so that a large
-//! answer never delays a claim.
+//! A peer serves two kinds of stream. A *call* sends one message to a named
+//! service and receives one response; both are bounded in size. A *stream* is
+//! passed unchanged to the handler registered for its name; callers' requests
+//! are forwarded this way. The two kinds use separate connections, so that a
+//! large response does not delay a call of the claims service.
 //!
 //! Every stream carries the shared token and the sender's name and
-//! incarnation. The peer address is not the callers' address, and without the
-//! token nothing is answered, so no caller can pass for an entry instance.
+//! incarnation. Peers connect to a different address than callers, and streams
+//! without the token are rejected, so a caller cannot impersonate an entry
+//! instance.
 //!
-//! A failed call says by its [`verdict::Verdict`] whether the peer may have
-//! acted on it.
+//! The error of a failed call holds a [`verdict::Verdict`]: whether the peer
+//! may have executed the call.
 //!
 //! [`verdict::Verdict`]: figscale_types::verdict::Verdict
 
@@ -20,7 +22,7 @@
 mod frames;
 mod server;
 
-pub use client::Lane;
+pub use client::ConnectionKind;
 pub use client::PeerError;
 pub use client::Peers;
 pub(crate) use client::send;
--- a/crates/figscale/src/peer/server.rs
+++ b/crates/figscale/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The answering side of links to other entry instances.
+//! Server side of the connections from other entry instances.
 
 use std::future;
 use std::str::FromStr;
@@ -17,16 +17,16 @@
 use super::codec;
 use crate::kernel;
 
-/// Why a call is not answered; told to the peer in words.
+/// Why a call failed; its text is sent to the peer.
 pub type CallError = eyre::Report;
 
 /// A stream that a peer opened.
 pub struct IncomingStream {
-    /// Who opened it.
+    /// The peer that opened it.
     pub from: ids::MemberKey,
-    /// What it sends.
+    /// The body that the peer sends.
     pub body: h2::RecvStream,
-    /// Where the answer goes.
+    /// Sends the response.
     pub respond: server::SendResponse<Bytes>,
 }
 
@@ -35,7 +35,7 @@
 >;
 type StreamFn = sync::Arc<dyn Fn(IncomingStream) -> kernel::BoxFuture<()> + Send + Sync>;
 
-/// Who answers the calls and streams of peers, by name.
+/// Handlers of the calls and streams of peers, by name.
 #[derive(Clone, Default)]
 pub struct Handlers {
     calls: IndexMap<&'static str, CallFn>,
@@ -43,7 +43,7 @@
 }
 
 impl Handlers {
-    /// Answers calls to the service `name`.
+    /// Registers the handler of calls to the service `name`.
     pub fn on_call<Q, A, F>(
         &mut self,
         name: &'static str,
@@ -55,17 +55,17 @@
     {
         let handler = sync::Arc::new(handler);
         let call = move |from, body: Bytes| -> kernel::BoxFuture<Result<Vec<u8>, CallError>> {
-            let question = codec::decode(&body);
+            let message = codec::decode(&body);
             let handler = handler.clone();
             Box::pin(async move {
-                let answer = handler(from, question?).await?;
+                let answer = handler(from, message?).await?;
                 codec::encode(&answer)
             })
         };
         self.calls.insert(name, sync::Arc::new(call));
     }
 
-    /// Takes over the streams opened to `name`.
+    /// Registers the handler of streams opened to `name`.
     pub fn on_stream<F>(
         &mut self,
         name: &'static str,
@@ -78,12 +78,12 @@
     }
 }
 
-/// Answers peers on `listener` until the process ends.
+/// Serves peers on `listener` until the process ends.
 pub async fn listen(listener: TcpListener, token: String, handlers: Handlers) {
     let handlers = sync::Arc::new(handlers);
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            // Out of descriptors, most likely: let some be closed.
+            // Most likely out of file descriptors: wait for some to be closed.
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             continue;
         };
@@ -166,7 +166,8 @@
     }
 }
 
-/// A body that broke off decodes to an error, which the peer is told.
+/// Reads a body; a truncated one becomes empty, which fails to decode, and the
+/// peer is sent that error.
 async fn read_or_empty(body: h2::RecvStream) -> Bytes {
     client::read_all(body).await.unwrap_or_default()
 }
--- a/crates/figscale/src/traffic/answer.rs
+++ b/crates/figscale/src/traffic/answer.rs
@@ -1,4 +1,4 @@
-//! Answers: a runner's, and our own when there is none.
+//! Answers to callers: that of a runner, or an error response when there is none.
 
 use std::time;
 
@@ -20,8 +20,8 @@
 
 /// A part of a streamed body.
 ///
-/// A stream that closes without [`Part::End`] has broken, so that whatever
-/// ends a task in the middle never makes a cut answer look whole.
+/// A channel that closes without [`Part::End`] counts as truncated. A task that
+/// is cancelled midway therefore never makes a partial answer look complete.
 #[derive(Debug)]
 pub(super) enum Part {
     /// The next bytes.
@@ -30,28 +30,28 @@
     End,
 }
 
-/// A body that ended before its end.
+/// A body that was cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Broken;
+pub(super) struct TruncatedBody;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("answer truncated")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for TruncatedBody {}
 
 /// The body of a runner's answer.
 #[derive(Debug)]
 pub(super) enum AnswerBody {
-    /// All of it, known to be whole.
+    /// The whole body, known to be complete.
     Whole(Bytes),
-    /// Too large to be held: the beginning, and the rest as it comes.
+    /// Too large to be buffered: the beginning, and the rest as it arrives.
     Streamed {
-        /// What was read so far.
+        /// The bytes read so far.
         first: Bytes,
-        /// Its length, where the runner told it.
+        /// Length of the whole body, where the runner sent it.
         length: Option<u64>,
         /// The rest.
         rest: mpsc::Receiver<Part>,
@@ -63,11 +63,11 @@
 pub(super) struct Answer {
     /// Status.
     pub(super) status: StatusCode,
-    /// Headers that may be passed on.
+    /// Headers that may be forwarded.
     pub(super) headers: HeaderMap,
     /// Body.
     pub(super) body: AnswerBody,
-    /// Who ran it.
+    /// The runner that ran the request.
     pub(super) runner: ids::InstanceId,
 }
 
@@ -76,22 +76,22 @@
 pub(super) enum Fault {
     /// The runner could not be reached.
     Connect,
-    /// The connection broke, or the answer was not whole.
+    /// The connection broke, or the answer was incomplete.
     Broken,
-    /// The runner refused it without running it.
+    /// The runner refused the request without running it.
     RefusedByRunner,
-    /// The right to the shard ended first.
+    /// This process lost the shard or its authority before the dispatch.
     Fenced,
     /// The runner did not answer in time.
     TooSlow,
-    /// The link to the holder broke.
+    /// The connection to the holder broke.
     PeerLink,
-    /// The holder was not heard of any more.
+    /// Nothing was received from the holder any more.
     PeerSilent,
 }
 
 impl Fault {
-    /// The word for it in answers and logs.
+    /// The code used in answers and logs.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Self::Connect => "runner-unreachable",
@@ -108,44 +108,45 @@
 /// An attempt that failed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Failure {
-    /// Whether it may have run.
+    /// Whether the request may have run in this attempt.
     pub(super) verdict: Verdict,
-    /// Why.
+    /// What went wrong.
     pub(super) fault: Fault,
     /// The runner, where one was chosen.
     pub(super) runner: Option<ids::InstanceId>,
 }
 
-/// Something wrong with a caller's request itself.
+/// Why a caller's request is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum BadRequest {
     /// No such path.
     NotFound,
-    /// Only `POST` runs a request.
+    /// The method is not `POST`.
     Method,
     /// A header is missing or malformed; the text says which.
     Header(String),
     /// The body is larger than the entry allows.
     TooLarge(u64),
-    /// The body came too slowly.
+    /// The body was not received in time.
     TooSlow,
-    /// The body broke off or was malformed.
+    /// The body was truncated or malformed.
     Body,
 }
 
-/// What a request came to when there is no answer of a runner.
+/// Why a request has no answer of a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum NoAnswer {
-    /// The request itself is wrong.
+pub(super) enum RequestError {
+    /// The request itself is invalid.
     Bad(BadRequest),
-    /// It was refused before it had a slot.
+    /// It was refused before it was granted a slot.
     Refused {
         /// Why.
         reason: admission::Reason,
-        /// When to come back.
-        come_back: time::Duration,
+        /// Time after which to retry.
+        retry_after: time::Duration,
     },
-    /// It is a repeat, or too old to tell.
+    /// The home of its id did not accept it: it is a repeat, or that cannot be
+    /// ruled out.
     Repeat(once::Begin),
     /// Its last attempt failed.
     Failed {
@@ -153,15 +154,15 @@
         verdict: Verdict,
         /// Why the last one failed.
         fault: Fault,
-        /// When to come back.
-        come_back: time::Duration,
+        /// Time after which to retry.
+        retry_after: time::Duration,
     },
-    /// Its deadline came.
+    /// Its deadline passed.
     Expired {
         /// Whether any attempt may have run.
         verdict: Verdict,
-        /// When to come back.
-        come_back: time::Duration,
+        /// Time after which to retry.
+        retry_after: time::Duration,
     },
 }
 
@@ -173,7 +174,7 @@
     retry_after_ms: Option<u64>,
 }
 
-impl NoAnswer {
+impl RequestError {
     /// Whether the request may have run.
     pub(super) fn verdict(&self) -> Verdict {
         match self {
@@ -199,10 +200,10 @@
         }
     }
 
-    /// The word for it in answers, logs and metrics.
-    pub(super) fn word(&self) -> &'static str {
+    /// The error code used in answers, logs and metrics.
+    pub(super) fn code(&self) -> &'static str {
         match self {
-            Self::Bad(bad) => bad.word(),
+            Self::Bad(bad) => bad.code(),
             Self::Refused { reason, .. } => reason.as_str(),
             Self::Repeat(once::Begin::FromFuture) => "id-from-future",
             Self::Repeat(once::Begin::NotHome) => "no-id-home",
@@ -221,34 +222,39 @@
                 "the request id is not a UUIDv7, or is stamped in the future".to_owned()
             }
             Self::Repeat(once::Begin::NotHome) => {
-                "nobody remembers request ids like this one just now".to_owned()
+                "the home of this request id is not available at the moment".to_owned()
             }
             Self::Repeat(once::Begin::Forgotten) => {
-                "the request id is older than the memory of request ids".to_owned()
+                "the request id is older than the period for which ids are remembered".to_owned()
             }
-            Self::Repeat(_) => "a request with this id was begun before".to_owned(),
+            Self::Repeat(_) => "a request with this id was received before".to_owned(),
             Self::Failed { fault, .. } => format!("the last attempt failed: {}", fault.as_str()),
-            Self::Expired { .. } => "the deadline came before an answer".to_owned(),
+            Self::Expired { .. } => "the deadline passed before there was an answer".to_owned(),
         }
     }
 
-    /// When to come back, where that helps.
-    pub(super) fn come_back(&self) -> Option<time::Duration> {
+    /// Time after which to retry, where a retry can help.
+    pub(super) fn retry_after(&self) -> Option<time::Duration> {
         match self {
             Self::Bad(_) => None,
-            Self::Refused { reason, come_back } => reason.is_transient().then_some(*come_back),
+            Self::Refused {
+                reason,
+                retry_after,
+            } => reason.is_transient().then_some(*retry_after),
             Self::Repeat(once::Begin::NotHome) => Some(time::Duration::from_secs(1)),
             Self::Repeat(_) => None,
-            Self::Failed { come_back, .. } | Self::Expired { come_back, .. } => Some(*come_back),
+            Self::Failed { retry_after, .. } | Self::Expired { retry_after, .. } => {
+                Some(*retry_after)
+            }
         }
     }
 
     /// Status, headers and JSON body, for a request with this verdict.
     pub(super) fn parts(&self, verdict: Verdict) -> (StatusCode, HeaderMap, Bytes) {
-        let come_back = self.come_back();
-        let millis = come_back.map(clock::millis);
+        let retry_after = self.retry_after();
+        let millis = retry_after.map(clock::millis);
         let body = ErrorBody {
-            error: self.word(),
+            error: self.code(),
             message: self.message(),
             verdict,
             retry_after_ms: millis,
@@ -295,7 +301,7 @@
         }
     }
 
-    fn word(&self) -> &'static str {
+    fn code(&self) -> &'static str {
         match self {
             Self::NotFound => "not-found",
             Self::Method => "method",
@@ -313,12 +319,12 @@
             Self::Header(text) => text.clone(),
             Self::TooLarge(limit) => format!("the body is larger than {limit} bytes"),
             Self::TooSlow => "the body did not arrive in time".to_owned(),
-            Self::Body => "the body broke off or is malformed".to_owned(),
+            Self::Body => "the body is truncated or malformed".to_owned(),
         }
     }
 }
 
-/// Whether a header belongs to one connection or to this system only.
+/// Whether a header applies to a single connection, or is internal to this system.
 pub(super) fn is_private(name: &HeaderName) -> bool {
     const HOP: [&str; 10] = [
         "connection",
@@ -340,9 +346,9 @@
         || name.starts_with("x-peer-")
 }
 
-/// The headers that may be passed on: none of a single connection, none that
-/// `Connection` names, none of ours.
-pub(super) fn passed_on(map: &HeaderMap) -> HeaderMap {
+/// Returns the headers that may be forwarded: no hop-by-hop headers, none that
+/// `Connection` names, and none that are internal to this system.
+pub(super) fn forwardable_headers(map: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = (map.get_all(header::CONNECTION).iter())
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
--- a/crates/figscale/src/traffic/attempts.rs
+++ b/crates/figscale/src/traffic/attempts.rs
@@ -1,8 +1,10 @@
-//! The attempts of one request: where each goes, and whether another follows.
+//! The attempts of one request: where each is made, and whether another follows.
 //!
-//! An attempt is made here where a slot is free, else at the holder that seems
-//! to have one. A refusal costs another holder's time, a failure the request's
-//! budget, and nothing is tried again that may have run and must not twice.
+//! An attempt is made in this process if it has a free slot, otherwise at the
+//! holder that is believed to have one. A refused attempt is repeated at another
+//! holder, up to a limit. A failed one is retried only if the deadline, the number
+//! of attempts and the retry budget of the service allow it. A request that may
+//! have run and is not idempotent is not tried again.
 
 use std::sync;
 use std::time;
@@ -19,20 +21,21 @@
 use super::answer::Answer;
 use super::answer::Failure;
 use super::answer::Fault;
-use super::answer::NoAnswer;
+use super::answer::RequestError;
 use super::call::Call;
 use super::exchange;
 use super::forward;
-use super::forward::NoAnswerYet;
-use super::forward::Place;
-use super::forward::Room;
+use super::forward::AttemptError;
+use super::forward::Availability;
+use super::forward::Target;
 use super::progress::Progress;
 use super::wire;
 
-/// Holders that are asked before a request is refused for want of room.
+/// Holders that may refuse a request for lack of capacity before its caller is
+/// refused.
 const MAX_REFUSALS: u32 = 3;
-/// Time between two looks for a holder.
-const LOOK: time::Duration = time::Duration::from_millis(20);
+/// Time between two checks for a holder, or for a better one.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// The attempts of one request.
 pub(super) struct Attempts<'a> {
@@ -41,126 +44,133 @@
     pub(super) policy: &'a catalogue::RequestPolicy,
     pub(super) weight: u32,
     pub(super) progress: &'a Progress,
-    /// Holders that are not asked again.
+    /// Holders that are not tried again.
     pub(super) excluded: Vec<ids::MemberKey>,
-    /// Runner that failed the last attempt.
+    /// Runner of the last failed attempt.
     pub(super) avoid: Option<ids::InstanceId>,
-    pub(super) made: u32,
+    pub(super) attempts_made: u32,
     pub(super) refusals: u32,
 }
 
 impl Attempts<'_> {
-    /// Makes attempts until one is answered or no other may be made.
-    pub(super) async fn make(mut self) -> Result<Answer, NoAnswer> {
+    /// Makes attempts until one is answered or no further attempt is allowed.
+    pub(super) async fn make(mut self) -> Result<Answer, RequestError> {
         self.traffic.decide().budget(&self.policy.service).earn();
         let wait = time::Duration::from_millis(self.traffic.settings().holder_wait_ms);
-        let mut give_up_at = self.traffic.now() + wait;
+        let mut no_holder_limit = self.traffic.now() + wait;
         let mut next = None;
         loop {
-            let place = next.take().unwrap_or_else(|| self.choose());
-            let result = match &place {
-                Place::Here => self.here().await,
-                Place::There(holder, room) => self.there(holder, *room).await,
-                Place::Nowhere if self.traffic.now() < give_up_at => {
+            let target = next.take().unwrap_or_else(|| self.choose());
+            let result = match &target {
+                Target::Local => self.run_locally().await,
+                Target::Peer(holder, room) => self.run_at_peer(holder, *room).await,
+                Target::Unavailable if self.traffic.now() < no_holder_limit => {
                     self.excluded.clear();
-                    tokio::time::sleep(LOOK).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                     continue;
                 }
-                Place::Nowhere => Err(NoAnswerYet::Refused(dispatcher::Refusal {
+                Target::Unavailable => Err(AttemptError::Refused(dispatcher::Refusal {
                     reason: admission::Reason::NoHolder,
                     backlog: time::Duration::ZERO,
                 })),
             };
             match result {
                 Ok(answer) => return Ok(answer),
-                Err(NoAnswerYet::Refused(refusal)) => {
-                    let last = matches!(place, Place::Nowhere);
-                    self.refused(&place, refusal, last).await?;
+                Err(AttemptError::Refused(refusal)) => {
+                    let last = matches!(target, Target::Unavailable);
+                    self.refused(&target, refusal, last).await?;
                 }
-                Err(NoAnswerYet::Moved(place)) => next = Some(place),
-                Err(NoAnswerYet::Failed(failure)) => {
-                    self.failed(&place, failure)?;
-                    give_up_at = self.traffic.now() + wait;
+                Err(AttemptError::Moved(target)) => next = Some(target),
+                Err(AttemptError::Failed(failure)) => {
+                    self.failed(&target, failure)?;
+                    no_holder_limit = self.traffic.now() + wait;
                 }
             }
         }
     }
 
-    fn choose(&self) -> Place {
+    fn choose(&self) -> Target {
         let traffic = self.traffic;
         let now = traffic.now();
-        let here = self.is_open_here();
+        let here = self.may_run_locally();
         let service = &self.policy.service;
         let mut decisions = traffic.decide();
         let decisions = &mut *decisions;
         if here && (decisions.dispatcher).would_grant(service, self.policy.urgency, now) {
-            return Place::Here;
+            return Target::Local;
         }
         let own = decisions.dispatcher.counts_of(service, now);
-        let chosen = self.draw(decisions, now);
+        let chosen = self.choose_peer(decisions, now);
         match chosen {
             Some(choice) if !here || choice.room > own.room(self.policy.urgency, 0) => {
-                self.there_by(decisions, choice)
+                self.target_for(decisions, choice)
             }
-            _ if here && own.slots > 0 => Place::Here,
-            _ => Place::Nowhere,
+            _ if here && own.slots > 0 => Target::Local,
+            _ => Target::Unavailable,
         }
     }
 
-    fn draw(&self, decisions: &mut super::Decisions, now: time::Instant) -> Option<board::Choice> {
+    fn choose_peer(
+        &self,
+        decisions: &mut super::Decisions,
+        now: time::Instant,
+    ) -> Option<board::Choice> {
         let urgency = self.policy.urgency;
         let (board, rng) = (&decisions.board, &mut decisions.rng);
         board.choose(&self.policy.service, urgency, &self.excluded, now, rng)
     }
 
-    /// A place for the choice, unless its member is unknown by now.
-    fn there_by(&self, decisions: &mut super::Decisions, choice: board::Choice) -> Place {
+    /// The target for a chosen holder; unavailable if its member is no longer known.
+    fn target_for(&self, decisions: &mut super::Decisions, choice: board::Choice) -> Target {
         let claims = self.traffic.context.shared.claims.borrow();
         let known = claims.claims.members.get(&choice.member.id);
         let live = known.filter(|known| known.incarnation == choice.member.incarnation);
         let Some(member) = live else {
-            return Place::Nowhere;
+            return Target::Unavailable;
         };
         let room = match choice.room > 0.0 {
-            true => Room::Free,
-            false => Room::Queue,
+            true => Availability::Free,
+            false => Availability::Busy,
         };
         decisions.board.sent(&self.policy.service, &choice.member);
         let holder = forward::Holder {
             member: choice.member,
             address: member.peer_address,
         };
-        Place::There(holder, room)
+        Target::Peer(holder, room)
     }
 
-    fn is_open_here(&self) -> bool {
+    fn may_run_locally(&self) -> bool {
         let me = self.traffic.context.me();
         self.traffic.has_authority() && !self.excluded.contains(&me)
     }
 
-    /// Completes when another place has a slot free while this one has not.
-    async fn better(&self, present: Option<&ids::MemberKey>) -> Place {
+    /// Waits until this process, or a holder other than `present`, has a free slot.
+    ///
+    /// `present` is the holder at which the request is queued, or `None` if it is
+    /// queued in this process.
+    async fn wait_for_better(&self, present: Option<&ids::MemberKey>) -> Target {
         let service = &self.policy.service;
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let now = self.traffic.now();
-            let here = present.is_some() && self.is_open_here();
+            let here = present.is_some() && self.may_run_locally();
             let mut decisions = self.traffic.decide();
             let decisions = &mut *decisions;
             if here && (decisions.dispatcher).would_grant(service, self.policy.urgency, now) {
-                return Place::Here;
+                return Target::Local;
             }
-            let chosen = self.draw(decisions, now);
+            let chosen = self.choose_peer(decisions, now);
             let better = chosen.filter(|c| c.room > 0.0 && Some(&c.member) != present);
             if let Some(choice) = better
-                && let Place::There(holder, room) = self.there_by(decisions, choice)
+                && let Target::Peer(holder, room) = self.target_for(decisions, choice)
             {
-                return Place::There(holder, room);
+                return Target::Peer(holder, room);
             }
         }
     }
 
-    async fn here(&self) -> Result<Answer, NoAnswerYet> {
+    async fn run_locally(&self) -> Result<Answer, AttemptError> {
         let call = self.call;
         let max_run = time::Duration::from_millis(self.policy.max_run_ms);
         let submission = |ticket| dispatcher::Submission {
@@ -178,9 +188,9 @@
         };
         let slot = tokio::select! {
             slot = self.traffic.acquire(submission) => slot,
-            place = self.better(None) => return Err(NoAnswerYet::Moved(place)),
+            target = self.wait_for_better(None) => return Err(AttemptError::Moved(target)),
         };
-        let slot = slot.map_err(NoAnswerYet::Refused)?;
+        let slot = slot.map_err(AttemptError::Refused)?;
         self.progress.sent();
         let ending = exchange::start(self.traffic, slot, call.clone(), max_run);
         let lost = Failure {
@@ -189,61 +199,68 @@
             runner: None,
         };
         let result = ending.await.unwrap_or(Err(lost));
-        result.map_err(NoAnswerYet::Failed)
+        result.map_err(AttemptError::Failed)
     }
 
-    async fn there(&self, holder: &forward::Holder, room: Room) -> Result<Answer, NoAnswerYet> {
+    async fn run_at_peer(
+        &self,
+        holder: &forward::Holder,
+        room: Availability,
+    ) -> Result<Answer, AttemptError> {
         let small = self.call.body.len() <= wire::MAX_EAGER_BYTES;
         let attempt = forward::Attempt {
             traffic: self.traffic,
             holder,
             call: self.call,
             avoid: self.avoid.clone(),
-            eager: self.call.idempotent && small && room == Room::Free,
+            eager: self.call.idempotent && small && room == Availability::Free,
         };
-        let better = self.better(Some(&holder.member));
+        let better = self.wait_for_better(Some(&holder.member));
         attempt.run(|| self.progress.sent(), better).await
     }
 
-    /// Goes on to another holder, or gives up.
+    /// After a refusal: excludes the holder, and fails if there is no other to try.
     async fn refused(
         &mut self,
-        place: &Place,
+        target: &Target,
         refusal: dispatcher::Refusal,
         last: bool,
-    ) -> Result<(), NoAnswer> {
+    ) -> Result<(), RequestError> {
         self.progress.ended(Verdict::NotRun);
         self.refusals += 1;
         let no_holder = refusal.reason == admission::Reason::NoHolder;
         let expired = refusal.reason == admission::Reason::Expired;
         let give_up = last || expired || (self.refusals >= MAX_REFUSALS && !no_holder);
         let mut decisions = self.traffic.decide();
-        match place {
-            Place::Here => self.excluded.push(self.traffic.context.me()),
-            Place::There(holder, _) => {
+        match target {
+            Target::Local => self.excluded.push(self.traffic.context.me()),
+            Target::Peer(holder, _) => {
                 decisions
                     .board
                     .refused(&self.policy.service, &holder.member);
                 self.excluded.push(holder.member.clone());
             }
-            Place::Nowhere => {}
+            Target::Unavailable => {}
         }
-        if !give_up && (no_holder || self.has_other(&decisions)) {
+        if !give_up && (no_holder || self.has_other_holder(&decisions)) {
             return Ok(());
         }
-        let come_back = decisions.come_back(refusal.backlog);
+        let retry_after = decisions.retry_after(refusal.backlog);
         drop(decisions);
         Err(match self.progress.verdict() {
-            Verdict::NotRun => NoAnswer::Refused {
+            Verdict::NotRun => RequestError::Refused {
                 reason: refusal.reason,
-                come_back,
+                retry_after,
+            },
+            verdict => RequestError::Expired {
+                verdict,
+                retry_after,
             },
-            verdict => NoAnswer::Expired { verdict, come_back },
         })
     }
 
-    /// Whether some holder has not been asked yet.
-    fn has_other(&self, decisions: &super::Decisions) -> bool {
+    /// Whether there is a holder with slots that is not excluded.
+    fn has_other_holder(&self, decisions: &super::Decisions) -> bool {
         let own = (decisions.dispatcher).counts_of(&self.policy.service, self.traffic.now());
         let me = self.traffic.context.me();
         let here = own.slots > 0 && !self.excluded.contains(&me);
@@ -252,12 +269,12 @@
         })
     }
 
-    /// Gets ready for another attempt, or gives up.
-    fn failed(&mut self, place: &Place, failure: Failure) -> Result<(), NoAnswer> {
+    /// After a failure: prepares another attempt, or fails if none is allowed.
+    fn failed(&mut self, target: &Target, failure: Failure) -> Result<(), RequestError> {
         self.progress.ended(failure.verdict);
-        self.made += 1;
+        self.attempts_made += 1;
         super::log_failure(self.call.id, failure.verdict, failure.fault.as_str());
-        if let Place::There(holder, _) = place
+        if let Target::Peer(holder, _) = target
             && matches!(failure.fault, Fault::PeerLink | Fault::PeerSilent)
         {
             self.excluded.push(holder.member.clone());
@@ -266,7 +283,7 @@
         let attempt = retry::Failed {
             verdict: failure.verdict,
             idempotent: self.call.idempotent,
-            attempts: self.made,
+            attempts: self.attempts_made,
             max_attempts: self.policy.max_attempts,
             deadline: self.call.deadline,
         };
@@ -276,10 +293,10 @@
         if attempt.may_retry(now, budget) {
             return Ok(());
         }
-        Err(NoAnswer::Failed {
+        Err(RequestError::Failed {
             verdict: self.progress.verdict(),
             fault: failure.fault,
-            come_back: decisions.come_back(time::Duration::ZERO),
+            retry_after: decisions.retry_after(time::Duration::ZERO),
         })
     }
 }
--- a/crates/figscale/src/traffic/call.rs
+++ b/crates/figscale/src/traffic/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked.
+//! Parsing and validation of a caller's request.
 
 use std::sync;
 use std::time;
@@ -21,7 +21,7 @@
 pub(super) const BODY_UNIT_BYTES: u64 = 1_024;
 /// Path prefix of requests; the catalogue entry follows.
 const RUN_PATH: &str = "/v1/run/";
-/// Longest time that a caller may be willing to wait.
+/// Largest time budget that a caller may set for a request.
 const MAX_BUDGET_MS: u64 = 24 * 60 * 60 * 1_000;
 
 /// The head of a caller's request.
@@ -30,22 +30,22 @@
     pub(super) entry: ids::EntryName,
     pub(super) owner: ids::OwnerName,
     pub(super) id: ids::RequestId,
-    /// Whether the caller named the id, and so may repeat it.
-    pub(super) id_is_callers: bool,
+    /// Whether the caller chose the id, and so may repeat the request.
+    pub(super) id_from_caller: bool,
     pub(super) budget: Option<time::Duration>,
     pub(super) idempotent: bool,
-    /// Headers to pass on.
+    /// Headers to forward to the runner.
     pub(super) headers: HeaderMap,
 }
 
 impl Head {
-    /// Whether the home of its id remembers it. An id that only we know is
-    /// repeated by nobody.
+    /// Whether the home of its id has to remember it. An id that was generated
+    /// here is not known to the caller, so it cannot be repeated.
     pub(super) fn is_remembered(&self) -> bool {
-        !self.idempotent && self.id_is_callers
+        !self.idempotent && self.id_from_caller
     }
 
-    /// Reads and checks a head.
+    /// Parses and validates a head.
     pub(super) fn read(parts: &request::Parts) -> Result<Self, BadRequest> {
         let name = parts.uri.path().strip_prefix(RUN_PATH);
         let name = name.ok_or(BadRequest::NotFound)?;
@@ -55,12 +55,12 @@
         let entry = name
             .parse()
             .map_err(|error| BadRequest::Header(format!("{error}")))?;
-        let owner = text(&parts.headers, headers::OWNER)?
+        let owner = single_value(&parts.headers, headers::OWNER)?
             .ok_or_else(|| BadRequest::Header(format!("{} is missing", headers::OWNER)))?;
         let owner = owner
             .parse()
             .map_err(|error| BadRequest::Header(format!("{}: {error}", headers::OWNER)))?;
-        let id = match text(&parts.headers, headers::REQUEST_ID)? {
+        let id = match single_value(&parts.headers, headers::REQUEST_ID)? {
             None => None,
             Some(text) => Some(text.parse().map_err(|error| {
                 BadRequest::Header(format!("{}: {error}", headers::REQUEST_ID))
@@ -70,15 +70,15 @@
             entry,
             owner,
             id: id.unwrap_or_else(|| ids::RequestId(uuid::Uuid::now_v7())),
-            id_is_callers: id.is_some(),
+            id_from_caller: id.is_some(),
             budget: budget(&parts.headers)?,
             idempotent: flag(&parts.headers, headers::IDEMPOTENT)?,
-            headers: answer::passed_on(&parts.headers),
+            headers: answer::forwardable_headers(&parts.headers),
         })
     }
 }
 
-fn text<'a>(map: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, BadRequest> {
+fn single_value<'a>(map: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, BadRequest> {
     let mut values = map.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
@@ -92,7 +92,7 @@
 }
 
 fn budget(map: &HeaderMap) -> Result<Option<time::Duration>, BadRequest> {
-    let Some(text) = text(map, headers::BUDGET_MS)? else {
+    let Some(text) = single_value(map, headers::BUDGET_MS)? else {
         return Ok(None);
     };
     let wrong = || {
@@ -109,7 +109,7 @@
 }
 
 fn flag(map: &HeaderMap, name: &str) -> Result<bool, BadRequest> {
-    match text(map, name)? {
+    match single_value(map, name)? {
         None | Some("false") => Ok(false),
         Some("true") => Ok(true),
         Some(_) => Err(BadRequest::Header(format!(
@@ -118,7 +118,8 @@
     }
 }
 
-/// A request that can be run, and run again, without its caller.
+/// A request that was read whole, so that it can be sent, and sent again, without
+/// its caller.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
     pub(super) entry: ids::EntryName,
@@ -130,13 +131,13 @@
     pub(super) deadline: time::Instant,
 }
 
-/// A whole body with the memory that it was granted.
+/// A whole body with the memory reserved for it.
 pub(super) struct WholeBody {
     pub(super) bytes: Bytes,
     pub(super) memory: Option<OwnedSemaphorePermit>,
 }
 
-/// Reads a body whole, within the entry's limit, in time.
+/// Reads a whole body, within the size limit of the entry and the body time-out.
 pub(super) async fn read_body(
     traffic: &sync::Arc<Traffic>,
     body: body::Incoming,
@@ -156,9 +157,9 @@
         });
     }
     let timeout = time::Duration::from_millis(traffic.settings().body_timeout_ms);
-    let most = hint.upper().unwrap_or(limit_bytes).min(limit_bytes);
+    let expected_bytes = hint.upper().unwrap_or(limit_bytes).min(limit_bytes);
     let reading = async {
-        let units = u32::try_from(most.div_ceil(BODY_UNIT_BYTES)).unwrap_or(u32::MAX);
+        let units = u32::try_from(expected_bytes.div_ceil(BODY_UNIT_BYTES)).unwrap_or(u32::MAX);
         let memory = traffic.bodies.clone().acquire_many_owned(units).await;
         let memory = memory.map_err(|_| BadRequest::Body)?;
         let bytes = collect(body, limit_bytes).await?;
--- a/crates/figscale/src/traffic/dump.rs
+++ b/crates/figscale/src/traffic/dump.rs
@@ -1,4 +1,4 @@
-//! The dump of slots, queues and budgets.
+//! Diagnostic dump and gauges of slots, queues and retry budgets.
 
 use std::future;
 use std::sync;
@@ -9,7 +9,7 @@
 use super::Traffic;
 use crate::metrics;
 
-/// Offers the dump and the gauges under the service's name.
+/// Registers the dump and the gauges under the service's name.
 pub(super) fn offer(traffic: &sync::Arc<Traffic>) {
     let kernel = traffic.context.kernel.clone();
     let reported = traffic.clone();
@@ -35,7 +35,7 @@
         let metrics = &self.context.metrics;
         metrics.queue_changed(waiting);
         for (service, counts) in services {
-            // Some urgency may have every free slot; the others keep from some.
+            // Some urgency may use every free slot; from the others some are reserved.
             let free = counts.free.into_iter().max().unwrap_or(0);
             let slots = metrics::Slots {
                 free,
--- a/crates/figscale/src/traffic/exchange.rs
+++ b/crates/figscale/src/traffic/exchange.rs
@@ -1,10 +1,11 @@
 //! One request at one runner, from the granted slot to the end of the answer.
 //!
-//! An exchange runs in a task of its own and goes on when its caller has left,
-//! because the slot is free only when the runner is known to be. The answer is
-//! passed on only when it is known to be whole, or, when too large to be held,
-//! as a stream that breaks visibly. An answer whose length nobody told, and
-//! whose end cannot be told from a cut, counts as broken.
+//! An exchange runs in a task of its own, which continues after the caller has
+//! disconnected, because the slot is free only once the runner is known to have
+//! finished. An answer is forwarded only when it is known to be complete. One
+//! that is too large to be buffered is streamed in such a way that a truncation
+//! is visible to the receiver. An answer without a length, whose end
+//! could not be distinguished from a truncation, counts as broken.
 
 use std::sync;
 use std::sync::atomic;
@@ -38,24 +39,24 @@
 use super::local::Slot;
 use super::pool;
 
-/// Parts of a streamed answer that wait for a slow reader.
-const PARTS_AHEAD: usize = 4;
-/// Longest runs that a request is watched for before its connection is closed.
-const WATCHED_RUNS: u32 = 2;
+/// Parts of a streamed answer that are buffered for a slow reader.
+const MAX_BUFFERED_PARTS: usize = 4;
+/// Multiple of the longest run of a request after which its connection is closed.
+const TIMEOUT_RUNS: u32 = 2;
 
-/// What became of writing a request.
-enum Sent {
-    /// The head of an answer is there.
+/// Outcome of sending a request.
+enum SendOutcome {
+    /// The head of an answer was received.
     Answered(pool::Connection, Box<Response<body::Incoming>>),
     /// Nothing was written.
-    Untouched,
-    /// Nothing was written, for want of the right to the shard.
+    NotWritten,
+    /// Nothing was written, since the shard is no longer held or authority ended.
     Fenced,
-    /// The request may run.
+    /// The request was written, at least in part, and may run.
     Broken(Fault),
 }
 
-/// What an exchange needs to know.
+/// State of an exchange.
 struct Exchange {
     traffic: sync::Arc<Traffic>,
     slot: Slot,
@@ -96,7 +97,7 @@
             let get = (traffic.pool).get(&grant.runner, grant.address, grant.connections, timeout);
             let connection = tokio::select! {
                 connection = get => connection,
-                // The caller left before anything was sent.
+                // The caller disconnected before anything was sent.
                 () = self.caller.closed() => return,
             };
             let connection = match connection {
@@ -105,22 +106,22 @@
             };
             reused = connection.reused;
             match self.send(connection).await {
-                Sent::Answered(connection, answer) => {
+                SendOutcome::Answered(connection, answer) => {
                     return self.read(connection, *answer).await;
                 }
-                // The runner closed a kept connection before we wrote to it.
-                Sent::Untouched if reused => {}
-                Sent::Untouched => {
+                // The runner closed an idle connection before anything was written to it.
+                SendOutcome::NotWritten if reused => {}
+                SendOutcome::NotWritten => {
                     return self.fail(
                         dispatcher::End::Unreachable,
                         Verdict::NotRun,
                         Fault::Connect,
                     );
                 }
-                Sent::Fenced => {
+                SendOutcome::Fenced => {
                     return self.fail(dispatcher::End::NotSent, Verdict::NotRun, Fault::Fenced);
                 }
-                Sent::Broken(fault) => return self.lose(fault),
+                SendOutcome::Broken(fault) => return self.fail_lost(fault),
             }
         }
     }
@@ -133,12 +134,12 @@
         self.fail(end, Verdict::NotRun, Fault::Connect);
     }
 
-    async fn send(&mut self, mut connection: pool::Connection) -> Sent {
+    async fn send(&mut self, mut connection: pool::Connection) -> SendOutcome {
         self.started = self.traffic.now();
         let gate = connection.gate.clone();
-        gate.arm(self.right());
+        gate.arm(self.write_check());
         let sent = connection.sender.send_request(self.request());
-        let sent = tokio::time::timeout(self.watched(), sent).await;
+        let sent = tokio::time::timeout(self.run_timeout(), sent).await;
         if gate.was_late() {
             crate::event!(
                 crate::events::requests::DISPATCH_LATE,
@@ -147,9 +148,9 @@
             );
         }
         match sent {
-            Ok(Ok(answer)) => Sent::Answered(connection, Box::new(answer)),
-            Ok(Err(_)) if gate.has_begun() => Sent::Broken(Fault::Broken),
-            Err(_) if gate.has_begun() => Sent::Broken(Fault::TooSlow),
+            Ok(Ok(answer)) => SendOutcome::Answered(connection, Box::new(answer)),
+            Ok(Err(_)) if gate.has_begun() => SendOutcome::Broken(Fault::Broken),
+            Err(_) if gate.has_begun() => SendOutcome::Broken(Fault::TooSlow),
             _ if gate.was_refused() => {
                 let fenced = &self.traffic.fenced;
                 fenced.fetch_add(1, atomic::Ordering::Relaxed);
@@ -158,36 +159,36 @@
                     request = self.call.id,
                     shard = self.slot.grant.shard
                 );
-                Sent::Fenced
+                SendOutcome::Fenced
             }
-            _ => Sent::Untouched,
+            _ => SendOutcome::NotWritten,
         }
     }
 
-    fn watched(&self) -> time::Duration {
-        self.max_run * WATCHED_RUNS
+    fn run_timeout(&self) -> time::Duration {
+        self.max_run * TIMEOUT_RUNS
     }
 
     async fn read(mut self, connection: pool::Connection, answer: Response<body::Incoming>) {
-        self.note_leaving(&answer);
+        self.record_leaving(&answer);
         let refused = answer.headers().contains_key(headers::REFUSED);
         let (parts, body) = answer.into_parts();
-        if !has_checked_end(&parts, &body) {
-            return self.lose(Fault::Broken);
+        if !has_verifiable_end(&parts, &body) {
+            return self.fail_lost(Fault::Broken);
         }
         let mut reader = Reader {
             body,
-            deadline: tokio::time::Instant::now() + self.watched(),
+            deadline: tokio::time::Instant::now() + self.run_timeout(),
             hold_bytes: self.traffic.settings().hold_bytes,
         };
-        match reader.hold().await {
-            Err(_) => self.lose(Fault::Broken),
-            Ok(Held::Whole(_)) if refused => {
+        match reader.buffer().await {
+            Err(_) => self.fail_lost(Fault::Broken),
+            Ok(Buffered::Whole(_)) if refused => {
                 self.release(connection);
                 let end = dispatcher::End::RefusedByRunner;
                 self.fail(end, Verdict::NotRun, Fault::RefusedByRunner);
             }
-            Ok(Held::Whole(bytes)) => {
+            Ok(Buffered::Whole(bytes)) => {
                 self.release(connection);
                 let end = dispatcher::End::Answered {
                     ran: self.ran(),
@@ -196,8 +197,8 @@
                 let answer = self.answer(parts, AnswerBody::Whole(bytes));
                 self.close(end, Ok(answer));
             }
-            Ok(Held::TooLarge(first)) => {
-                let (sender, rest) = mpsc::channel(PARTS_AHEAD);
+            Ok(Buffered::TooLarge(first)) => {
+                let (sender, rest) = mpsc::channel(MAX_BUFFERED_PARTS);
                 let length = content_length(&parts);
                 let body = AnswerBody::Streamed {
                     first,
@@ -213,8 +214,8 @@
         }
     }
 
-    /// Streams the rest; when its reader has left or is too slow, the rest is
-    /// read and dropped, since the runner is busy until then.
+    /// Streams the rest of the body. If the receiver has disconnected or is too
+    /// slow, the rest is read and discarded, since the runner is busy until then.
     async fn stream(
         self,
         connection: pool::Connection,
@@ -234,7 +235,7 @@
                     }
                 }
                 Ok(None) => break,
-                Err(_) => return self.lose(Fault::Broken),
+                Err(_) => return self.fail_lost(Fault::Broken),
             }
         }
         self.release(connection);
@@ -250,7 +251,7 @@
         self.traffic.now().saturating_duration_since(self.started)
     }
 
-    fn right(&self) -> fence::Right {
+    fn write_check(&self) -> fence::WriteCheck {
         let shared = self.traffic.context.shared.clone();
         let clock = self.traffic.context.clock.clone();
         let shard = self.slot.grant.shard.clone();
@@ -284,7 +285,7 @@
         request
     }
 
-    fn note_leaving(&self, answer: &Response<body::Incoming>) {
+    fn record_leaving(&self, answer: &Response<body::Incoming>) {
         if !answer.headers().contains_key(headers::LEAVING) {
             return;
         }
@@ -306,14 +307,15 @@
     fn answer(&self, parts: http::response::Parts, body: AnswerBody) -> Answer {
         Answer {
             status: parts.status,
-            headers: answer::passed_on(&parts.headers),
+            headers: answer::forwardable_headers(&parts.headers),
             body,
             runner: self.slot.grant.runner.clone(),
         }
     }
 
-    /// The request was sent and may still run. Dropping the connection closes it.
-    fn lose(self, fault: Fault) {
+    /// Ends an exchange whose request was sent and may still run. The connection is
+    /// dropped, which closes it.
+    fn fail_lost(self, fault: Fault) {
         self.fail(dispatcher::End::Lost, Verdict::MayHaveRun, fault);
     }
 
@@ -327,7 +329,7 @@
     }
 
     fn close(self, end: dispatcher::End, result: Result<Answer, Failure>) {
-        // The slot first, so that whoever hears of the end finds it free.
+        // Free the slot first: whoever receives the result must find it free.
         self.slot.end(end);
         let _ = self.caller.send(result);
     }
@@ -339,8 +341,8 @@
     }
 }
 
-/// Whether a cut can be told from the end of the answer.
-fn has_checked_end(parts: &http::response::Parts, body: &body::Incoming) -> bool {
+/// Whether the end of the answer can be distinguished from a truncation.
+fn has_verifiable_end(parts: &http::response::Parts, body: &body::Incoming) -> bool {
     use hyper::body::Body as _;
 
     let chunked = parts.headers.contains_key(header::TRANSFER_ENCODING);
@@ -352,12 +354,12 @@
     value.to_str().ok()?.parse().ok()
 }
 
-enum Held {
+enum Buffered {
     Whole(Bytes),
     TooLarge(Bytes),
 }
 
-/// Reads an answer's body until its end, its break or the deadline.
+/// Reads the body of an answer until its end, an error or the deadline.
 struct Reader {
     body: body::Incoming,
     deadline: tokio::time::Instant,
@@ -365,12 +367,12 @@
 }
 
 impl Reader {
-    async fn next(&mut self) -> Result<Option<Bytes>, answer::Broken> {
+    async fn next(&mut self) -> Result<Option<Bytes>, answer::TruncatedBody> {
         loop {
             let frame = tokio::time::timeout_at(self.deadline, self.body.frame()).await;
-            match frame.map_err(|_| answer::Broken)? {
+            match frame.map_err(|_| answer::TruncatedBody)? {
                 None => return Ok(None),
-                Some(Err(_)) => return Err(answer::Broken),
+                Some(Err(_)) => return Err(answer::TruncatedBody),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         return Ok(Some(data));
@@ -380,20 +382,20 @@
         }
     }
 
-    async fn hold(&mut self) -> Result<Held, answer::Broken> {
+    async fn buffer(&mut self) -> Result<Buffered, answer::TruncatedBody> {
         let mut all = BytesMut::new();
         while let Some(part) = self.next().await? {
             all.extend_from_slice(&part);
             if all.len() > self.hold_bytes {
-                return Ok(Held::TooLarge(all.freeze()));
+                return Ok(Buffered::TooLarge(all.freeze()));
             }
         }
-        Ok(Held::Whole(all.freeze()))
+        Ok(Buffered::Whole(all.freeze()))
     }
 }
 
-/// Asks a runner what it is doing, over a pooled connection.
-pub(super) async fn ask_report(
+/// Fetches the usage report of a runner over a pooled connection.
+pub(super) async fn fetch_usage(
     traffic: &sync::Arc<Traffic>,
     runner: &ids::InstanceId,
     address: std::net::SocketAddr,
--- a/crates/figscale/src/traffic/fence.rs
+++ b/crates/figscale/src/traffic/fence.rs
@@ -1,10 +1,11 @@
-//! A connection to a runner that writes nothing without the right to.
+//! A connection to a runner that writes only while its process may dispatch.
 //!
-//! The right to a shard is checked in the very call that hands the first byte
-//! of a request to the operating system, and again right after it. A process
-//! that was paused between its decision and the write therefore writes nothing
-//! when it wakes. The same place knows whether any byte of a request went out,
-//! which is what tells [`Verdict::NotRun`] from [`Verdict::MayHaveRun`].
+//! Whether the process still holds the shard, and has authority, is checked in
+//! the call that passes the first byte of a request to the operating system, and
+//! again right after it. A process that was paused between its decision and the
+//! write therefore writes nothing when it resumes. The connection also records
+//! whether any byte of a request was written, which distinguishes
+//! [`Verdict::NotRun`] from [`Verdict::MayHaveRun`].
 //!
 //! [`Verdict::NotRun`]: figscale_types::verdict::Verdict::NotRun
 //! [`Verdict::MayHaveRun`]: figscale_types::verdict::Verdict::MayHaveRun
@@ -21,46 +22,47 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Says whether a dispatch may be written now.
-pub(super) type Right = sync::Arc<dyn Fn() -> bool + Send + Sync>;
+/// Returns whether a dispatch may be written now.
+pub(super) type WriteCheck = sync::Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// What a connection may write, and whether it has.
+/// Controls whether a connection may write a request, and records whether it has.
 #[derive(Default)]
 pub(super) struct Gate {
-    right: sync::Mutex<Option<Right>>,
+    check: sync::Mutex<Option<WriteCheck>>,
     begun: atomic::AtomicBool,
     refused: atomic::AtomicBool,
     late: atomic::AtomicBool,
 }
 
 impl Gate {
-    /// Before each request: nothing of it is written yet, and `right` decides.
-    pub(super) fn arm(&self, right: Right) {
-        *mutex::lock(&self.right) = Some(right);
+    /// Resets the gate for a new request, of which nothing is written yet; `check`
+    /// decides whether it may be.
+    pub(super) fn arm(&self, check: WriteCheck) {
+        *mutex::lock(&self.check) = Some(check);
         self.begun.store(false, atomic::Ordering::SeqCst);
         self.refused.store(false, atomic::Ordering::SeqCst);
         self.late.store(false, atomic::Ordering::SeqCst);
     }
 
-    /// Whether any byte of the request was handed to the operating system.
+    /// Whether any byte of the request was passed to the operating system.
     pub(super) fn has_begun(&self) -> bool {
         self.begun.load(atomic::Ordering::SeqCst)
     }
 
-    /// Whether a write was refused for want of the right.
+    /// Whether a write was refused because the check failed.
     pub(super) fn was_refused(&self) -> bool {
         self.refused.load(atomic::Ordering::SeqCst)
     }
 
-    /// Whether the right ended while the first bytes were being written.
+    /// Whether the check failed right after the first bytes were written.
     pub(super) fn was_late(&self) -> bool {
         self.late.load(atomic::Ordering::SeqCst)
     }
 
     fn is_open(&self) -> bool {
-        mutex::lock(&self.right)
+        mutex::lock(&self.check)
             .as_ref()
-            .is_some_and(|right| right())
+            .is_some_and(|check| check())
     }
 
     fn before(&self) -> io::Result<()> {
@@ -79,7 +81,7 @@
     }
 }
 
-/// A socket behind a [`Gate`].
+/// A socket whose writes are subject to a [`Gate`].
 pub(super) struct Fenced {
     socket: TcpStream,
     gate: sync::Arc<Gate>,
--- a/crates/figscale/src/traffic/forward.rs
+++ b/crates/figscale/src/traffic/forward.rs
@@ -1,10 +1,11 @@
-//! The one hop to another holder, at the entry instance that received the
-//! request.
+//! Forwards a request to another holder: the side of the entry instance that
+//! received it. The holder does not forward it any further.
 //!
-//! Dropping the future resets the stream, which is how the holder learns that
-//! the caller has gone. A holder that was not heard of for some time is given
-//! up: before the body has gone out the request is known not to have run, and
-//! after that an idempotent one may be tried elsewhere.
+//! Dropping the future resets the stream, which notifies the holder that the
+//! caller has disconnected. An attempt at a holder from which nothing has been
+//! received for some time is abandoned: before the body is sent the request is
+//! known not to have run, and after that an idempotent one may be retried
+//! elsewhere. One that is not idempotent keeps waiting once its body is sent.
 
 use std::net;
 use std::sync;
@@ -29,43 +30,43 @@
 use super::wire;
 use crate::peer;
 
-/// Parts of a streamed answer that wait for a slow reader.
-const PARTS_AHEAD: usize = 4;
-/// Time between looks at whether the holder was heard of.
-const LOOK: time::Duration = time::Duration::from_millis(100);
+/// Parts of a streamed answer that are buffered for a slow reader.
+const MAX_BUFFERED_PARTS: usize = 4;
+/// Time between two checks whether the holder is responsive.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// How an attempt at a holder ended, other than by an answer.
 #[derive(Debug)]
-pub(super) enum NoAnswerYet {
-    /// It was refused a slot.
+pub(super) enum AttemptError {
+    /// The holder refused it a slot.
     Refused(dispatcher::Refusal),
-    /// It failed.
+    /// The attempt failed.
     Failed(Failure),
-    /// It waited for a slot, and another holder has one free.
-    Moved(Place),
+    /// It was queued for a slot, and the given target has a free one.
+    Moved(Target),
 }
 
 /// Where an attempt is made.
 #[derive(Clone, Debug)]
-pub(super) enum Place {
-    /// At a runner that this process holds.
-    Here,
-    /// At another holder; with a free slot, by its last word.
-    There(Holder, Room),
-    /// Nobody holds a runner of the service.
-    Nowhere,
+pub(super) enum Target {
+    /// At a runner of a shard that this process holds.
+    Local,
+    /// At another holder, with its availability by the counts last received.
+    Peer(Holder, Availability),
+    /// No process holds a runner of the service.
+    Unavailable,
 }
 
 /// Whether a holder is believed to have a free slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Room {
-    /// It is.
+pub(super) enum Availability {
+    /// It has a free slot.
     Free,
-    /// A request would wait there.
-    Queue,
+    /// A request would be queued there.
+    Busy,
 }
 
-/// A holder among the peers.
+/// A peer that holds runners of the service.
 #[derive(Clone, Debug)]
 pub(super) struct Holder {
     pub(super) member: ids::MemberKey,
@@ -78,19 +79,20 @@
     pub(super) holder: &'a Holder,
     pub(super) call: &'a Call,
     pub(super) avoid: Option<ids::InstanceId>,
-    /// Whether the body goes along with the head.
+    /// Whether the body is sent along with the head, before a slot is granted.
     pub(super) eager: bool,
 }
 
 impl Attempt<'_> {
-    /// Forwards the request; `sent` is called before the body goes out.
+    /// Forwards the request; `sent` is called before the body is sent.
     ///
-    /// Gives up waiting for a slot when `better` completes.
+    /// Stops waiting for a slot when `better` completes, unless the body was sent
+    /// along with the head.
     pub(super) async fn run(
         self,
         sent: impl Fn(),
-        better: impl Future<Output = Place>,
-    ) -> Result<Answer, NoAnswerYet> {
+        better: impl Future<Output = Target>,
+    ) -> Result<Answer, AttemptError> {
         let link_broke = |verdict| failed(verdict, Fault::PeerLink);
         let eager = self.eager;
         let hold_bytes = self.traffic.settings().hold_bytes;
@@ -98,22 +100,22 @@
         if eager {
             sent();
             let body = self.call.body.clone();
-            let gone = send_body(&mut sender, body).await;
-            gone.map_err(|_| link_broke(Verdict::MayHaveRun))?;
+            let body_sent = send_body(&mut sender, body).await;
+            body_sent.map_err(|_| link_broke(Verdict::MayHaveRun))?;
         }
         let before = match eager {
             true => Verdict::MayHaveRun,
             false => Verdict::NotRun,
         };
-        let answer = self.heard(reply, before).await?;
+        let answer = self.wait_while_responsive(reply, before).await?;
         let answer = answer.map_err(|_| link_broke(before))?;
         if answer.status() != http::StatusCode::OK {
             return Err(link_broke(Verdict::NotRun));
         }
         let mut reader = peer::Reader::new(answer.into_body());
         let first = tokio::select! {
-            first = self.heard(reader.frame::<wire::Reply>(), before) => first?,
-            place = better, if !eager => return Err(NoAnswerYet::Moved(place)),
+            first = self.wait_while_responsive(reader.frame::<wire::Reply>(), before) => first?,
+            target = better, if !eager => return Err(AttemptError::Moved(target)),
         };
         match first.map_err(|_| link_broke(before))? {
             wire::Reply::Granted => {}
@@ -122,16 +124,19 @@
         if !eager {
             sent();
             let body = self.call.body.clone();
-            let gone = send_body(&mut sender, body).await;
-            gone.map_err(|_| link_broke(Verdict::MayHaveRun))?;
+            let body_sent = send_body(&mut sender, body).await;
+            body_sent.map_err(|_| link_broke(Verdict::MayHaveRun))?;
         }
         let maybe = Verdict::MayHaveRun;
-        let last = self.heard(reader.frame::<wire::Reply>(), maybe).await?;
+        let last = self
+            .wait_while_responsive(reader.frame::<wire::Reply>(), maybe)
+            .await?;
         let last = last.map_err(|_| link_broke(maybe))?;
-        self.heard(ended(last, reader, hold_bytes), maybe).await?
+        self.wait_while_responsive(ended(last, reader, hold_bytes), maybe)
+            .await?
     }
 
-    async fn open(&self) -> Result<(client::ResponseFuture, h2::SendStream<Bytes>), NoAnswerYet> {
+    async fn open(&self) -> Result<(client::ResponseFuture, h2::SendStream<Bytes>), AttemptError> {
         let link_broke = || failed(Verdict::NotRun, Fault::PeerLink);
         let peers = &self.traffic.context.peers;
         let opening = peers.open_stream(self.holder.address, wire::STREAM);
@@ -158,15 +163,15 @@
         }
     }
 
-    /// Waits as long as the holder is heard of.
-    async fn heard<T>(
+    /// Waits for `waited` as long as the holder is responsive.
+    async fn wait_while_responsive<T>(
         &self,
         waited: impl Future<Output = T>,
         verdict: Verdict,
-    ) -> Result<T, NoAnswerYet> {
+    ) -> Result<T, AttemptError> {
         let mut waited = std::pin::pin!(waited);
         loop {
-            if let Ok(value) = tokio::time::timeout(LOOK, &mut waited).await {
+            if let Ok(value) = tokio::time::timeout(POLL_INTERVAL, &mut waited).await {
                 return Ok(value);
             }
             let now = self.traffic.now();
@@ -182,8 +187,8 @@
     }
 }
 
-fn failed(verdict: Verdict, fault: Fault) -> NoAnswerYet {
-    NoAnswerYet::Failed(Failure {
+fn failed(verdict: Verdict, fault: Fault) -> AttemptError {
+    AttemptError::Failed(Failure {
         verdict,
         fault,
         runner: None,
@@ -199,17 +204,17 @@
     reply: wire::Reply,
     reader: peer::Reader,
     hold_bytes: usize,
-) -> Result<Answer, NoAnswerYet> {
+) -> Result<Answer, AttemptError> {
     match reply {
         wire::Reply::Granted => Err(failed(Verdict::MayHaveRun, Fault::PeerLink)),
         wire::Reply::Refused {
             refused,
             backlog_ms,
-        } => Err(NoAnswerYet::Refused(dispatcher::Refusal {
+        } => Err(AttemptError::Refused(dispatcher::Refusal {
             reason: admission::Reason::from(refused),
             backlog: time::Duration::from_millis(backlog_ms),
         })),
-        wire::Reply::Failed(failure) => Err(NoAnswerYet::Failed(failure)),
+        wire::Reply::Failed(failure) => Err(AttemptError::Failed(failure)),
         wire::Reply::Answer {
             status,
             headers,
@@ -229,12 +234,12 @@
     }
 }
 
-/// A body that may be held is waited for, a larger one streams.
+/// Receives a body: whole if it may be buffered, as a stream if it is larger.
 async fn receive(
     mut reader: peer::Reader,
     length: Option<u64>,
     hold_bytes: usize,
-) -> Result<AnswerBody, NoAnswerYet> {
+) -> Result<AnswerBody, AttemptError> {
     if let Some(length) = length
         && length <= hold_bytes as u64
     {
@@ -242,7 +247,7 @@
         let broke = |_| failed(Verdict::MayHaveRun, Fault::PeerLink);
         return Ok(AnswerBody::Whole(bytes.map_err(broke)?));
     }
-    let (sender, rest) = mpsc::channel(PARTS_AHEAD);
+    let (sender, rest) = mpsc::channel(MAX_BUFFERED_PARTS);
     tokio::spawn(copy(reader, length, sender));
     Ok(AnswerBody::Streamed {
         first: Bytes::new(),
@@ -251,7 +256,7 @@
     })
 }
 
-/// Copies a body; only one that is whole gets its end.
+/// Copies a body; sends [`Part::End`] only if all of it was received.
 async fn copy(mut reader: peer::Reader, length: Option<u64>, sender: mpsc::Sender<Part>) {
     let mut copied = 0_u64;
     loop {
--- a/crates/figscale/src/traffic/front.rs
+++ b/crates/figscale/src/traffic/front.rs
@@ -1,8 +1,9 @@
-//! Where callers connect: HTTP/1.1 with bounds on everything.
+//! HTTP/1.1 server for callers.
 //!
 //! Heads, headers, bodies, connections and the time for each are limited. A
-//! request is read whole before anything is done with it and written anew
-//! towards the runner, so no framing of a caller's reaches anybody else.
+//! request is read whole before it is processed, and the request to the runner
+//! is built from its parsed form. The message framing of a caller therefore
+//! reaches no other process, which prevents request smuggling.
 
 use std::pin;
 use std::sync;
@@ -36,29 +37,29 @@
 use super::Traffic;
 use super::answer::Answer;
 use super::answer::AnswerBody;
-use super::answer::Broken;
-use super::answer::NoAnswer;
 use super::answer::Part;
+use super::answer::RequestError;
+use super::answer::TruncatedBody;
 use super::call;
 use super::route;
 use crate::kernel;
 
-/// Path that tells the balancer whether to send callers here.
+/// Readiness check of the load balancer.
 const READY_PATH: &str = "/v1/ready";
-/// Time to wait after an accept that failed, most likely for want of descriptors.
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(50);
+/// Delay after an accept that failed, most likely for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
 
-/// Connections that may wait to be accepted.
+/// Length of the listen queue: connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// Time in which a connection that was made before the stop shows itself.
-const LAST_ACCEPT: time::Duration = time::Duration::from_millis(5);
-/// Longest time that silent connections are left open at a stop.
-const LAST_REQUESTS: time::Duration = time::Duration::from_secs(1);
-/// Time between two looks whether all connections have ended.
-const LOOK: time::Duration = time::Duration::from_millis(10);
+/// Time to wait at a stop for each further connection from the listen queue.
+const LAST_ACCEPT_TIMEOUT: time::Duration = time::Duration::from_millis(5);
+/// Longest time that idle connections are left open at a stop.
+const IDLE_TIMEOUT_AT_STOP: time::Duration = time::Duration::from_secs(1);
+/// Time between two checks whether all connections have ended.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// An answer's body on its way to the caller, with what it keeps counted.
-struct Outgoing {
+/// Body of a response, with the guards that count its request as in progress.
+struct ResponseBody {
     first: Option<Bytes>,
     rest: Option<mpsc::Receiver<Part>>,
     left: Option<u64>,
@@ -66,14 +67,14 @@
     _counted: InProgress,
 }
 
-impl body::Body for Outgoing {
+impl body::Body for ResponseBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         mut self: pin::Pin<&mut Self>,
         cx: &mut task::Context<'_>,
-    ) -> task::Poll<Option<Result<body::Frame<Bytes>, Broken>>> {
+    ) -> task::Poll<Option<Result<body::Frame<Bytes>, TruncatedBody>>> {
         if let Some(first) = self.first.take()
             && !first.is_empty()
         {
@@ -88,8 +89,8 @@
                 self.rest = None;
                 task::Poll::Ready(None)
             }
-            // Cut: the connection is aborted rather than ended.
-            None => task::Poll::Ready(Some(Err(Broken))),
+            // Truncated: the error aborts the connection, so that the caller sees it.
+            None => task::Poll::Ready(Some(Err(TruncatedBody))),
         }
     }
 
@@ -105,7 +106,7 @@
     }
 }
 
-impl Outgoing {
+impl ResponseBody {
     fn count(&mut self, part: Bytes) -> body::Frame<Bytes> {
         if let Some(left) = &mut self.left {
             *left = left.saturating_sub(part.len() as u64);
@@ -114,17 +115,18 @@
     }
 }
 
-/// Serves callers until the first message, which says to stop.
+/// Serves callers until the first message, which is the request to stop.
 ///
-/// Nobody can connect before the claims and a catalogue are known: a balancer
-/// then goes elsewhere, where an answer could only be a wrong one.
+/// The socket does not listen before the claims and a catalogue are known. Until
+/// then requests could only be answered wrongly, so the load balancer has to use
+/// other entry instances.
 pub(super) async fn serve(
     traffic: &sync::Arc<Traffic>,
     socket: TcpSocket,
     inbox: &mut kernel::Inbox<Message>,
 ) -> Option<Message> {
     tokio::select! {
-        () = until_informed(traffic) => {}
+        () = wait_for_initial_state(traffic) => {}
         message = inbox.recv() => return message,
     }
     let listener = match socket.listen(BACKLOG) {
@@ -143,7 +145,7 @@
         tokio::select! {
             accepted = callers.accept(&listener) => match accepted {
                 Some(accepted) => callers.begin(accepted),
-                None => tokio::time::sleep(ACCEPT_PAUSE).await,
+                None => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             message = inbox.recv() => break message,
         }
@@ -153,7 +155,7 @@
 }
 
 /// Waits until the claims and a catalogue are known.
-async fn until_informed(traffic: &Traffic) {
+async fn wait_for_initial_state(traffic: &Traffic) {
     let shared = &traffic.context.shared;
     let unread = ids::Revision(0);
     let mut claims = shared.claims.subscribe();
@@ -187,15 +189,15 @@
         });
     }
 
-    /// Takes no more connections, and ends those that there are.
+    /// Stops accepting connections, and closes the open ones.
     ///
-    /// A connection that looks idle may have a request on its way, which would
-    /// be cut off. So each is ended by the answer to its next request, which is
-    /// served like any other, and only those that stay silent are closed from
-    /// here.
+    /// A connection that seems idle may have a request in flight, which closing
+    /// it would cut off. The next request of each connection is therefore served
+    /// as usual, and its answer closes the connection. Only connections that
+    /// remain idle are closed by this side.
     async fn end(self, listener: TcpListener) {
         for _ in 0..BACKLOG {
-            let last = tokio::time::timeout(LAST_ACCEPT, self.accept(&listener)).await;
+            let last = tokio::time::timeout(LAST_ACCEPT_TIMEOUT, self.accept(&listener)).await;
             let Ok(Some(accepted)) = last else {
                 break;
             };
@@ -203,10 +205,10 @@
         }
         drop(listener);
         let whole_stop = self.traffic.context.settings.shutdown_ms;
-        let silence = LAST_REQUESTS.min(time::Duration::from_millis(whole_stop / 4));
-        let _ = tokio::time::timeout(silence, async {
+        let idle_timeout = IDLE_TIMEOUT_AT_STOP.min(time::Duration::from_millis(whole_stop / 4));
+        let _ = tokio::time::timeout(idle_timeout, async {
             while self.shutdown.count() > 0 {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         })
         .await;
@@ -214,8 +216,8 @@
     }
 }
 
-/// Waits until the requests in progress have their answers.
-pub(super) async fn finish(traffic: &Traffic) {
+/// Waits until the requests in progress are answered.
+pub(super) async fn wait_until_idle(traffic: &Traffic) {
     let mut in_progress = traffic.in_progress.subscribe();
     let _ = in_progress.wait_for(|count| *count == 0).await;
 }
@@ -244,13 +246,13 @@
 async fn answer(
     traffic: sync::Arc<Traffic>,
     request: Request<body::Incoming>,
-) -> Response<Outgoing> {
+) -> Response<ResponseBody> {
     let counted = traffic.begin();
     if request.uri().path() == READY_PATH {
         return ready(&traffic, counted);
     }
-    // Two lengths of one body can be read in two ways; whatever follows such a
-    // body is not read at all.
+    // A body with two conflicting lengths can be parsed in two ways; close the
+    // connection, so that bytes after a chunked body are not read as a request.
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
     let mut response = answer_call(traffic, request, counted).await;
     if chunked {
@@ -263,16 +265,16 @@
     traffic: sync::Arc<Traffic>,
     request: Request<body::Incoming>,
     counted: InProgress,
-) -> Response<Outgoing> {
+) -> Response<ResponseBody> {
     let (parts, body) = request.into_parts();
     let head = match call::Head::read(&parts) {
         Ok(head) => head,
         Err(bad) => {
-            let none = NoAnswer::Bad(bad);
-            return no_answer(&traffic, &none, none.verdict(), counted);
+            let none = RequestError::Bad(bad);
+            return error_response(&traffic, &none, none.verdict(), counted);
         }
     };
-    let attempt = traffic.new_attempt();
+    let attempt = traffic.new_attempt_id();
     let result = match traffic.admit(&head) {
         Ok(admitted) => {
             let result = traffic.run(&head, attempt, &admitted, body).await;
@@ -283,19 +285,19 @@
     let response = match result {
         Ok((answer, admitted)) => {
             count(&traffic, &head.entry, Verdict::Ran);
-            whole_answer(&traffic, answer, admitted, counted)
+            answer_response(&traffic, answer, admitted, counted)
         }
         Err(none) => {
             let verdict = traffic.final_verdict(&head, attempt, &none).await;
             count(&traffic, &head.entry, verdict);
-            no_answer(&traffic, &none, verdict, counted)
+            error_response(&traffic, &none, verdict, counted)
         }
     };
-    identified(response, head.id)
+    with_request_id(response, head.id)
 }
 
-/// Counts a final answer. Names that callers make up become no label: only
-/// entries of the catalogue are counted.
+/// Counts a final answer. Only entries of the catalogue are counted, so that names
+/// invented by callers do not become labels.
 fn count(traffic: &Traffic, entry: &ids::EntryName, verdict: Verdict) {
     let accepted = traffic.context.shared.catalogue_now();
     let policy = accepted.catalogue.entries.get(entry).map(|e| &e.policy);
@@ -305,12 +307,15 @@
     }
 }
 
-fn identified(mut response: Response<Outgoing>, id: ids::RequestId) -> Response<Outgoing> {
+fn with_request_id(
+    mut response: Response<ResponseBody>,
+    id: ids::RequestId,
+) -> Response<ResponseBody> {
     insert(response.headers_mut(), headers::REQUEST_ID, &id.to_string());
     response
 }
 
-fn ready(traffic: &Traffic, counted: InProgress) -> Response<Outgoing> {
+fn ready(traffic: &Traffic, counted: InProgress) -> Response<ResponseBody> {
     let status = match traffic.is_leaving() {
         true => StatusCode::SERVICE_UNAVAILABLE,
         false => StatusCode::OK,
@@ -318,12 +323,12 @@
     own_response(traffic, status, HeaderMap::new(), Bytes::new(), counted)
 }
 
-fn no_answer(
+fn error_response(
     traffic: &Traffic,
-    none: &NoAnswer,
+    none: &RequestError,
     verdict: Verdict,
     counted: InProgress,
-) -> Response<Outgoing> {
+) -> Response<ResponseBody> {
     let (status, map, bytes) = none.parts(verdict);
     let mut response = own_response(traffic, status, map, bytes, counted);
     insert(response.headers_mut(), headers::VERDICT, verdict.as_str());
@@ -336,8 +341,8 @@
     map: HeaderMap,
     bytes: Bytes,
     counted: InProgress,
-) -> Response<Outgoing> {
-    let mut response = Response::new(Outgoing {
+) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody {
         left: Some(bytes.len() as u64),
         first: Some(bytes),
         rest: None,
@@ -350,12 +355,12 @@
     response
 }
 
-fn whole_answer(
+fn answer_response(
     traffic: &Traffic,
     answer: Answer,
     admitted: route::Admitted,
     counted: InProgress,
-) -> Response<Outgoing> {
+) -> Response<ResponseBody> {
     let (first, left, rest) = match answer.body {
         AnswerBody::Whole(bytes) => {
             let length = bytes.len() as u64;
@@ -367,7 +372,7 @@
             rest,
         } => (first, length, Some(rest)),
     };
-    let mut response = Response::new(Outgoing {
+    let mut response = Response::new(ResponseBody {
         first: Some(first),
         rest,
         left,
@@ -383,7 +388,7 @@
     response
 }
 
-fn finish_head(traffic: &Traffic, response: &mut Response<Outgoing>) {
+fn finish_head(traffic: &Traffic, response: &mut Response<ResponseBody>) {
     let me = traffic.context.me();
     let map = response.headers_mut();
     insert(map, headers::SERVED_BY, me.id.as_str());
@@ -392,7 +397,7 @@
     }
 }
 
-fn close_after(response: &mut Response<Outgoing>) {
+fn close_after(response: &mut Response<ResponseBody>) {
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(header::CONNECTION, close);
 }
--- a/crates/figscale/src/traffic/homes.rs
+++ b/crates/figscale/src/traffic/homes.rs
@@ -1,9 +1,13 @@
-//! Homes of request ids: the messages around [`once`].
+//! Homes of request ids: the messages around the deduplication in [`once`].
 //!
-//! A home answers only while it holds the id's shard and has authority, checked
-//! before and after the memory was asked. Each entry instance asks again with
-//! the same attempt until it has an answer or gives up, so a lost message is no
-//! repeat.
+//! Request ids are hashed to shards. The holder of a shard is the *home* of its
+//! ids: it remembers which of them were used, so that a request that is not
+//! idempotent is executed at most once.
+//!
+//! A home answers only while it holds the shard and has authority; both are
+//! checked before and after its memory is queried. An entry instance repeats a
+//! query with the same attempt id until it gets an answer or its time runs out,
+//! so a lost message is not mistaken for a repeated request.
 
 use std::sync;
 use std::time;
@@ -22,22 +26,23 @@
 use crate::settings;
 use crate::state;
 
-/// Name of the service towards peers.
-const CALL: &str = "once";
-/// Time to wait for one answer.
+/// Name of the service that peers call.
+const SERVICE: &str = "once";
+/// Time-out of one call to a home.
 const TIMEOUT: time::Duration = time::Duration::from_millis(700);
-/// Time to wait for what a home knows, when a refusal waits for it.
+/// Time-out of a peek, for which the error response to a caller has to wait.
 const PEEK_TIMEOUT: time::Duration = time::Duration::from_millis(300);
-/// Prefix of homes of request ids.
-pub(super) const HOMES: &str = "id/";
+/// Prefix of the shards of request ids.
+pub(super) const ID_SHARD_PREFIX: &str = "id/";
 /// Epoch of a shard's first holder.
 const FIRST_EPOCH: ids::Epoch = ids::Epoch(1);
-/// Time that a new home waits for the memory of an earlier one that left in order.
-const PASS_ON_WAIT: time::Duration = time::Duration::from_millis(1_500);
-/// Time between two tries.
-const PAUSE: time::Duration = time::Duration::from_millis(50);
+/// Time that a new home waits for the memory of an earlier one that released the
+/// shard cleanly.
+const HANDOVER_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
+/// Time between two tries of a query.
+const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// What a home is asked.
+/// A query to a home.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Question {
     id: ids::RequestId,
@@ -57,31 +62,33 @@
     memory: once::Memory,
 }
 
-/// A memory on its way to the next home.
+/// The memory of a home that is handed over to the next home.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct Passed {
+pub(super) struct Handover {
     pub(super) shard: ids::ShardId,
-    /// Epoch under which it was given up; the next home holds the next one.
+    /// Epoch under which the shard was released; the next home holds it under the
+    /// epoch that follows.
     pub(super) given_up: ids::Epoch,
     kept: once::Kept,
 }
 
-/// When a home was taken over.
+/// When a shard was acquired.
 #[derive(Clone, Copy)]
-struct Taken {
+struct Acquired {
     ago: time::Duration,
     unix_ms: u64,
 }
 
-/// Memories of the id shards that this process holds.
+/// Memories of the id shards that this process holds, and handovers in progress.
 pub(super) struct Homes {
     config: once::OnceConfig,
     homes: sync::Mutex<IndexMap<ids::ShardId, Home>>,
-    given_up: sync::Mutex<IndexMap<ids::ShardId, ids::Epoch>>,
-    /// Given up here and not yet with the next home.
-    leaving: sync::Mutex<IndexMap<ids::ShardId, Passed>>,
-    /// Passed on to this process, perhaps before it knows that it is the home.
-    arrived: sync::Mutex<IndexMap<ids::ShardId, Passed>>,
+    released: sync::Mutex<IndexMap<ids::ShardId, ids::Epoch>>,
+    /// Released by this process and not yet received by the next home.
+    outgoing: sync::Mutex<IndexMap<ids::ShardId, Handover>>,
+    /// Received from an earlier home, perhaps before this process knows that it is
+    /// the home.
+    received: sync::Mutex<IndexMap<ids::ShardId, Handover>>,
 }
 
 impl Homes {
@@ -94,69 +101,74 @@
         Self {
             config,
             homes: sync::Mutex::default(),
-            given_up: sync::Mutex::default(),
-            leaving: sync::Mutex::default(),
-            arrived: sync::Mutex::default(),
+            released: sync::Mutex::default(),
+            outgoing: sync::Mutex::default(),
+            received: sync::Mutex::default(),
         }
     }
 
-    /// Lets no id through any more under the present holding of a shard, and
-    /// keeps its memory for the next home.
-    fn give_up(&self, shard: &ids::ShardId, epoch: ids::Epoch) {
-        mutex::lock(&self.given_up).insert(shard.clone(), epoch);
+    /// Stops answering for a shard under this epoch, and retains its memory for the
+    /// next home.
+    fn release(&self, shard: &ids::ShardId, epoch: ids::Epoch) {
+        mutex::lock(&self.released).insert(shard.clone(), epoch);
         let home = mutex::lock(&self.homes).swap_remove(shard);
         if let Some(home) = home.filter(|home| home.epoch == epoch) {
-            let passed = Passed {
+            let handover = Handover {
                 shard: shard.clone(),
                 given_up: epoch,
                 kept: home.memory.pass_on(),
             };
-            mutex::lock(&self.leaving).insert(shard.clone(), passed);
+            mutex::lock(&self.outgoing).insert(shard.clone(), handover);
         }
     }
 
-    /// Memories that are not yet with the next home.
-    pub(super) fn leaving(&self) -> Vec<Passed> {
-        mutex::lock(&self.leaving).values().cloned().collect()
+    /// Memories that the next home has not received yet.
+    pub(super) fn outgoing(&self) -> Vec<Handover> {
+        mutex::lock(&self.outgoing).values().cloned().collect()
     }
 
-    /// Keeps a memory no longer for the next home.
-    pub(super) fn forget_leaving(&self, passed: &Passed) {
-        let mut leaving = mutex::lock(&self.leaving);
-        let same = leaving.get(&passed.shard).map(|p| p.given_up) == Some(passed.given_up);
+    /// Drops a memory retained for the next home.
+    pub(super) fn remove_outgoing(&self, handover: &Handover) {
+        let mut outgoing = mutex::lock(&self.outgoing);
+        let same = outgoing.get(&handover.shard).map(|p| p.given_up) == Some(handover.given_up);
         if same {
-            leaving.swap_remove(&passed.shard);
+            outgoing.swap_remove(&handover.shard);
         }
     }
 
-    /// Takes in a memory that an earlier home passed on.
-    pub(super) fn arrive(&self, passed: Passed) {
-        mutex::lock(&self.arrived).insert(passed.shard.clone(), passed);
+    /// Stores a memory that an earlier home handed over.
+    pub(super) fn receive(&self, handover: Handover) {
+        mutex::lock(&self.received).insert(handover.shard.clone(), handover);
     }
 
-    /// The memory to begin with under a new holding; `None` while an earlier
-    /// home may still pass its own on.
-    fn begin_with(&self, shard: &ids::ShardId, held: &state::Held, taken: Taken) -> Option<Home> {
+    /// The home of a newly acquired shard; `None` while an earlier home may still
+    /// hand over its memory.
+    fn initial_home(
+        &self,
+        shard: &ids::ShardId,
+        held: &state::Held,
+        acquired: Acquired,
+    ) -> Option<Home> {
         let epoch = held.epoch;
         let memory = if epoch == FIRST_EPOCH {
             once::Memory::first(self.config)
-        } else if let Some(passed) = self.take_arrived(shard, epoch) {
-            once::Memory::from_kept(self.config, passed.kept)
-        } else if held.clean && taken.ago < PASS_ON_WAIT {
+        } else if let Some(handover) = self.take_received(shard, epoch) {
+            once::Memory::from_kept(self.config, handover.kept)
+        } else if held.clean && acquired.ago < HANDOVER_TIMEOUT {
             return None;
         } else {
-            once::Memory::new(self.config, taken.unix_ms)
+            once::Memory::new(self.config, acquired.unix_ms)
         };
         Some(Home { epoch, memory })
     }
 
-    fn take_arrived(&self, shard: &ids::ShardId, epoch: ids::Epoch) -> Option<Passed> {
-        let mut arrived = mutex::lock(&self.arrived);
-        let fits = arrived.get(shard)?.given_up.next() == epoch;
-        fits.then(|| arrived.swap_remove(shard)).flatten()
+    fn take_received(&self, shard: &ids::ShardId, epoch: ids::Epoch) -> Option<Handover> {
+        let mut received = mutex::lock(&self.received);
+        let fits = received.get(shard)?.given_up.next() == epoch;
+        fits.then(|| received.swap_remove(shard)).flatten()
     }
 
-    /// Ids remembered by shard, for a dump.
+    /// Shard, number of ids and time floor of each home, for the dump.
     pub(super) fn sizes(&self) -> Vec<(ids::ShardId, usize, u64)> {
         let homes = mutex::lock(&self.homes);
         homes
@@ -167,16 +179,16 @@
 }
 
 impl Traffic {
-    /// Answers for a home that is here, or says that it is not.
-    fn ask_here(&self, question: Question) -> once::Begin {
+    /// Answers a query if this process is the home, else with `NotHome`.
+    fn answer_locally(&self, question: Question) -> once::Begin {
         let Some(shard) = once::home_of(question.id) else {
             return once::Begin::NotHome;
         };
         let Some(epoch) = self.home_epoch(&shard) else {
             return once::Begin::NotHome;
         };
-        let answer = self.ask_memory(&shard, epoch, question);
-        // Whoever took over meanwhile knows nothing of this id.
+        let answer = self.query_memory(&shard, epoch, question);
+        // A process that acquired the shard meanwhile does not know this id.
         match self.home_epoch(&shard) == Some(epoch) {
             true => answer,
             false => once::Begin::NotHome,
@@ -185,11 +197,11 @@
 
     fn home_epoch(&self, shard: &ids::ShardId) -> Option<ids::Epoch> {
         let epoch = self.context.shared.claims.borrow().held.get(shard)?.epoch;
-        let given_up = mutex::lock(&self.homes.given_up).get(shard) == Some(&epoch);
-        (self.has_authority() && !given_up).then_some(epoch)
+        let is_released = mutex::lock(&self.homes.released).get(shard) == Some(&epoch);
+        (self.has_authority() && !is_released).then_some(epoch)
     }
 
-    fn ask_memory(
+    fn query_memory(
         &self,
         shard: &ids::ShardId,
         epoch: ids::Epoch,
@@ -211,7 +223,7 @@
         }
     }
 
-    /// The home under this epoch, opened if need be; `None` while it has to wait
+    /// The home under this epoch, created on first use; `None` while it has to wait
     /// for the memory of an earlier one.
     fn open_home<'a>(
         &self,
@@ -232,19 +244,20 @@
         let held = view.held.get(shard).filter(|held| held.epoch == epoch)?;
         let ago = self.now().saturating_duration_since(held.taken_at);
         let ago_ms = u64::try_from(ago.as_millis()).unwrap_or(0);
-        let taken = Taken {
+        let acquired = Acquired {
             ago,
             unix_ms: now_ms.saturating_sub(ago_ms),
         };
-        self.homes.begin_with(shard, held, taken)
+        self.homes.initial_home(shard, held, acquired)
     }
 
-    /// Opens the homes of newly held shards, so that even one that is never
-    /// asked can pass its floor on; returns how many still wait for a memory.
+    /// Creates the homes of newly held shards, so that even one that is never
+    /// queried can hand over its time floor; returns how many still wait for a
+    /// memory.
     pub(super) fn open_homes(&self) -> usize {
         let view = self.context.shared.claims_now();
         let now_ms = self.unix_ms();
-        let ids = (view.held.iter()).filter(|(id, _)| id.as_str().starts_with(HOMES));
+        let ids = (view.held.iter()).filter(|(id, _)| id.as_str().starts_with(ID_SHARD_PREFIX));
         let mut waiting = 0;
         let mut homes = mutex::lock(&self.homes.homes);
         for (shard, held) in ids {
@@ -254,16 +267,16 @@
         waiting
     }
 
-    /// Gives up a home, its memory for the next one.
+    /// Releases a home and retains its memory for the next one.
     ///
-    /// The shard is not among the held ones any more: it is asked to be drained
-    /// after it was taken off the snapshot.
-    pub(super) fn give_up_home(&self, shard: &ids::ShardId) {
+    /// The epoch is read from the claims, since the shard is removed from the held
+    /// ones of the snapshot before its drain is requested.
+    pub(super) fn release_home(&self, shard: &ids::ShardId) {
         let view = self.context.shared.claims_now();
         let mine = view.claims.shards.get(shard);
         let mine = mine.filter(|line| line.holder.as_ref() == Some(&view.me));
         if let Some(line) = mine {
-            self.homes.give_up(shard, line.epoch);
+            self.homes.release(shard, line.epoch);
         }
     }
 
@@ -272,7 +285,7 @@
         clock::millis(since.unwrap_or_default())
     }
 
-    /// Asks the home of an id to let it through, within `limit`.
+    /// Asks the home of an id whether the request may run, retrying until `limit`.
     pub(super) async fn begin_once(
         &self,
         id: ids::RequestId,
@@ -291,14 +304,14 @@
             {
                 return answer;
             }
-            if self.now() + PAUSE >= limit {
+            if self.now() + RETRY_INTERVAL >= limit {
                 return once::Begin::NotHome;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// What the home knows of an id, apart from this attempt.
+    /// What the home knows of an id from attempts other than this one.
     pub(super) async fn peek_once(
         &self,
         id: ids::RequestId,
@@ -313,7 +326,8 @@
         asked.ok().flatten().unwrap_or(once::Begin::NotHome)
     }
 
-    /// Tells the home how an attempt ended; a loss leaves `MayHaveRun` there.
+    /// Reports to the home how an attempt ended. If the message is lost, the home
+    /// keeps `MayHaveRun`.
     pub(super) async fn end_once(
         &self,
         id: ids::RequestId,
@@ -333,19 +347,19 @@
         let view = self.context.shared.claims_now();
         let (holder, member) = view.holder(&shard)?;
         if *holder == view.me {
-            return Some(self.ask_here(question));
+            return Some(self.answer_locally(question));
         }
         let peers = &self.context.peers;
-        let call = peers.call(member.peer_address, CALL, &question, TIMEOUT);
+        let call = peers.call(member.peer_address, SERVICE, &question, TIMEOUT);
         call.await.ok()
     }
 }
 
-/// Answers the questions of other entry instances.
+/// Answers the queries of other entry instances.
 pub(super) fn register(traffic: &sync::Arc<Traffic>, handlers: &mut peer::Handlers) {
     let traffic = traffic.clone();
-    handlers.on_call(CALL, move |_from, question: Question| {
+    handlers.on_call(SERVICE, move |_from, question: Question| {
         let traffic = traffic.clone();
-        async move { Ok(traffic.ask_here(question)) }
+        async move { Ok(traffic.answer_locally(question)) }
     });
 }
--- a/crates/figscale/src/traffic/local.rs
+++ b/crates/figscale/src/traffic/local.rs
@@ -1,8 +1,8 @@
-//! Slots of the runners that this process holds, for the tasks that want one.
+//! Allocation of the slots of runners that this process holds.
 //!
-//! A granted slot is a guard: whoever drops it without saying how its use ended
-//! gives it back unused, so that a caller who leaves at any moment, or a task
-//! that is cancelled, never leaks a slot.
+//! A granted slot is a guard. Dropping it without reporting how its use ended
+//! returns it as unused, so that a slot is not leaked when a caller disconnects
+//! or a task is cancelled.
 
 use std::sync;
 use std::time;
@@ -15,13 +15,13 @@
 use super::Decisions;
 use super::Traffic;
 
-/// Where a waiting request is told what became of it.
+/// Channel on which a queued request receives its slot or refusal.
 pub(super) type Waiter = oneshot::Sender<Result<Slot, dispatcher::Refusal>>;
 
 /// A granted slot.
 pub(super) struct Slot {
     traffic: sync::Arc<Traffic>,
-    /// What was granted.
+    /// The grant of the dispatcher.
     pub(super) grant: dispatcher::Grant,
     ended: bool,
 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Says how the use ended.
+    /// Reports how the use of the slot ended.
     pub(super) fn end(mut self, end: dispatcher::End) {
         self.ended = true;
         self.traffic.finish(&self.grant, end);
@@ -50,13 +50,13 @@
     }
 }
 
-/// Takes a waiting request out of the queue when its task goes away.
-struct Place {
+/// Removes a request from the queue when its task ends or is cancelled.
+struct QueueGuard {
     traffic: sync::Arc<Traffic>,
     ticket: queue::Ticket,
 }
 
-impl Drop for Place {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         let mut decisions = self.traffic.decide();
         decisions.dispatcher.cancel(self.ticket);
@@ -68,7 +68,7 @@
 }
 
 impl Traffic {
-    /// Waits for a slot of a runner that this process holds.
+    /// Waits for a slot of a runner that this process holds, and records the wait.
     pub(super) async fn acquire(
         self: &sync::Arc<Self>,
         make: impl FnOnce(queue::Ticket) -> dispatcher::Submission,
@@ -117,7 +117,7 @@
             }
         };
         self.changed.notify_one();
-        let _place = Place {
+        let _guard = QueueGuard {
             traffic: self.clone(),
             ticket,
         };
@@ -146,15 +146,15 @@
         self.poll();
     }
 
-    /// Hands out what can be handed out now.
+    /// Grants the slots, and sends the refusals, that are due now.
     pub(super) fn poll(self: &sync::Arc<Self>) {
         let now = self.now();
         let mut decisions = self.decide();
         let events = decisions.dispatcher.poll(now);
-        let told = take_waiters(&mut decisions, events);
+        let outcomes = take_waiters(&mut decisions, events);
         drop(decisions);
-        // Outside of the lock, since a guard that is dropped takes it again.
-        for (waiter, event) in told {
+        // Done without the lock, since dropping a slot locks the decisions again.
+        for (waiter, event) in outcomes {
             let result = match event {
                 dispatcher::Event::Granted(_, grant) => Ok(Slot::new(self, grant)),
                 dispatcher::Event::Refused(_, refusal) => Err(refusal),
@@ -171,15 +171,15 @@
     decisions: &mut Decisions,
     events: Vec<dispatcher::Event>,
 ) -> Vec<(Option<Waiter>, dispatcher::Event)> {
-    let mut told = Vec::new();
+    let mut outcomes = Vec::new();
     for event in events {
         let ticket = match &event {
             dispatcher::Event::Granted(ticket, _) | dispatcher::Event::Refused(ticket, _) => ticket,
         };
         let waiter = decisions.waiters.swap_remove(ticket);
-        told.push((waiter, event));
+        outcomes.push((waiter, event));
     }
-    told
+    outcomes
 }
 
 fn no_holder() -> dispatcher::Refusal {
@@ -189,17 +189,17 @@
     }
 }
 
-/// Polls when a deadline, a probe or the end of a quarantine comes.
+/// Polls when a deadline, a probe or the end of a quarantine is due.
 pub(super) async fn keep_polling(traffic: sync::Arc<Traffic>) {
-    /// Longest time between two polls, whatever the timers say.
-    const LONGEST: time::Duration = time::Duration::from_millis(50);
-    let mut tick = tokio::time::interval(LONGEST);
+    /// Time between two checks of the next timer.
+    const MAX_POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
+    let mut tick = tokio::time::interval(MAX_POLL_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
         let now = traffic.now();
         let next = traffic.decide().dispatcher.next_wake(now);
-        if next.is_some_and(|next| next <= now + LONGEST) {
+        if next.is_some_and(|next| next <= now + MAX_POLL_INTERVAL) {
             if let Some(next) = next {
                 tokio::time::sleep(next.saturating_duration_since(now)).await;
             }
--- a/crates/figscale/src/traffic/mod.rs
+++ b/crates/figscale/src/traffic/mod.rs
@@ -1,11 +1,17 @@
 //! Callers' requests: admission, queue, slot choice, dispatch and answer.
 //!
-//! The decisions are in [`figscale_core::request`]; here are the sockets around
-//! them. A request comes in at the `front`, finds its way in `route`, gets a
-//! slot in `local` or at another holder through `forward` and `peer_side`,
-//! and is run in `exchange`. One mutex guards the decision state of a process;
-//! it is never held across an await, and what is done under it is arithmetic
-//! over at most a few hundred runners.
+//! The decision logic is in [`figscale_core::request`]; this module does the
+//! I/O around it. A request runs in a slot of a runner, and only the *holder*
+//! of the runner's shard, one of the entry instances, dispatches to it. The
+//! request is received in `front` and taken through its stages in `route`. It
+//! gets a slot of this process in `local`, or one of another holder through
+//! `forward` (sender) and `peer_side` (receiver), and is sent to the runner in
+//! `exchange`. The *home* of a request id (`homes`) remembers the id, so that a
+//! request that is not idempotent is executed at most once.
+//!
+//! One mutex guards the decision state of a process. It is never held across an
+//! await, and the work done under it is arithmetic over at most a few hundred
+//! runners.
 
 mod answer;
 mod attempts;
@@ -53,12 +59,13 @@
 /// Name of the service.
 pub const NAME: &str = "traffic";
 
-/// What the service is asked.
+/// Messages to the service.
 enum Message {
-    /// Stop taking requests; answered when all have their answers.
+    /// Stop accepting requests; replied to once all requests in progress are answered.
     Drain(kernel::Reply<()>),
-    /// Answered when every memory of request ids is with its next home.
-    PassOn(kernel::Reply<()>),
+    /// Replied to once the memories of request ids are handed over to their next
+    /// homes.
+    HandOver(kernel::Reply<()>),
 }
 
 /// The decision state, behind one mutex.
@@ -101,23 +108,25 @@
         budget.or_insert_with(|| retry::RetryBudget::new(config))
     }
 
-    fn come_back(&mut self, backlog: time::Duration) -> time::Duration {
+    fn retry_after(&mut self, backlog: time::Duration) -> time::Duration {
         self.admission.come_back(backlog, &mut self.rng)
     }
 }
 
-/// What the tasks of this service share.
+/// State shared by the tasks of this service.
 struct Traffic {
     context: state::Context,
     decisions: sync::Mutex<Decisions>,
     pool: pool::Pool,
     homes: homes::Homes,
-    /// Slots, queues or shards changed: poll timers and counts are out of date.
+    /// Signalled when slots, queues or shards change: the counts pushed to peers
+    /// are then out of date.
     changed: Notify,
-    /// Requests of callers and peers being answered.
+    /// Number of requests of callers and peers in progress.
     in_progress: watch::Sender<usize>,
     bodies: sync::Arc<tokio::sync::Semaphore>,
-    /// Dispatches that were not written for want of the right.
+    /// Dispatches that were not written because this process no longer held the
+    /// shard or had no authority.
     fenced: atomic::AtomicU64,
 }
 
@@ -174,16 +183,16 @@
 }
 
 /// Logs an attempt that failed.
-fn log_failure(request: ids::RequestId, verdict: Verdict, word: &str) {
+fn log_failure(request: ids::RequestId, verdict: Verdict, code: &str) {
     crate::event!(
         crate::events::requests::REQUEST_FAILED,
         request = request,
         verdict = verdict,
-        fault = word
+        fault = code
     );
 }
 
-/// Registers what it answers to peers, then serves callers on the traffic threads.
+/// Registers the handlers for peers, then serves callers on the traffic threads.
 pub fn start(context: &state::Context, handlers: &mut peer::Handlers, callers: TcpSocket) {
     let traffic = sync::Arc::new(Traffic::new(context));
     let runtime = context.traffic.clone();
@@ -194,25 +203,25 @@
     dump::offer(&traffic);
     shards::offer_drains(&traffic);
     runtime.spawn(shards::follow(traffic.clone()));
-    runtime.spawn(shards::ask_reports(traffic.clone()));
+    runtime.spawn(shards::keep_fetching_usage(traffic.clone()));
     runtime.spawn(local::keep_polling(traffic.clone()));
     runtime.spawn(push::keep_pushing(traffic.clone()));
-    runtime.spawn(pass_on::keep_passing(traffic.clone()));
+    runtime.spawn(pass_on::keep_handing_over(traffic.clone()));
     let inbox = context.kernel.register::<Message>(NAME);
     runtime.spawn(run(traffic, callers, inbox));
 }
 
-/// Serves callers until asked to stop, then helps the next homes.
+/// Serves callers until told to stop, then waits for the handover of request ids.
 async fn run(traffic: sync::Arc<Traffic>, callers: TcpSocket, mut inbox: kernel::Inbox<Message>) {
     let mut message = front::serve(&traffic, callers, &mut inbox).await;
     while let Some(asked) = message {
         match asked {
             Message::Drain(reply) => {
-                front::finish(&traffic).await;
+                front::wait_until_idle(&traffic).await;
                 reply.send(());
             }
-            Message::PassOn(reply) => {
-                pass_on::passed_on(&traffic).await;
+            Message::HandOver(reply) => {
+                pass_on::wait_until_handed_over(&traffic).await;
                 reply.send(());
             }
         }
@@ -220,16 +229,16 @@
     }
 }
 
-/// Stops taking requests and waits until those in progress have their answers.
+/// Stops accepting requests and waits until those in progress are answered.
 pub async fn drain(context: &state::Context) {
     if let Ok(address) = context.kernel.find::<Message>(NAME) {
         let _ = address.call(Message::Drain).await;
     }
 }
 
-/// Waits until the memories of request ids are with their next homes.
+/// Waits until the memories of request ids are handed over to their next homes.
 pub async fn pass_on(context: &state::Context) {
     if let Ok(address) = context.kernel.find::<Message>(NAME) {
-        let _ = address.call(Message::PassOn).await;
+        let _ = address.call(Message::HandOver).await;
     }
 }
--- a/crates/figscale/src/traffic/pass_on.rs
+++ b/crates/figscale/src/traffic/pass_on.rs
@@ -1,10 +1,11 @@
-//! Passes the memory of request ids on to the next home.
+//! Hands over the memory of request ids to the next home.
 //!
-//! A home that is given up in order keeps its memory until the claims name the
-//! next holder under the very next epoch, and sends it there. Under any other
-//! epoch somebody else was the home in between, and the memory is dropped. A
-//! memory that is lost on the way costs the refusal of fresh ids for a short
-//! while, as after a home that died; it never lets an id through twice.
+//! A process that releases a shard of request ids cleanly retains its memory
+//! until the claims name a holder under the epoch that follows, and sends the
+//! memory there. Under any later epoch another process was the home in between,
+//! and the memory is dropped. If a memory is lost in transit, the new home
+//! refuses fresh ids for a short time, as after the crash of a home; no id is
+//! accepted twice.
 
 use std::sync;
 use std::time;
@@ -16,97 +17,103 @@
 use crate::peer;
 use crate::state;
 
-/// Name of the service towards peers.
-const CALL: &str = "once-memory";
-/// Time to wait for one answer.
+/// Name of the service that peers call.
+const SERVICE: &str = "once-memory";
+/// Time-out of one call to the next home.
 const TIMEOUT: time::Duration = time::Duration::from_millis(700);
-/// Time between two tries.
-const PAUSE: time::Duration = time::Duration::from_millis(50);
+/// Time between two tries of a handover.
+const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// Where a memory that was given up belongs.
-enum Next {
-    /// Nobody holds the shard under a later epoch yet.
+/// Where a released memory has to be sent.
+enum NextHome {
+    /// The claims show no later epoch of the shard yet.
     Unknown,
     /// This process holds it again.
     Here,
     /// Another member holds it.
     There(std::net::SocketAddr),
-    /// Somebody else was the home in between, or the holder is gone.
+    /// Another process was the home in between, or the holder is gone: the memory
+    /// is dropped.
     Nowhere,
 }
 
-fn next_home(view: &state::ClaimsView, passed: &homes::Passed) -> Next {
-    let Some(shard) = view.claims.shards.get(&passed.shard) else {
-        return Next::Nowhere;
+fn next_home(view: &state::ClaimsView, handover: &homes::Handover) -> NextHome {
+    let Some(shard) = view.claims.shards.get(&handover.shard) else {
+        return NextHome::Nowhere;
     };
-    if shard.epoch <= passed.given_up {
-        return Next::Unknown;
+    if shard.epoch <= handover.given_up {
+        return NextHome::Unknown;
     }
-    if shard.epoch != passed.given_up.next() {
-        return Next::Nowhere;
+    if shard.epoch != handover.given_up.next() {
+        return NextHome::Nowhere;
     }
-    match view.holder(&passed.shard) {
-        Some((holder, _)) if *holder == view.me => Next::Here,
-        Some((_, member)) => Next::There(member.peer_address),
-        None => Next::Nowhere,
+    match view.holder(&handover.shard) {
+        Some((holder, _)) if *holder == view.me => NextHome::Here,
+        Some((_, member)) => NextHome::There(member.peer_address),
+        None => NextHome::Nowhere,
     }
 }
 
-/// Opens homes and sends memories on their way with each change of the claims,
-/// and again until they have arrived.
-pub(super) async fn keep_passing(traffic: sync::Arc<Traffic>) {
+/// Creates homes and hands over memories on each change of the claims, and
+/// retries until all are done.
+pub(super) async fn keep_handing_over(traffic: sync::Arc<Traffic>) {
     let mut claims = traffic.context.shared.claims.subscribe();
     loop {
-        let waiting = pass_all(&traffic).await + traffic.open_homes();
+        let waiting = hand_over_all(&traffic).await + traffic.open_homes();
         if waiting == 0 {
             if claims.changed().await.is_err() {
                 return;
             }
             continue;
         }
-        let _ = tokio::time::timeout(PAUSE, claims.changed()).await;
+        let _ = tokio::time::timeout(RETRY_INTERVAL, claims.changed()).await;
     }
 }
 
-/// Sends what can be sent; returns how many memories are still here.
-async fn pass_all(traffic: &sync::Arc<Traffic>) -> usize {
-    let passes = traffic.homes.leaving().into_iter();
-    futures_util::future::join_all(passes.map(|passed| pass(traffic, passed))).await;
-    traffic.homes.leaving().len()
+/// Tries to hand over every released memory; returns how many remain.
+async fn hand_over_all(traffic: &sync::Arc<Traffic>) -> usize {
+    let passes = traffic.homes.outgoing().into_iter();
+    futures_util::future::join_all(passes.map(|handover| hand_over(traffic, handover))).await;
+    traffic.homes.outgoing().len()
 }
 
-async fn pass(traffic: &sync::Arc<Traffic>, passed: homes::Passed) {
-    let next = next_home(&traffic.context.shared.claims_now(), &passed);
+async fn hand_over(traffic: &sync::Arc<Traffic>, handover: homes::Handover) {
+    let next = next_home(&traffic.context.shared.claims_now(), &handover);
     let done = match next {
-        Next::Unknown => false,
-        Next::Nowhere => true,
-        Next::Here => {
-            traffic.homes.arrive(passed.clone());
+        NextHome::Unknown => false,
+        NextHome::Nowhere => true,
+        NextHome::Here => {
+            traffic.homes.receive(handover.clone());
             true
         }
-        Next::There(address) => {
+        NextHome::There(address) => {
             let peers = &traffic.context.peers;
-            let sent = peers.call::<_, ()>(address, CALL, &passed, TIMEOUT).await;
+            let sent = peers
+                .call::<_, ()>(address, SERVICE, &handover, TIMEOUT)
+                .await;
             sent.is_ok()
         }
     };
     if done {
-        traffic.homes.forget_leaving(&passed);
+        traffic.homes.remove_outgoing(&handover);
     }
 }
 
-/// Waits until no memory is left here.
-pub(super) async fn passed_on(traffic: &Traffic) {
-    while !traffic.homes.leaving().is_empty() {
-        tokio::time::sleep(PAUSE).await;
+/// Waits until every released memory has been handed over or dropped.
+pub(super) async fn wait_until_handed_over(traffic: &Traffic) {
+    while !traffic.homes.outgoing().is_empty() {
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Takes in the memories that other entry instances pass on.
+/// Receives the memories that other entry instances hand over.
 pub(super) fn register(traffic: &sync::Arc<Traffic>, handlers: &mut peer::Handlers) {
     let traffic = traffic.clone();
-    handlers.on_call(CALL, move |_from: ids::MemberKey, passed: homes::Passed| {
-        traffic.homes.arrive(passed);
-        async { Ok(()) }
-    });
+    handlers.on_call(
+        SERVICE,
+        move |_from: ids::MemberKey, handover: homes::Handover| {
+            traffic.homes.receive(handover);
+            async { Ok(()) }
+        },
+    );
 }
--- a/crates/figscale/src/traffic/peer_side.rs
+++ b/crates/figscale/src/traffic/peer_side.rs
@@ -1,4 +1,4 @@
-//! The one hop from another entry instance, at the holder.
+//! Serves requests that another entry instance forwards: the side of the holder.
 
 use std::sync;
 use std::time;
@@ -22,17 +22,17 @@
 use super::wire;
 use crate::peer;
 
-/// Time for a body to follow once the slot is granted.
+/// Time in which the body has to be received once the slot is granted.
 const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Takes the requests that other entry instances forward.
+/// Registers the handler of requests that other entry instances forward.
 pub(super) fn register(traffic: &sync::Arc<Traffic>, handlers: &mut peer::Handlers) {
     let traffic = traffic.clone();
     handlers.on_stream(wire::STREAM, move |incoming| {
         let traffic = traffic.clone();
         async move {
             let _counted = traffic.begin();
-            // A broken stream needs no answer.
+            // An error means that the stream broke: no answer can be sent.
             let _ = serve(&traffic, incoming).await;
         }
     });
@@ -63,7 +63,7 @@
         };
         tokio::select! {
             slot = traffic.acquire(submission) => slot,
-            // The other side has no use for a slot any more.
+            // The sender no longer wants a slot.
             () = reset(&mut sender) => return Ok(()),
         }
     };
@@ -72,14 +72,15 @@
         Err(refusal) => {
             refuse(&mut sender, refusal).await?;
             if head.eager {
-                // Read what was sent along, so that no reset overtakes the refusal.
+                // Read the body that was sent along: a reset of the stream could arrive
+                // before the refusal.
                 let _ = tokio::time::timeout(BODY_TIMEOUT, reader.whole(head.body_bytes)).await;
             }
             return Ok(());
         }
     };
     reply(&mut sender, &wire::Reply::Granted, false).await?;
-    // On an error the slot is dropped, and so given back unused.
+    // On an error the slot is dropped, which returns it as unused.
     let reading = body(&mut reader, &head, &policy, deadline);
     let call = tokio::time::timeout(BODY_TIMEOUT, reading).await??;
     run(traffic, slot, call, &policy, &mut sender).await
@@ -104,7 +105,7 @@
         runner: None,
     };
     match result.unwrap_or(Err(lost)) {
-        Ok(answer) => pass_on(answer, sender).await,
+        Ok(answer) => forward_answer(answer, sender).await,
         Err(failure) => reply(sender, &wire::Reply::Failed(failure), true).await,
     }
 }
@@ -113,8 +114,8 @@
     respond.send_response(http::Response::new(()), false)
 }
 
-/// The limits by our own catalogue, which may differ from the other side's for
-/// a moment.
+/// The limits by the catalogue of this process, which may briefly differ from
+/// that of the sender.
 fn limits(traffic: &Traffic, head: &wire::Head) -> Option<(catalogue::RequestPolicy, u32)> {
     let accepted = traffic.context.shared.catalogue_now();
     let entry = accepted.catalogue.entries.get(&head.entry)?;
@@ -133,7 +134,7 @@
 ) -> eyre::Result<Call> {
     eyre::ensure!(
         head.body_bytes <= policy.max_body_bytes,
-        "a body of {} bytes",
+        "body of {} bytes exceeds the limit of the entry",
         head.body_bytes
     );
     Ok(Call {
@@ -147,7 +148,7 @@
     })
 }
 
-/// Waits until the other side resets the stream, or its link breaks.
+/// Waits until the sender resets the stream, or its connection breaks.
 async fn reset(sender: &mut h2::SendStream<Bytes>) {
     let _ = std::future::poll_fn(|cx| sender.poll_reset(cx)).await;
 }
@@ -182,7 +183,7 @@
     Ok(())
 }
 
-async fn pass_on(answer: Answer, sender: &mut h2::SendStream<Bytes>) -> eyre::Result<()> {
+async fn forward_answer(answer: Answer, sender: &mut h2::SendStream<Bytes>) -> eyre::Result<()> {
     let length = match &answer.body {
         AnswerBody::Whole(bytes) => Some(bytes.len() as u64),
         AnswerBody::Streamed { length, .. } => *length,
--- a/crates/figscale/src/traffic/pool.rs
+++ b/crates/figscale/src/traffic/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to runners: HTTP/1.1, kept open, few.
+//! Pool of keep-alive HTTP/1.1 connections to runners, limited per runner.
 //!
-//! Only the holder of a runner's shard connects to it, so a limit here is a
-//! limit over all entry instances. A permit goes with each open socket, not
-//! with each request, and comes back when the socket is closed.
+//! Only the holder of a runner's shard connects to it, so the limit here holds
+//! over all entry instances. A permit belongs to an open socket, not to a
+//! request, and is returned when the socket is closed.
 
 use std::net;
 use std::sync;
@@ -24,7 +24,7 @@
 pub(super) struct Connection {
     pub(super) sender: http1::SendRequest<Full<Bytes>>,
     pub(super) gate: sync::Arc<fence::Gate>,
-    /// Whether it served a request before.
+    /// Whether it has already served a request.
     pub(super) reused: bool,
 }
 
@@ -34,23 +34,23 @@
     permits: Option<sync::Arc<Semaphore>>,
 }
 
-/// Open connections by runner.
+/// Connections by runner.
 #[derive(Default)]
 pub(super) struct Pool {
     runners: sync::Mutex<IndexMap<ids::InstanceId, Runner>>,
 }
 
-/// Why there is no connection.
+/// Why no connection could be provided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoConnection {
-    /// The limit is reached.
+    /// The limit of connections to the runner is reached.
     Limit,
     /// The runner could not be reached in time.
     Unreachable,
 }
 
 impl Pool {
-    /// An idle connection, or a new one within the limit.
+    /// Returns an idle connection, or opens a new one within the limit.
     pub(super) async fn get(
         &self,
         runner: &ids::InstanceId,
@@ -95,7 +95,7 @@
         let mut runners = mutex::lock(&self.runners);
         let idle = &mut runners.get_mut(runner)?.idle;
         idle.retain(|connection| !connection.sender.is_closed());
-        // One that is not ready has just been given back and will be at once.
+        // One that is not ready has just been returned, and will be ready at once.
         let ready = idle
             .iter()
             .rposition(|connection| connection.sender.is_ready());
@@ -112,20 +112,20 @@
         runner.permits.get_or_insert_with(new).clone()
     }
 
-    /// Gives back a connection whose exchange is complete.
+    /// Returns a connection whose exchange is complete to the pool.
     pub(super) fn put(&self, runner: &ids::InstanceId, mut connection: Connection) {
         connection.reused = true;
         if connection.sender.is_closed() {
             return;
         }
         let mut runners = mutex::lock(&self.runners);
-        // A runner that was forgotten meanwhile gets its connection closed.
+        // If the runner was removed meanwhile, the connection is dropped and closed.
         if let Some(runner) = runners.get_mut(runner) {
             runner.idle.push(connection);
         }
     }
 
-    /// Closes idle connections to runners that are held no more.
+    /// Closes idle connections to runners that are no longer held.
     pub(super) fn retain(&self, is_held: impl Fn(&ids::InstanceId) -> bool) {
         let mut runners = mutex::lock(&self.runners);
         for (id, runner) in runners.iter_mut() {
--- a/crates/figscale/src/traffic/progress.rs
+++ b/crates/figscale/src/traffic/progress.rs
@@ -1,11 +1,11 @@
-//! Whether a request may have run, as its attempts come and go.
+//! Tracks over the attempts of a request whether it may have run.
 
 use std::sync;
 
 use figscale_types::mutex;
 use figscale_types::verdict::Verdict;
 
-/// What is known of a request while its attempts go on.
+/// Whether a request may have run, while attempts are made.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     state: sync::Mutex<ProgressState>,
@@ -15,17 +15,17 @@
 struct ProgressState {
     /// An earlier attempt may have run.
     earlier: bool,
-    /// The present attempt may have run.
+    /// The current attempt may have run.
     present: bool,
 }
 
 impl Progress {
-    /// The present attempt may run from now on.
+    /// Records that the current attempt may run from now on.
     pub(super) fn sent(&self) {
         self.lock().present = true;
     }
 
-    /// The present attempt has ended.
+    /// Records that the current attempt has ended.
     pub(super) fn ended(&self, verdict: Verdict) {
         let mut state = self.lock();
         state.present = false;
--- a/crates/figscale/src/traffic/push.rs
+++ b/crates/figscale/src/traffic/push.rs
@@ -1,7 +1,8 @@
-//! Free-slot counts to and from the other entry instances.
+//! Exchange of free-slot counts with the other entry instances.
 //!
-//! Pushed on change, at a bounded rate, and again after a while without change,
-//! so that silence means something.
+//! Counts are pushed on change, at a bounded rate, and are also repeated at an
+//! interval without change, so that a peer from which none are received can be
+//! taken as unresponsive.
 
 use std::net;
 use std::sync;
@@ -17,21 +18,21 @@
 use super::Traffic;
 use crate::peer;
 
-/// Name of the service towards peers.
-const CALL: &str = "slots";
-/// Time to wait for a peer to take a push.
+/// Name of the service that peers call.
+const SERVICE: &str = "slots";
+/// Time-out of a push to a peer.
 const TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// What a holder says of its slots.
+/// The slot counts of a holder, by service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Push {
     counts: IndexMap<ids::ServiceName, board::Counts>,
 }
 
-/// Takes in what others push.
+/// Registers the handler of the counts that peers push.
 pub(super) fn register(traffic: &sync::Arc<Traffic>, handlers: &mut peer::Handlers) {
     let traffic = traffic.clone();
-    handlers.on_call(CALL, move |from, push: Push| {
+    handlers.on_call(SERVICE, move |from, push: Push| {
         let traffic = traffic.clone();
         async move {
             let now = traffic.now();
@@ -42,7 +43,7 @@
 }
 
 impl Traffic {
-    fn push_now(&self) -> Push {
+    fn current_push(&self) -> Push {
         if !self.has_authority() || self.is_leaving() {
             return Push::default();
         }
@@ -58,15 +59,15 @@
     }
 }
 
-/// Pushes counts until the process ends, from a task for each peer.
+/// Pushes counts until the process ends, with one task for each peer.
 pub(super) async fn keep_pushing(traffic: sync::Arc<Traffic>) {
-    let shortest = time::Duration::from_millis(traffic.settings().push_ms);
+    let min_interval = time::Duration::from_millis(traffic.settings().push_ms);
     let refresh = time::Duration::from_millis(traffic.settings().refresh_ms);
     let latest = watch::Sender::new(Push::default());
     let mut tasks = IndexMap::<net::SocketAddr, tokio::task::JoinHandle<()>>::new();
     loop {
         let _ = tokio::time::timeout(refresh, traffic.changed.notified()).await;
-        let push = traffic.push_now();
+        let push = traffic.current_push();
         latest.send_if_modified(|last| {
             let modified = *last != push;
             *last = push;
@@ -85,13 +86,14 @@
                 tokio::spawn(push_to(traffic.clone(), address, latest.subscribe()))
             });
         }
-        tokio::time::sleep(shortest).await;
+        tokio::time::sleep(min_interval).await;
     }
 }
 
-/// Pushes the latest counts to one peer, on change and after a while without.
+/// Pushes the latest counts to one peer, on change and at the refresh interval.
 ///
-/// A peer that does not answer gets the counts of the moment once it does.
+/// A peer that did not answer for a while gets the then current counts, not those
+/// that it missed.
 async fn push_to(
     traffic: sync::Arc<Traffic>,
     address: net::SocketAddr,
@@ -101,7 +103,7 @@
     loop {
         let push = latest.borrow_and_update().clone();
         let peers = &traffic.context.peers;
-        let _: Result<(), _> = peers.call(address, CALL, &push, TIMEOUT).await;
+        let _: Result<(), _> = peers.call(address, SERVICE, &push, TIMEOUT).await;
         if let Ok(Err(_)) = tokio::time::timeout(refresh, latest.changed()).await {
             return;
         }
--- a/crates/figscale/src/traffic/route.rs
+++ b/crates/figscale/src/traffic/route.rs
@@ -1,8 +1,8 @@
-//! The way of one request, at the entry instance that received it.
+//! Stages of one request at the entry instance that received it.
 //!
-//! Admission, body, the home of its id, then attempts until one is answered or
-//! no other may be made. Whatever happens, the final answer goes out the moment
-//! it is known; nothing is held back.
+//! They are admission, reading the body, the check of its id at the home, then
+//! attempts until one is answered or no further attempt is allowed. The final
+//! answer, also an error, is sent as soon as it is known.
 
 use std::sync;
 use std::time;
@@ -17,13 +17,13 @@
 
 use super::Traffic;
 use super::answer::Answer;
-use super::answer::NoAnswer;
+use super::answer::RequestError;
 use super::attempts::Attempts;
 use super::call;
 use super::call::Call;
 use super::progress::Progress;
 
-/// Counts a request against its owner until dropped.
+/// Counts a request towards the limits of its owner until dropped.
 pub(super) struct Admitted {
     traffic: sync::Arc<Traffic>,
     owner: ids::OwnerName,
@@ -37,7 +37,8 @@
     }
 }
 
-/// Tells the home of an id how its request ended, also when the task is dropped.
+/// Reports to the home of an id how its request ended, also when the task is
+/// dropped.
 struct OnceGuard {
     traffic: sync::Arc<Traffic>,
     id: ids::RequestId,
@@ -60,21 +61,22 @@
 }
 
 impl Traffic {
-    /// A name for this attempt of a caller.
-    pub(super) fn new_attempt(&self) -> once::AttemptId {
+    /// A random id for one message of a caller, by which the home of a request id
+    /// distinguishes messages with the same id.
+    pub(super) fn new_attempt_id(&self) -> once::AttemptId {
         once::AttemptId(self.decide().rng.random())
     }
 
-    /// What may be said of a request that got this instead of an answer.
+    /// The verdict to send to the caller with an error.
     ///
-    /// The word is about the request, not about this message of its caller: a
-    /// repeat that is refused is not said not to have run when an earlier
-    /// message may have had it run.
+    /// It applies to the request, not to this message of the caller: a refused
+    /// repeat must not be reported as not run if the request may have run for an
+    /// earlier message.
     pub(super) async fn final_verdict(
         &self,
         head: &call::Head,
         attempt: once::AttemptId,
-        none: &NoAnswer,
+        none: &RequestError,
     ) -> Verdict {
         let verdict = none.verdict();
         if verdict != Verdict::NotRun || !head.is_remembered() {
@@ -83,8 +85,11 @@
         self.peek_once(head.id, attempt).await.verdict()
     }
 
-    /// Lets a request in, or says why not.
-    pub(super) fn admit(self: &sync::Arc<Self>, head: &call::Head) -> Result<Admitted, NoAnswer> {
+    /// Admits a request, or returns why it is refused.
+    pub(super) fn admit(
+        self: &sync::Arc<Self>,
+        head: &call::Head,
+    ) -> Result<Admitted, RequestError> {
         let now = self.now();
         let accepted = self.context.shared.catalogue_now();
         let parts = self.context.shared.claims.borrow().claims.members.len();
@@ -105,19 +110,19 @@
         }
     }
 
-    /// Runs a request that was let in.
+    /// Runs an admitted request.
     pub(super) async fn run(
         self: &sync::Arc<Self>,
         head: &call::Head,
         attempt: once::AttemptId,
         admitted: &Admitted,
         body: body::Incoming,
-    ) -> Result<Answer, NoAnswer> {
+    ) -> Result<Answer, RequestError> {
         let default = time::Duration::from_millis(admitted.policy.budget_ms);
         let deadline = self.now() + head.budget.unwrap_or(default);
         let remembered = head.is_remembered();
         let body = call::read_body(self, body, admitted.policy.max_body_bytes);
-        let body = body.await.map_err(NoAnswer::Bad)?;
+        let body = body.await.map_err(RequestError::Bad)?;
         let _memory = body.memory;
         let call = sync::Arc::new(Call {
             entry: head.entry.clone(),
@@ -137,7 +142,7 @@
             progress: &progress,
             excluded: Vec::new(),
             avoid: None,
-            made: 0,
+            attempts_made: 0,
             refusals: 0,
         };
         let limit = tokio::time::Instant::now() + deadline.saturating_duration_since(self.now());
@@ -154,20 +159,20 @@
         };
         match tokio::time::timeout_at(limit, all).await {
             Ok(result) => result,
-            Err(_) => Err(NoAnswer::Expired {
+            Err(_) => Err(RequestError::Expired {
                 verdict: progress.verdict(),
-                come_back: self.decide().come_back(time::Duration::ZERO),
+                retry_after: self.decide().retry_after(time::Duration::ZERO),
             }),
         }
     }
 
-    /// Has the home of the id let the request through, once.
+    /// Registers the request at the home of its id, which refuses repeats.
     async fn remember(
         self: &sync::Arc<Self>,
         call: &Call,
         attempt: once::AttemptId,
         progress: &sync::Arc<Progress>,
-    ) -> Result<OnceGuard, NoAnswer> {
+    ) -> Result<OnceGuard, RequestError> {
         let guard = OnceGuard {
             traffic: self.clone(),
             id: call.id,
@@ -185,15 +190,15 @@
                     request = call.id,
                     verdict = begin.verdict()
                 );
-                Err(NoAnswer::Repeat(begin))
+                Err(RequestError::Repeat(begin))
             }
         }
     }
 }
 
-fn refused(decisions: &mut super::Decisions, reason: admission::Reason) -> NoAnswer {
-    NoAnswer::Refused {
+fn refused(decisions: &mut super::Decisions, reason: admission::Reason) -> RequestError {
+    RequestError::Refused {
         reason,
-        come_back: decisions.come_back(time::Duration::ZERO),
+        retry_after: decisions.retry_after(time::Duration::ZERO),
     }
 }
--- a/crates/figscale/src/traffic/shards.rs
+++ b/crates/figscale/src/traffic/shards.rs
@@ -1,4 +1,4 @@
-//! Follows the claims and the catalogue, and gives shards up in order.
+//! Follows the claims and the catalogue, and releases shards cleanly.
 
 use std::sync;
 use std::time;
@@ -15,16 +15,16 @@
 use crate::kernel;
 use crate::state;
 
-/// Prefix of shards of runners.
-const RUNNERS: &str = "runner/";
-/// Longest time that a shard is drained.
-const LONGEST_DRAIN: time::Duration = time::Duration::from_secs(120);
-/// Time between two looks at a shard that is drained.
-const LOOK: time::Duration = time::Duration::from_millis(20);
+/// Prefix of the shards of runners.
+const RUNNER_SHARD_PREFIX: &str = "runner/";
+/// Time after which the drain of a shard ends as unclean.
+const DRAIN_TIMEOUT: time::Duration = time::Duration::from_secs(120);
+/// Time between two checks of a shard that is being drained.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 type LongestRuns = IndexMap<ids::ServiceName, time::Duration>;
 
-/// Brings every change of the claims or the catalogue into the decisions.
+/// Applies every change of the claims or the catalogue to the decision state.
 pub(super) async fn follow(traffic: sync::Arc<Traffic>) {
     let shared = traffic.context.shared.clone();
     let mut claims = shared.claims.subscribe();
@@ -33,10 +33,10 @@
     loop {
         let accepted = catalogue.borrow_and_update().clone();
         let view = claims.borrow_and_update().clone();
-        lengthen(&mut longest, &accepted.catalogue);
-        // Without a catalogue nobody knows how long earlier requests may run.
+        update_longest_runs(&mut longest, &accepted.catalogue);
+        // Without a catalogue it is not known how long earlier requests may run.
         if accepted.revision != ids::Revision(0) {
-            traffic.take_in(&view, &longest);
+            traffic.apply(&view, &longest);
         }
         let changed = tokio::select! {
             changed = claims.changed() => changed,
@@ -48,8 +48,9 @@
     }
 }
 
-/// Longest runs only grow: an earlier holder may have gone by an older catalogue.
-fn lengthen(longest: &mut LongestRuns, catalogue: &catalogue::Catalogue) {
+/// Raises the longest runs. They never decrease, since an earlier holder may have
+/// dispatched by an older catalogue.
+fn update_longest_runs(longest: &mut LongestRuns, catalogue: &catalogue::Catalogue) {
     for entry in catalogue.entries.values() {
         if let catalogue::Policy::Requests(policy) = &entry.policy {
             let run = time::Duration::from_millis(policy.max_run_ms);
@@ -60,7 +61,7 @@
 }
 
 impl Traffic {
-    fn take_in(self: &sync::Arc<Self>, view: &state::ClaimsView, longest: &LongestRuns) {
+    fn apply(self: &sync::Arc<Self>, view: &state::ClaimsView, longest: &LongestRuns) {
         let held = held_shards(view);
         let now = self.now();
         let longest_run = |service: &ids::ServiceName| {
@@ -77,7 +78,7 @@
         self.poll();
     }
 
-    /// Closes idle connections to runners of shards that are held no more.
+    /// Closes idle connections to runners of shards that are no longer held.
     fn close_unheld(&self) {
         let decisions = self.decide();
         let held: Vec<_> = (decisions.dispatcher.table().runners())
@@ -90,7 +91,8 @@
 }
 
 fn held_shards(view: &state::ClaimsView) -> IndexMap<ids::ShardId, slots::HeldShard> {
-    let of_runners = (view.held.iter()).filter(|(id, _)| id.as_str().starts_with(RUNNERS));
+    let of_runners =
+        (view.held.iter()).filter(|(id, _)| id.as_str().starts_with(RUNNER_SHARD_PREFIX));
     of_runners
         .map(|(id, held)| {
             let shard = slots::HeldShard {
@@ -108,19 +110,19 @@
     known.is_some_and(|known| known.incarnation == member.incarnation)
 }
 
-/// Asks runners with kept-back slots what they are doing.
-pub(super) async fn ask_reports(traffic: sync::Arc<Traffic>) {
+/// Fetches the usage of runners of which some slots are withheld.
+pub(super) async fn keep_fetching_usage(traffic: sync::Arc<Traffic>) {
     let pause = time::Duration::from_millis(traffic.settings().report_ms);
     loop {
         tokio::time::sleep(pause).await;
         traffic.close_unheld();
         if traffic.has_authority() {
-            ask_all(&traffic).await;
+            fetch_all_usage(&traffic).await;
         }
     }
 }
 
-async fn ask_all(traffic: &sync::Arc<Traffic>) {
+async fn fetch_all_usage(traffic: &sync::Arc<Traffic>) {
     let now = traffic.now();
     let runners: Vec<_> = {
         let decisions = traffic.decide();
@@ -134,10 +136,10 @@
         let asked = traffic.now();
         let id = &runner.instance.id;
         let address = runner.instance.address;
-        let report = exchange::ask_report(traffic, id, address, runner.connections()).await;
+        let report = exchange::fetch_usage(traffic, id, address, runner.connections()).await;
         if let Some(report) = report {
             let now = traffic.now();
-            // The moment that the report tells of.
+            // The time at which the runner measured the report.
             let age = time::Duration::from_millis(report.age_ms);
             let taken = asked.checked_sub(age).unwrap_or(asked);
             let mut decisions = traffic.decide();
@@ -151,22 +153,22 @@
     traffic.poll();
 }
 
-/// Offers to give up shards of runners and homes of request ids.
+/// Registers the drains of shards of runners and of request ids.
 pub(super) fn offer_drains(traffic: &sync::Arc<Traffic>) {
     let kernel = &traffic.context.kernel;
     let runners = traffic.clone();
-    kernel.offer_drain(RUNNERS, move |shard| {
+    kernel.offer_drain(RUNNER_SHARD_PREFIX, move |shard| {
         Box::pin(drain_runners(runners.clone(), shard))
     });
-    let giver = traffic.clone();
-    kernel.offer_drain(homes::HOMES, move |shard| {
-        giver.give_up_home(&shard);
+    let releasing = traffic.clone();
+    kernel.offer_drain(homes::ID_SHARD_PREFIX, move |shard| {
+        releasing.release_home(&shard);
         Box::pin(async { kernel::Drained::Clean })
     });
 }
 
 async fn drain_runners(traffic: sync::Arc<Traffic>, shard: ids::ShardId) -> kernel::Drained {
-    let limit = traffic.now() + LONGEST_DRAIN;
+    let limit = traffic.now() + DRAIN_TIMEOUT;
     traffic.decide().dispatcher.drain(&shard);
     traffic.poll();
     loop {
@@ -179,6 +181,6 @@
             crate::event!(events::requests::SHARD_DRAIN_UNCLEAN, shard = shard);
             return kernel::Drained::Unclean;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/figscale/src/traffic/wire.rs
+++ b/crates/figscale/src/traffic/wire.rs
@@ -1,14 +1,15 @@
-//! The stream between the entry instance that received a request and the
-//! holder that runs it.
+//! Protocol between the entry instance that received a request and the holder
+//! that runs it.
 //!
-//! Messages go as frames: a length of four bytes, then `bincode`. The sender
-//! begins with a [`Head`]. The holder answers [`Reply::Granted`] once the request
-//! has a slot; only then does the sender send the body. Where a slot
-//! is expected to be free, the small body of an idempotent request goes along
-//! with its head, which saves a round trip and is worth a doubt if the link
-//! breaks. The last reply is
-//! [`Reply::Refused`], [`Reply::Failed`] or [`Reply::Answer`]; after an answer
-//! the rest of the stream is its body. A body that breaks resets the stream.
+//! Messages are sent as frames: a length of four bytes, then `bincode`. The
+//! sender begins with a [`Head`]. The holder replies [`Reply::Granted`] once the
+//! request has a slot; only then does the sender send the body. Where a slot is
+//! expected to be free, the small body of an idempotent request is sent along
+//! with its head. This saves a round trip; in return it is unknown whether the
+//! request has run if the connection breaks, which an idempotent request can
+//! tolerate. The last reply is [`Reply::Refused`], [`Reply::Failed`] or
+//! [`Reply::Answer`]; after an answer the rest of the stream is its body. A body
+//! that is truncated resets the stream.
 
 use figscale_core::request::admission;
 use figscale_types::ids;
@@ -20,17 +21,17 @@
 
 use super::answer;
 
-/// Name of the handler of streams.
+/// Name of the stream handler.
 pub(super) const STREAM: &str = "run";
 
-/// A header of HTTP.
+/// An HTTP header.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Header {
     name: String,
     value: Vec<u8>,
 }
 
-/// Takes headers apart.
+/// Converts a header map to a list.
 pub(super) fn from_map(map: &HeaderMap) -> Vec<Header> {
     map.iter()
         .map(|(name, value)| Header {
@@ -40,7 +41,7 @@
         .collect()
 }
 
-/// Puts headers together; what is no header is left out.
+/// Converts a list to a header map; invalid headers are left out.
 pub(super) fn to_map(list: &[Header]) -> HeaderMap {
     let pairs = list.iter().filter_map(|header| {
         let name = HeaderName::from_bytes(header.name.as_bytes()).ok()?;
@@ -50,30 +51,30 @@
     pairs.collect()
 }
 
-/// What a holder needs to know of a request.
+/// The head of a forwarded request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Head {
     pub(super) entry: ids::EntryName,
     pub(super) owner: ids::OwnerName,
     pub(super) id: ids::RequestId,
     pub(super) idempotent: bool,
-    /// Time left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub(super) left_ms: u64,
     pub(super) avoid: Option<ids::InstanceId>,
     pub(super) headers: Vec<Header>,
     pub(super) body_bytes: u64,
-    /// Whether the body goes along with the head.
+    /// Whether the body is sent along with the head.
     pub(super) eager: bool,
 }
 
 /// Why a holder does not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Refused {
-    /// Its queue is full.
+    /// The queue of the holder is full.
     QueueFull,
-    /// The deadline cannot be met here.
+    /// The deadline cannot be met at this holder.
     Unreachable,
-    /// The deadline came while it waited.
+    /// The deadline passed while the request was queued.
     Expired,
     /// It holds no runner of the service, or does not know the entry.
     NoHolder,
@@ -101,12 +102,12 @@
     }
 }
 
-/// What a holder answers.
+/// A reply of the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum Reply {
     /// The request has a slot.
     Granted,
-    /// It has none and did not run.
+    /// The request was refused a slot and did not run.
     Refused { refused: Refused, backlog_ms: u64 },
     /// Its attempt failed.
     Failed(answer::Failure),
@@ -119,5 +120,5 @@
     },
 }
 
-/// Largest body that goes along with its head.
+/// Largest body that is sent along with its head, in bytes.
 pub(super) const MAX_EAGER_BYTES: usize = 256 << 10;
