--- a/crates/figscale/examples/request_costs.rs
+++ b/crates/figscale/examples/request_costs.rs
@@ -1,8 +1,8 @@
-//! What the steps of a request's way cost, over loopback, one call at a time.
+//! Measures the latency of the paths of a request over loopback, one call at a time.
 //!
-//! All kinds of call take turns in one run, so that they see the same machine.
-//! The cell of the tests is used: entry instances and runners in this process,
-//! with a proxy before each runner and each peer address.
+//! The kinds of call alternate within a run, so that all are measured under the
+//! same machine load. The cell of the tests is used: entry instances and runners in
+//! this process, with a proxy before each runner and each peer address.
 //!
 //! `cargo run --release -p figscale --example request_costs`
 
@@ -52,7 +52,7 @@
         &Default::default(),
         std::sync::Arc::new(figscale_types::clock::SystemClock),
     );
-    // Past the time in which new homes refuse everything.
+    // Wait out the time in which new homes refuse every id.
     tokio::time::sleep(time::Duration::from_secs(3)).await;
     let mut times = KINDS.map(|_| Vec::new());
     for _ in 0..ROUNDS {
--- a/crates/figscale/tests/requests_cell/mod.rs
+++ b/crates/figscale/tests/requests_cell/mod.rs
@@ -1,10 +1,10 @@
-//! A cell inside the test: entry instances with real sockets between them,
-//! stand-in runners, and claims that the test publishes itself.
+//! A cell inside the test process: entry instances with real sockets between
+//! them, stand-in runners, and claims that the test publishes itself.
 //!
-//! The claims service is left out on purpose, so that a test can hand a shard
-//! over, take it or let its authority end at the very moment that it wants.
+//! There is no claims service, so that a test can hand a shard over, take it away
+//! or end the authority of an entry instance at a chosen moment.
 
-// Each test file uses a part of this.
+// Each test file uses only a part of this module.
 #![expect(dead_code, unreachable_pub)]
 
 use std::net;
@@ -39,7 +39,7 @@
 pub struct Entry {
     pub context: state::Context,
     pub caller: net::SocketAddr,
-    /// The way to its peer address.
+    /// Proxy before its peer address.
     pub peer: proxy::Handle,
 }
 
@@ -49,7 +49,7 @@
     pub proxy: proxy::Handle,
 }
 
-/// What a cell consists of.
+/// Configuration of a cell.
 #[derive(Clone)]
 pub struct Shape {
     pub entries: usize,
@@ -86,7 +86,7 @@
     view: sync::Mutex<View>,
 }
 
-/// Claims as the test wants them; shard `i` has runner `i`.
+/// Claims and instances that the test publishes; shard `i` has runner `i`.
 struct View {
     revision: u64,
     claims: claims::Claims,
@@ -131,7 +131,7 @@
 }
 
 impl Cell {
-    /// Starts a cell; shards go round the entry instances.
+    /// Starts a cell; shards are assigned to the entry instances in rotation.
     pub async fn start(shape: Shape) -> Self {
         let ledger = runner::Ledger::default();
         let mut runners = Vec::new();
@@ -166,11 +166,11 @@
             view,
         };
         for number in 0..shape.runners {
-            cell.give(shard(number), number % shape.entries, true);
+            cell.assign(shard(number), number % shape.entries, true);
         }
         for number in 0..claims::ID_SHARDS {
             let shard = claims::id_shard(number).expect("an id shard");
-            cell.give(shard, number as usize % shape.entries, true);
+            cell.assign(shard, number as usize % shape.entries, true);
         }
         cell.publish();
         for number in 0..shape.entries {
@@ -180,8 +180,8 @@
         cell
     }
 
-    /// Waits until every entry instance takes callers and knows the counts of
-    /// every other.
+    /// Waits until every entry instance accepts callers and has received the counts
+    /// of every other.
     pub async fn settle(&self) {
         for entry in &self.entries {
             wait_for("a caller's connection", || async {
@@ -197,8 +197,8 @@
         }
     }
 
-    /// Gives a shard to an entry instance; publish to bring it into force.
-    pub fn give(&self, shard: ids::ShardId, to: usize, clean: bool) {
+    /// Assigns a shard to an entry instance; takes effect when published.
+    pub fn assign(&self, shard: ids::ShardId, to: usize, clean: bool) {
         let now = time::Instant::now();
         let mut view = self.view.lock().expect("not poisoned");
         let line = view.claims.shards.entry(shard.clone()).or_default();
@@ -228,19 +228,19 @@
         view.claims.shards[shard].epoch
     }
 
-    /// Changes the lines of the instance list; publish to bring it into force.
+    /// Changes the instance list; takes effect when published.
     pub fn change_instances(&self, change: impl FnOnce(&mut Vec<instances::Instance>)) {
         change(&mut self.view.lock().expect("not poisoned").instances);
     }
 
-    /// Brings the claims into force everywhere.
+    /// Publishes the claims to all entry instances.
     pub fn publish(&self) {
         for number in 0..self.entries.len() {
             self.publish_to(number);
         }
     }
 
-    /// Brings the claims into force at one entry instance.
+    /// Publishes the claims to one entry instance.
     pub fn publish_to(&self, number: usize) {
         let mut view = self.view.lock().expect("not poisoned");
         view.revision += 1;
@@ -269,7 +269,7 @@
         shared.claims.send_replace(sync::Arc::new(published));
     }
 
-    /// Lets an entry instance use what it holds, for an hour.
+    /// Grants an entry instance authority over its shards for an hour.
     pub fn authorize(&self, number: usize) {
         let until = time::Instant::now() + time::Duration::from_secs(3_600);
         let shared = &self.entries[number].context.shared;
@@ -290,17 +290,17 @@
     }
 }
 
-/// Longer than anything in a test takes.
+/// Time limit, longer than any step of a test takes.
 pub const LONG: time::Duration = time::Duration::from_secs(40);
 
-/// Polls until something holds.
+/// Polls until a condition holds.
 pub async fn wait_for<F>(what: &str, mut holds: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
     let end = time::Instant::now() + LONG;
     while !holds().await {
-        assert!(time::Instant::now() < end, "never came: {what}");
+        assert!(time::Instant::now() < end, "timed out waiting for {what}");
         tokio::time::sleep(time::Duration::from_millis(5)).await;
     }
 }
--- a/crates/figscale/tests/requests_front.rs
+++ b/crates/figscale/tests/requests_front.rs
@@ -1,4 +1,4 @@
-//! Hostile and malformed input where callers connect.
+//! Hostile and malformed input from callers.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -27,13 +27,13 @@
     Cell::start(shape).await
 }
 
-/// Writes bytes and reads until the other side closes.
+/// Writes bytes and reads until the entry instance closes the connection.
 async fn raw(cell: &Cell, bytes: &[u8]) -> String {
     let mut caller = TcpStream::connect(cell.entries[0].caller).await.unwrap();
     let _ = caller.write_all(bytes).await;
     let mut answer = Vec::new();
     let read = caller.read_to_end(&mut answer);
-    // Far above the limits of this test's settings, and below any library's.
+    // Far above the time-outs set in this test, and below the defaults of any library.
     let limit = time::Duration::from_secs(15);
     let _ = tokio::time::timeout(limit, read)
         .await
@@ -72,8 +72,8 @@
     still_serves(&cell).await;
 }
 
-/// Whatever follows a chunked body on the same connection is not read as a
-/// request, so two readings of one length never meet.
+/// Guards against request smuggling: with two conflicting lengths, bytes after a
+/// chunked body must not be read as a further request on the connection.
 #[rstest]
 #[case::length_first("content-length: 40\r\ntransfer-encoding: chunked\r\n")]
 #[case::coding_first("transfer-encoding: chunked\r\ncontent-length: 40\r\n")]
@@ -103,11 +103,11 @@
     #[case] lengths: &str,
     #[case] body: &str,
     #[case] status: &str,
-    #[case] word: &str,
+    #[case] code: &str,
 ) {
     let cell = cell().await;
     let mut bytes = format!("{}{body}", head(lengths));
-    if word == "body-too-large" && body.starts_with("200000") {
+    if code == "body-too-large" && body.starts_with("200000") {
         bytes.push_str(&"x".repeat(0x20_0000));
     }
     let answer = raw(&cell, bytes.as_bytes()).await;
@@ -115,7 +115,7 @@
         answer.starts_with(&format!("HTTP/1.1 {status}")),
         "{answer}"
     );
-    assert!(answer.contains(word), "{answer}");
+    assert!(answer.contains(code), "{answer}");
     assert!(answer.contains("x-figscale-verdict: not-run"), "{answer}");
     assert!(cell.ledger.requests().is_empty());
     still_serves(&cell).await;
@@ -133,16 +133,16 @@
     #[case] path: &str,
     #[case] owner: &str,
     #[case] status: u16,
-    #[case] word: &str,
+    #[case] code: &str,
 ) {
     let cell = cell().await;
     let address = cell.entries[0].caller;
     let call = figscale_standin::client::Call::post(address, path).header(headers::OWNER, owner);
     let answer = cell.send(call).await;
     assert_eq!(answer.status, status, "{}", answer.text());
-    let told: serde_json::Value = answer.json().unwrap();
-    assert_eq!(told["error"], word);
-    assert_eq!(told["verdict"], "not-run");
+    let error: serde_json::Value = answer.json().unwrap();
+    assert_eq!(error["error"], code);
+    assert_eq!(error["verdict"], "not-run");
     assert_eq!(answer.header(headers::VERDICT), "not-run");
 }
 
@@ -157,12 +157,12 @@
     let cell = cell().await;
     let answer = cell.send(cell.call(0, QUOTE).header(name, value)).await;
     assert_eq!(answer.status, 400);
-    let told: serde_json::Value = answer.json().unwrap();
-    let message = told["message"].as_str().unwrap().to_owned();
+    let error: serde_json::Value = answer.json().unwrap();
+    let message = error["message"].as_str().unwrap().to_owned();
     assert!(message.contains(name), "{message}");
 }
 
-/// A caller cannot pass for an entry instance or a runner.
+/// A caller cannot impersonate an entry instance or a runner.
 #[tokio::test(flavor = "multi_thread")]
 async fn spoofed_headers_are_removed() {
     let cell = cell().await;
@@ -186,8 +186,8 @@
     assert_eq!(cell.ledger.violations(), []);
 }
 
-/// Callers that open many connections and send nothing do not keep others out
-/// for longer than the time for a head.
+/// Callers that open many connections and send nothing block others for no longer
+/// than the time-out of a head.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_connections_make_room() {
     let cell = cell().await;
--- a/crates/figscale/tests/requests_homes.rs
+++ b/crates/figscale/tests/requests_homes.rs
@@ -1,4 +1,4 @@
-//! Request ids through planned and unplanned changes of their home.
+//! Request ids under planned and unplanned changes of their home.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -18,7 +18,7 @@
     ids::RequestId(uuid::Uuid::now_v7())
 }
 
-/// Status and verdict of a non-idempotent request under this id.
+/// Sends a non-idempotent request with this id; returns its status and verdict.
 async fn run(cell: &Cell, entry: usize, id: ids::RequestId) -> (u16, String) {
     let call = cell.call(entry, QUOTE).header(headers::REQUEST_ID, id);
     let answer = cell.send(call).await;
@@ -26,15 +26,15 @@
     (answer.status.as_u16(), verdict)
 }
 
-/// A cell with a tolerance so long that a new home would refuse what is fresh
-/// for the whole test.
+/// A cell with a clock tolerance so long that a new home without the memory of the
+/// earlier one would refuse fresh ids for the whole test.
 async fn cell() -> Cell {
     let mut shape = Shape::default();
     shape.traffic.clock_tolerance_ms = 60_000;
     Cell::start(shape).await
 }
 
-/// Moves every home of request ids to an entry instance, in order or not.
+/// Moves every home of request ids to an entry instance, with a drain or without.
 async fn move_homes(cell: &Cell, to: usize, in_order: bool) {
     for number in 0..claims::ID_SHARDS {
         let shard = claims::id_shard(number).unwrap();
@@ -43,7 +43,7 @@
             let kernel = &cell.entries[from].context.kernel;
             kernel.drain(shard.clone()).await;
         }
-        cell.give(shard, to, in_order);
+        cell.assign(shard, to, in_order);
     }
     cell.publish();
 }
@@ -68,7 +68,7 @@
         for id in &ids {
             let home = once::home_of(*id).unwrap();
             let (status, verdict) = run(&cell, 1, *id).await;
-            // The word of how it ended may come after the home has moved.
+            // The report of how it ended may arrive after the home has moved.
             let known = ["ran", "may-have-run"].contains(&verdict.as_str());
             assert!(status == 409 && known, "{home} at {to}: {status} {verdict}");
         }
@@ -80,8 +80,8 @@
     assert_eq!(cell.ledger.violations(), []);
 }
 
-/// Between the giving up of a home and the next one nobody lets an id through,
-/// neither where the home was nor through another entry instance.
+/// Between the release of a home and its next holder no request id is accepted,
+/// neither at the earlier home nor through another entry instance.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_home_given_up_lets_nothing_through() {
     let cell = cell().await;
@@ -92,19 +92,19 @@
         let kernel = &cell.entries[cell.holder(&shard)].context.kernel;
         kernel.drain(shard).await;
     }
-    let asked: Vec<_> = (0..20).map(|_| new_id()).collect();
-    for (number, id) in asked.iter().enumerate() {
+    let refused_ids: Vec<_> = (0..20).map(|_| new_id()).collect();
+    for (number, id) in refused_ids.iter().enumerate() {
         let call = cell.call(number % 2, QUOTE);
         let call = call.header(headers::REQUEST_ID, id);
         let answer = cell.send(call.header(headers::BUDGET_MS, 100)).await;
-        assert_ne!(answer.status, 200, "{id} was let through");
+        assert_ne!(answer.status, 200, "{id} was accepted without a home");
     }
     assert_eq!(cell.ledger.requests().len(), 1);
     for number in 0..claims::ID_SHARDS {
-        cell.give(claims::id_shard(number).unwrap(), 1, true);
+        cell.assign(claims::id_shard(number).unwrap(), 1, true);
     }
     cell.publish();
-    for id in asked {
+    for id in refused_ids {
         assert_eq!(run(&cell, 0, id).await, ran);
     }
 }
@@ -121,15 +121,15 @@
     assert_eq!(run(&cell, 0, new_id()).await, refused);
 }
 
-/// A memory that never arrives is not waited for without end.
+/// A new home does not wait indefinitely for a memory that never arrives.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_memory_refuses_as_after_a_death() {
     let cell = cell().await;
     let id = new_id();
     run(&cell, 0, id).await;
     for number in 0..claims::ID_SHARDS {
-        // In order by the claims, but nobody passes anything on.
-        cell.give(claims::id_shard(number).unwrap(), 1, true);
+        // Clean by the claims, but no memory is handed over.
+        cell.assign(claims::id_shard(number).unwrap(), 1, true);
     }
     cell.publish();
     let began = time::Instant::now();
--- a/crates/figscale/tests/requests_limits.rs
+++ b/crates/figscale/tests/requests_limits.rs
@@ -1,4 +1,5 @@
-//! Limits, given-up requests and the right to dispatch, at chosen moments.
+//! Limits, abandoned requests, and the loss of authority at chosen moments of a
+//! dispatch.
 
 mod requests_cell;
 
@@ -40,7 +41,7 @@
     shape
 }
 
-/// Sends a request that runs so long, without waiting for its answer.
+/// Sends a request that runs for `run_ms`, without waiting for its answer.
 fn spawn(
     cell: &Cell,
     entry: usize,
@@ -66,8 +67,8 @@
     cell.entries[entry].context.kernel.dump().await["traffic"].clone()
 }
 
-/// A clock that jumps ahead at one of its next readings, as it seems to a
-/// process that is stopped there and goes on later.
+/// A clock that jumps ahead at a chosen reading, as it appears to a process that is
+/// paused there and resumes later.
 #[derive(Default)]
 struct JumpingClock {
     readings_left: atomic::AtomicI64,
@@ -104,8 +105,9 @@
     }
 }
 
-/// The process stops between any two readings of its clock and goes on after
-/// its right has ended: what was not written by then is not written.
+/// Guards against a dispatch after authority has ended: the process is paused
+/// between any two readings of its clock and resumes after the end of its
+/// authority. A request that was not written before must not be written then.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dispatch_without_the_right_is_not_written() {
     let clock = sync::Arc::new(JumpingClock::default());
@@ -143,12 +145,16 @@
         let dump = dump(&cell, 0).await;
         fenced = dump["fenced"].as_u64().unwrap();
     }
-    assert!(fenced > 0, "no right ended between decision and write");
+    assert!(
+        fenced > 0,
+        "authority never ended between decision and write"
+    );
     assert_eq!(cell.ledger.violations(), []);
 }
 
-/// A caller that leaves while it waits frees its place at once; one that leaves
-/// while its request runs frees the slot only when the runner is done.
+/// A caller that disconnects while its request is queued frees its place in the
+/// queue at once. One that disconnects while its request runs frees the slot only
+/// when the runner has finished.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_frees_what_is_free(#[values(0, 1)] entry: usize) {
@@ -159,8 +165,8 @@
     let queued = || async { dump(&cell, 0).await["waiting"] == 1 };
     requests_cell::wait_for("a waiting request", queued).await;
     waiting.abort();
-    let gone = || async { dump(&cell, 0).await["waiting"] == 0 };
-    requests_cell::wait_for("an empty queue", gone).await;
+    let dequeued = || async { dump(&cell, 0).await["waiting"] == 0 };
+    requests_cell::wait_for("an empty queue", dequeued).await;
     assert_eq!(cell.runners[0].handle.busy(), 1);
     running.abort();
     let next = spawn(&cell, entry, 1).await.unwrap().unwrap();
@@ -168,13 +174,13 @@
     assert_eq!(
         cell.ledger.requests().len(),
         2,
-        "the one that waited never ran"
+        "the queued request must not run"
     );
     assert_eq!(cell.ledger.violations(), []);
 }
 
-/// What cannot be answered in time is refused at once, with a time to come back
-/// that differs between callers.
+/// A request that cannot be answered in time is refused at once, with a time to
+/// retry that differs between callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cannot_be_met_is_refused_at_once() {
     let cell = Cell::start(shape(2, 1, 2)).await;
@@ -188,28 +194,28 @@
     }
     let full = || async { dump(&cell, 0).await["waiting"] == 40 };
     requests_cell::wait_for("a queue of 40", full).await;
-    let mut returns = std::collections::BTreeSet::new();
+    let mut retry_times = std::collections::BTreeSet::new();
     for entry in [0, 1, 0, 1, 0, 1, 0, 1] {
-        // The queue alone takes longer than this budget; the refusal does not.
+        // The wait in the queue exceeds this budget; the refusal must not wait for it.
         let call = cell.call(entry, QUOTE).header(headers::BUDGET_MS, 600);
         let began = time::Instant::now();
         let answer = cell.send(call).await;
         let took = began.elapsed();
-        let told: serde_json::Value = answer.json().unwrap();
-        assert_eq!(told["error"], "deadline-unreachable", "{told}");
-        assert_eq!(told["verdict"], "not-run");
-        assert!(took < ms(500), "held back for {took:?} of 600 ms");
+        let error: serde_json::Value = answer.json().unwrap();
+        assert_eq!(error["error"], "deadline-unreachable", "{error}");
+        assert_eq!(error["verdict"], "not-run");
+        assert!(took < ms(500), "refused only after {took:?} of 600 ms");
         let after: u64 = answer.header("retry-after").parse().unwrap();
         assert!(after >= 1);
-        returns.insert(told["retry_after_ms"].as_u64().unwrap());
+        retry_times.insert(error["retry_after_ms"].as_u64().unwrap());
     }
-    assert!(returns.len() >= 6, "{returns:?}");
+    assert!(retry_times.len() >= 6, "{retry_times:?}");
     for call in busy {
         assert_eq!(call.await.unwrap().unwrap().status, 200);
     }
 }
 
-/// A request whose last attempt failed is answered then, not at its deadline.
+/// A request whose last attempt failed is answered at once, not at its deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_given_up_request_is_answered_at_once() {
     let cell = Cell::start(shape(2, 1, 2)).await;
@@ -221,7 +227,7 @@
             .call(entry, QUOTE)
             .header(headers::BUDGET_MS, 60_000)
             .header(headers::RUN_MS, 1);
-        // The client itself gives up long before the deadline.
+        // The client times out long before the deadline.
         let answer = cell.send(call).await;
         assert_eq!(answer.status, 502, "{}", answer.text());
         assert!(!answer.header("retry-after").is_empty());
@@ -242,11 +248,14 @@
             assert_eq!(answer.header(headers::VERDICT), "not-run");
         }
     }
-    assert!(refused >= 1, "2 a second were asked for 6 at once");
+    assert!(
+        refused >= 1,
+        "6 requests at once passed a limit of 2 per second"
+    );
 }
 
-/// A non-idempotent request asked again, through every entry instance and with
-/// its home gone, runs once.
+/// A non-idempotent request that is repeated through every entry instance, also
+/// after a change of its home, runs once.
 #[rstest]
 #[case::same_home(false, false)]
 #[case::home_lost(true, false)]
@@ -254,7 +263,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeat_runs_nothing(#[case] moved: bool, #[case] drained: bool) {
     let cell = Cell::start(shape(3, 2, 4)).await;
-    // Past the time in which a new home refuses everything.
+    // Wait out the time in which a new home refuses every id.
     tokio::time::sleep(ms(40)).await;
     let id = new_id();
     let ask = |entry: usize| {
@@ -271,18 +280,19 @@
             let kernel = &cell.entries[from].context.kernel;
             assert_eq!(kernel.drain(home.clone()).await, kernel::Drained::Clean);
         }
-        cell.give(home, (from + 1) % 3, drained);
+        cell.assign(home, (from + 1) % 3, drained);
         cell.publish();
     }
     for entry in [1, 2, 0] {
-        let again = cell.send(ask(entry)).await;
-        assert_eq!(again.status, 409, "{}", again.text());
-        assert_ne!(again.header(headers::VERDICT), "not-run");
+        let repeat = cell.send(ask(entry)).await;
+        assert_eq!(repeat.status, 409, "{}", repeat.text());
+        assert_ne!(repeat.header(headers::VERDICT), "not-run");
     }
     assert_eq!(cell.ledger.runs(&id.to_string()), 1);
 }
 
-/// A refused repeat is not said not to have run, whatever it is refused for.
+/// Guards against a wrong `not-run`: a refused repeat must not be reported as not
+/// run if its request ran, whatever the reason of the refusal.
 #[rstest]
 #[case::no_such_entry("/v1/run/hullrate/nothing")]
 #[case::too_large("/v1/run/hullrate/private")]
@@ -303,11 +313,11 @@
     let ran = cell.send(ask(QUOTE)).await;
     assert_eq!(ran.status, 200, "{}", ran.text());
     let refused = cell.send(ask(path).body(body)).await;
-    // The home may not have heard yet how the first one ended.
-    let told: serde_json::Value = refused.json().unwrap();
-    assert_ne!(told["verdict"], "not-run", "{told}");
+    // The home may not have received the end of the first one yet.
+    let error: serde_json::Value = refused.json().unwrap();
+    assert_ne!(error["verdict"], "not-run", "{error}");
     let verdict = refused.header(headers::VERDICT);
-    assert_eq!(told["verdict"].as_str(), Some(verdict));
+    assert_eq!(error["verdict"].as_str(), Some(verdict));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -325,8 +335,8 @@
     assert!(cell.ledger.requests().is_empty());
 }
 
-/// A drained shard is clean once its last request is over, and its new holder
-/// may use every slot at once.
+/// A drain is clean once the last request of the shard has ended, and the new
+/// holder may use every slot at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_hand_over_needs_no_quarantine() {
     let cell = Cell::start(shape(2, 1, 2)).await;
@@ -340,7 +350,7 @@
         0,
         "drained while a request ran"
     );
-    cell.give(shard, 1, true);
+    cell.assign(shard, 1, true);
     cell.publish();
     assert_eq!(running.await.unwrap().unwrap().status, 200);
     let answer = spawn(&cell, 0, 1).await.unwrap().unwrap();
@@ -349,7 +359,8 @@
     assert_eq!(counts["kept_back"], 0, "{counts}");
 }
 
-/// Few connections are opened, and none stays once the shard is gone.
+/// The number of connections to a runner is limited, and all are closed once the
+/// shard has moved.
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_stay_within_the_limit_and_go_with_the_shard() {
     let cell = Cell::start(shape(3, 1, 8)).await;
@@ -360,7 +371,7 @@
     let runner: &runner::Handle = &cell.runners[0].handle;
     assert!(cell.ledger.connections(runner.id()) <= 12);
     let from = cell.holder(&requests_cell::shard(0));
-    cell.give(requests_cell::shard(0), (from + 1) % 3, true);
+    cell.assign(requests_cell::shard(0), (from + 1) % 3, true);
     cell.publish();
     requests_cell::wait_for("closed connections", || async {
         cell.ledger.connections(runner.id()) == 0
@@ -369,7 +380,8 @@
     assert_eq!(cell.ledger.violations(), []);
 }
 
-/// One runner that fails everything gets little, and the service goes on.
+/// A runner that fails every request is ejected, so that it fails only a few, and is
+/// used again once it recovers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_runner_that_fails_everything_is_set_aside() {
     let cell = Cell::start(shape(1, 4, 2)).await;
@@ -394,8 +406,8 @@
     .await;
 }
 
-/// Retries follow the verdict: an idempotent request is tried elsewhere, and
-/// one that is not is answered with what is known.
+/// Retries follow the verdict: an idempotent request is retried at another runner;
+/// one that is not gets an error with the known verdict.
 #[rstest]
 #[case::idempotent(true, 200)]
 #[case::not_idempotent(false, 502)]
--- a/crates/figscale/tests/requests_overload.rs
+++ b/crates/figscale/tests/requests_overload.rs
@@ -1,4 +1,4 @@
-//! Three times what the runners can do.
+//! A load of three times the capacity of the runners.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -28,8 +28,8 @@
     }
 }
 
-/// Goodput stays near capacity, interactive requests keep their wait, and
-/// whoever is refused hears it at once, with a time to come back.
+/// Under overload goodput stays near capacity, the wait of interactive requests
+/// stays short, and refusals are sent at once, with a time to retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn three_times_capacity() {
     let cell = Cell::start(Shape {
@@ -39,7 +39,7 @@
     .await;
     let capacity_per_s = f64::from(SLOTS) * 1_000.0 / RUN_MS;
     let config = load::Config {
-        // All callers but a few come to one entry instance.
+        // Most callers use one entry instance.
         targets: vec![
             load::Target {
                 address: cell.entries[0].caller,
@@ -69,15 +69,15 @@
         assert_eq!(class.no_answer, 0);
         let failed: u64 = class.failed.values().sum();
         assert_eq!(class.retry_after, failed, "{:?}", class.failed);
-        // Refused at once rather than at the deadline of 2,000 ms or later.
+        // Refused at once, not at the deadline of 2,000 ms or later.
         assert!(
             class.failed_latency.p50_ms < 1_000.0,
             "{:?}",
             class.failed_latency
         );
     }
-    let most = capacity_per_s * SECONDS as f64;
-    assert!(own as f64 > 0.6 * most, "{own} of {most}");
+    let possible = capacity_per_s * SECONDS as f64;
+    assert!(own as f64 > 0.6 * possible, "{own} of {possible}");
     let cover = &report.classes["hullrate/cover"];
     assert_eq!(cover.own, cover.requests, "{:?}", cover.failed);
     assert!(cover.wait.p99_ms < 1_000.0, "{:?}", cover.wait);
--- a/crates/figscale/tests/requests_path.rs
+++ b/crates/figscale/tests/requests_path.rs
@@ -1,4 +1,4 @@
-//! The way of a request from caller to runner and back.
+//! The path of a request from caller to runner and back.
 
 mod requests_cell;
 
@@ -12,7 +12,7 @@
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn each_entry_instance_serves_each_runner(#[values(false, true)] idempotent: bool) {
-    // One shard, so one of the two entry instances has to forward.
+    // With one shard, one of the two entry instances has to forward.
     let shape = Shape {
         runners: 1,
         ..Shape::default()
@@ -29,9 +29,9 @@
         assert_eq!(answer.header(headers::VERDICT), "ran");
         let served_by = format!("entry-{entry}");
         assert_eq!(answer.header(headers::SERVED_BY), served_by);
-        let told: runner::RunAnswer = answer.json().unwrap();
-        assert_eq!(told.body_checksum, runner::checksum(body.as_bytes()));
-        assert_eq!(told.request_id, answer.header(headers::REQUEST_ID));
+        let run: runner::RunAnswer = answer.json().unwrap();
+        assert_eq!(run.body_checksum, runner::checksum(body.as_bytes()));
+        assert_eq!(run.request_id, answer.header(headers::REQUEST_ID));
         let checksum = runner::checksum(&answer.body);
         assert_eq!(answer.header(headers::CHECKSUM), checksum);
     }
--- a/crates/figscale/tests/requests_process.rs
+++ b/crates/figscale/tests/requests_process.rs
@@ -1,5 +1,5 @@
-//! The promises of requests with real entry instances that are killed, frozen
-//! and stopped, judged by the runners' record.
+//! Guarantees of requests, with processes of entry instances that are killed,
+//! paused and stopped. They are checked against the runners' ledger.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -38,7 +38,8 @@
     }
 }
 
-/// A cell whose entry instances all hold the catalogue and hear each other.
+/// Starts a cell; waits until all entry instances have the catalogue and know each
+/// other.
 async fn cell(plan: harness::Plan) -> harness::Cell {
     let entries = plan.entries;
     let runners = plan.runners;
@@ -66,13 +67,13 @@
     for entry in all {
         wait_until_served(&cell, entry).await;
     }
-    wait_until_quiet(&cell, entries, runners).await;
+    wait_until_settled(&cell, entries, runners).await;
     cell
 }
 
-/// Waits until every slot has a holder and none is kept back, every entry
-/// instance has its share and gives up none of it.
-async fn wait_until_quiet(cell: &harness::Cell, entries: usize, runners: usize) {
+/// Waits until every slot has a holder and none is withheld, and every entry
+/// instance has its share of shards and is releasing none.
+async fn wait_until_settled(cell: &harness::Cell, entries: usize, runners: usize) {
     harness::wait_until("free slots", || async {
         let mut free = 0;
         let mut homes = 0;
@@ -82,7 +83,7 @@
             };
             let counts = &dump["traffic"]["counts"]["hullrate"];
             free += counts["free"][0].as_u64().unwrap_or(0);
-            // The first one holds all shards until it has seen the others.
+            // The first entry instance holds all shards until it knows the others.
             let Some(held) = dump["claims"]["held"].as_object() else {
                 return false;
             };
@@ -117,27 +118,27 @@
         .body(id.to_string())
 }
 
-/// What callers were told, by id.
+/// Outcomes of the requests, as callers received them.
 #[derive(Default)]
-struct Told {
+struct Outcomes {
     answered: u64,
     not_run: Vec<String>,
-    lies: Vec<String>,
-    wrong: Vec<String>,
-    words: IndexMap<String, u64>,
+    false_not_run: Vec<String>,
+    wrong_answers: Vec<String>,
+    errors: IndexMap<String, u64>,
 }
 
-/// Callers that ask all entry instances, and ask again through another one when
-/// they are not told that the request ran.
+/// Callers that send to randomly chosen entry instances, and repeat a request until
+/// one answers that it ran.
 struct Callers {
-    told: sync::Arc<sync::Mutex<Told>>,
+    outcomes: sync::Arc<sync::Mutex<Outcomes>>,
     stop: sync::Arc<atomic::AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Callers {
     fn start(cell: &harness::Cell, entries: usize, seed: u64) -> Self {
-        let told = sync::Arc::new(sync::Mutex::new(Told::default()));
+        let outcomes = sync::Arc::new(sync::Mutex::new(Outcomes::default()));
         let stop = sync::Arc::new(atomic::AtomicBool::new(false));
         let addresses: Vec<_> = (0..entries).map(|n| cell.caller_address(n)).collect();
         let tasks = (0..24)
@@ -146,38 +147,42 @@
                     client: cell.client.clone(),
                     addresses: addresses.clone(),
                     ledger: cell.requests.clone(),
-                    told: told.clone(),
+                    outcomes: outcomes.clone(),
                     rng: rngs::StdRng::seed_from_u64(seed * 100 + caller),
                 };
                 tokio::spawn(one.run(stop.clone()))
             })
             .collect();
-        Self { told, stop, tasks }
+        Self {
+            outcomes,
+            stop,
+            tasks,
+        }
     }
 
-    async fn judge(self, cell: &harness::Cell) {
+    async fn check_invariants(self, cell: &harness::Cell) {
         self.stop.store(true, atomic::Ordering::SeqCst);
         for task in self.tasks {
             task.await.unwrap();
         }
-        let told = self.told.lock().unwrap();
+        let outcomes = self.outcomes.lock().unwrap();
         println!(
-            "answered {}, not run {}, words {:?}, seen {}",
-            told.answered,
-            told.not_run.len(),
-            told.words,
+            "answered {}, not run {}, errors {:?}, seen {}",
+            outcomes.answered,
+            outcomes.not_run.len(),
+            outcomes.errors,
             cell.requests.requests().len()
         );
         assert_eq!(cell.requests.violations(), []);
-        assert_eq!(told.wrong, Vec::<String>::new());
-        assert_eq!(told.lies, Vec::<String>::new());
-        for id in &told.not_run {
+        assert_eq!(outcomes.wrong_answers, Vec::<String>::new());
+        assert_eq!(outcomes.false_not_run, Vec::<String>::new());
+        for id in &outcomes.not_run {
             assert!(
                 !cell.requests.may_have_run(id),
-                "{id} was said not to have run"
+                "{id} was reported as not run"
             );
         }
-        assert!(told.answered > 50, "only {} answers", told.answered);
+        assert!(outcomes.answered > 50, "only {} answers", outcomes.answered);
     }
 }
 
@@ -185,7 +190,7 @@
     client: client::Client,
     addresses: Vec<std::net::SocketAddr>,
     ledger: runner::Ledger,
-    told: sync::Arc<sync::Mutex<Told>>,
+    outcomes: sync::Arc<sync::Mutex<Outcomes>>,
     rng: rngs::StdRng,
 }
 
@@ -196,47 +201,47 @@
             let idempotent = self.rng.random_bool(0.3);
             let mut all_not_run = true;
             for _ in 0..3 {
-                let verdict = self.ask(id, idempotent).await;
+                let verdict = self.send(id, idempotent).await;
                 all_not_run &= verdict == Some(Verdict::NotRun);
                 if verdict == Some(Verdict::Ran) {
                     break;
                 }
             }
             if all_not_run {
-                self.told.lock().unwrap().not_run.push(id.to_string());
+                self.outcomes.lock().unwrap().not_run.push(id.to_string());
             }
             let pause = self.rng.random_range(0..20);
             tokio::time::sleep(time::Duration::from_millis(pause)).await;
         }
     }
 
-    async fn ask(&mut self, id: ids::RequestId, idempotent: bool) -> Option<Verdict> {
+    async fn send(&mut self, id: ids::RequestId, idempotent: bool) -> Option<Verdict> {
         let address = self.addresses[self.rng.random_range(0..self.addresses.len())];
         let call = call(address, id, idempotent)
             .header(headers::BUDGET_MS, self.rng.random_range(200..3_000))
             .header(headers::RUN_MS, self.rng.random_range(1..100));
         let answer = self.client.send_within(LIMIT, call).await;
         let seen = self.ledger.may_have_run(&id.to_string());
-        let mut told = self.told.lock().unwrap();
+        let mut outcomes = self.outcomes.lock().unwrap();
         let Ok(answer) = answer else {
-            *told.words.entry("no answer".to_owned()).or_default() += 1;
+            *outcomes.errors.entry("no answer".to_owned()).or_default() += 1;
             return None;
         };
         let verdict: Verdict = answer.header(headers::VERDICT).parse().unwrap();
         if answer.status == 200 {
-            told.answered += 1;
+            outcomes.answered += 1;
             let own: runner::RunAnswer = answer.json().unwrap();
             if answer.header(headers::CHECKSUM) != runner::checksum(&answer.body)
                 || own.body_checksum != runner::checksum(id.to_string().as_bytes())
             {
-                told.wrong.push(id.to_string());
+                outcomes.wrong_answers.push(id.to_string());
             }
         } else {
-            let word: serde_json::Value = answer.json().unwrap();
-            let word = format!("{verdict} {}", word["error"].as_str().unwrap());
-            *told.words.entry(word).or_default() += 1;
+            let error: serde_json::Value = answer.json().unwrap();
+            let error = format!("{verdict} {}", error["error"].as_str().unwrap());
+            *outcomes.errors.entry(error).or_default() += 1;
             if verdict == Verdict::NotRun && seen && !idempotent {
-                told.lies.push(id.to_string());
+                outcomes.false_not_run.push(id.to_string());
             }
         }
         Some(verdict)
@@ -252,7 +257,7 @@
     let mut cell = cell(plan(3, 4)).await;
     let callers = Callers::start(&cell, 3, 1);
     pause(500).await;
-    // Frozen past every lease, then awake and unaware.
+    // Paused for longer than every lease; it resumes without knowing that.
     cell.signal(1, Signal::SIGSTOP);
     pause(4_000).await;
     cell.signal(1, Signal::SIGCONT);
@@ -263,7 +268,7 @@
     cell.launch(2);
     cell.wait_until_live(2).await;
     pause(1_500).await;
-    // Two at once: one frozen for a moment while another dies.
+    // Two faults at once: one instance is paused briefly while another is killed.
     cell.signal(0, Signal::SIGSTOP);
     cell.kill(1).await;
     cell.unlist(1);
@@ -274,7 +279,7 @@
     for entry in 0..3 {
         wait_until_served(&cell, entry).await;
     }
-    callers.judge(&cell).await;
+    callers.check_invariants(&cell).await;
 }
 
 type Answers = Vec<tokio::task::JoinHandle<Result<client::Answer, client::CallError>>>;
@@ -290,8 +295,8 @@
     (0..20).map(begin).collect()
 }
 
-/// Whether all 20 are at the runners at one time; a slow machine may let some
-/// end before others arrive.
+/// Whether all 20 are at the runners at one time. On a slow machine some may end
+/// before others arrive.
 async fn are_all_at_runners(cell: &harness::Cell, answers: &Answers) -> bool {
     loop {
         if cell.runners.iter().map(runner::Handle::busy).sum::<u32>() >= 20 {
@@ -315,8 +320,8 @@
     }
 }
 
-/// A planned stop under load: whoever was let in has a whole answer, and the
-/// process ends in order.
+/// Guards against a planned stop that cuts off requests: every admitted request
+/// gets its whole answer, and the process exits with status 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_cuts_nothing_off() {
     let mut cell = cell(plan(3, 4)).await;
@@ -330,12 +335,13 @@
     }
     assert_eq!(cell.stop(1).await, Some(0));
     check_all_whole(answers).await;
-    // Its shards are in use again elsewhere, without a quarantine.
+    // Its shards are served by other entry instances, without a quarantine.
     wait_until_served(&cell, 0).await;
     assert_eq!(cell.requests.violations(), []);
 }
 
-/// A runner on its way out gets nothing new within 2 s, however it is told.
+/// A leaving runner gets no new requests after 2 s, whether its leaving is known
+/// from the instance list or from its own answers.
 #[rstest::rstest]
 #[case::by_the_list(true, false)]
 #[case::by_itself(false, true)]
@@ -349,10 +355,10 @@
     })
     .await;
     if listed && itself {
-        // The list cannot be read; only the runner's own word is left.
+        // The list cannot be read; only the runner's own answers show it.
         cell.platform.change_faults(|faults| faults.outage = true);
     }
-    let told = time::Instant::now();
+    let announced = time::Instant::now();
     if listed {
         cell.platform.change_instances(|list| {
             for line in list
@@ -374,13 +380,13 @@
         seen_by(&cell, "runner-0"),
         before,
         "after {:?}",
-        told.elapsed()
+        announced.elapsed()
     );
     harness::wait_until("requests elsewhere", || async {
         cell.requests.requests().len() > elsewhere + 10
     })
     .await;
-    callers.judge(&cell).await;
+    callers.check_invariants(&cell).await;
 }
 
 fn seen_by(cell: &harness::Cell, runner: &str) -> usize {
--- a/crates/figscale/tests/requests_random.rs
+++ b/crates/figscale/tests/requests_random.rs
@@ -1,6 +1,6 @@
-//! Thousands of requests through random faults, judged by what runners saw.
+//! Thousands of requests under random faults, checked against the runners' ledger.
 //!
-//! Set `FIGSCALE_SEED` to go through other faults, `FIGSCALE_FAULTS` for more of them.
+//! `FIGSCALE_SEED` selects another sequence of faults, `FIGSCALE_FAULTS` its length.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -28,20 +28,20 @@
 const ENTRIES: usize = 3;
 const RUNNERS: usize = 3;
 const CALLERS: u64 = 48;
-/// Longest run of a request, by the catalogue of this test.
+/// Longest run of a request in the catalogue of this test.
 const MAX_RUN_MS: u64 = 400;
 
-/// What callers were told.
+/// Outcomes of the requests, as callers received them.
 #[derive(Default)]
-struct Told {
+struct Outcomes {
     answered: u64,
-    /// Requests of which every message was said not to have run.
+    /// Requests that were reported as not run for every message.
     not_run: Vec<String>,
-    /// Requests that a runner had seen when they were said not to have run.
-    lies: Vec<String>,
-    other: IndexMap<String, u64>,
+    /// Requests that a runner had already seen when they were reported as not run.
+    false_not_run: Vec<String>,
+    errors: IndexMap<String, u64>,
     broken: u64,
-    wrong: Vec<String>,
+    wrong_answers: Vec<String>,
 }
 
 fn catalogue() -> figscale_types::catalogue::Catalogue {
@@ -79,60 +79,60 @@
     shape.traffic.clock_tolerance_ms = 50;
     shape.traffic.holder_wait_ms = 500;
     let cell = sync::Arc::new(Cell::start(shape).await);
-    let told = sync::Arc::new(sync::Mutex::new(Told::default()));
+    let outcomes = sync::Arc::new(sync::Mutex::new(Outcomes::default()));
     let stop = sync::Arc::new(atomic::AtomicBool::new(false));
     let callers: Vec<_> = (0..CALLERS)
         .map(|caller| {
             let rng = rngs::StdRng::seed_from_u64(seed * 1_000 + caller);
-            tokio::spawn(call(cell.clone(), told.clone(), stop.clone(), rng))
+            tokio::spawn(call(cell.clone(), outcomes.clone(), stop.clone(), rng))
         })
         .collect();
     let mut rng = rngs::StdRng::seed_from_u64(seed);
     for _ in 0..faults {
-        fault(&cell, &mut rng).await;
+        inject_fault(&cell, &mut rng).await;
         let pause = rng.random_range(5..60);
         tokio::time::sleep(time::Duration::from_millis(pause)).await;
     }
     for number in 0..RUNNERS {
-        heal(&cell, number);
+        clear_faults(&cell, number);
     }
     stop.store(true, atomic::Ordering::SeqCst);
     for caller in callers {
         caller.await.unwrap();
     }
-    judge(&cell, &told.lock().unwrap());
+    check_invariants(&cell, &outcomes.lock().unwrap());
 }
 
-fn judge(cell: &Cell, told: &Told) {
+fn check_invariants(cell: &Cell, outcomes: &Outcomes) {
     println!(
-        "answered {}, not run {}, broken {}, others {:?}, seen {}",
-        told.answered,
-        told.not_run.len(),
-        told.broken,
-        told.other,
+        "answered {}, not run {}, broken {}, errors {:?}, seen {}",
+        outcomes.answered,
+        outcomes.not_run.len(),
+        outcomes.broken,
+        outcomes.errors,
         cell.ledger.requests().len()
     );
-    assert_eq!(told.wrong, Vec::<String>::new());
+    assert_eq!(outcomes.wrong_answers, Vec::<String>::new());
     assert_eq!(cell.ledger.violations(), []);
     let seen: std::collections::HashSet<String> = (cell.ledger.requests().into_iter())
         .filter(|line| !line.refused)
         .map(|line| line.request_id)
         .collect();
-    let late: Vec<_> = (told.not_run.iter())
+    let late: Vec<_> = (outcomes.not_run.iter())
         .filter(|id| seen.contains(*id))
         .collect();
     assert!(
         late.is_empty(),
-        "said not to have run, and seen later: {late:?}"
+        "reported as not run, but seen by a runner: {late:?}"
     );
-    assert_eq!(told.lies, Vec::<String>::new());
-    // Otherwise nothing was shown.
-    assert!(told.answered > 50, "only {} answers", told.answered);
-    assert!(!told.not_run.is_empty());
+    assert_eq!(outcomes.false_not_run, Vec::<String>::new());
+    // With fewer answers the test would show nothing.
+    assert!(outcomes.answered > 50, "only {} answers", outcomes.answered);
+    assert!(!outcomes.not_run.is_empty());
 }
 
-/// Breaks something, or makes something well again.
-async fn fault(cell: &sync::Arc<Cell>, rng: &mut rngs::StdRng) {
+/// Injects a random fault, or clears the faults of a runner.
+async fn inject_fault(cell: &sync::Arc<Cell>, rng: &mut rngs::StdRng) {
     let number = rng.random_range(0..RUNNERS);
     let runner = &cell.runners[number];
     match rng.random_range(0..24) {
@@ -163,14 +163,14 @@
         ))),
         11 => {
             let home = claims::id_shard(rng.random_range(0..claims::ID_SHARDS)).unwrap();
-            cell.give(home, rng.random_range(0..ENTRIES), false);
+            cell.assign(home, rng.random_range(0..ENTRIES), false);
             cell.publish();
         }
-        _ => heal(cell, number),
+        _ => clear_faults(cell, number),
     }
 }
 
-fn heal(cell: &Cell, number: usize) {
+fn clear_faults(cell: &Cell, number: usize) {
     let runner = &cell.runners[number];
     runner
         .proxy
@@ -180,8 +180,8 @@
         .change_faults(|faults| *faults = runner::Faults::default());
 }
 
-/// An entry instance loses its authority and with it a shard; it hears of both
-/// late, as one that was frozen does.
+/// Moves a shard of an entry instance that has lost its authority. The instance
+/// learns of the new claims late, as one that was paused does.
 fn take_over(cell: &sync::Arc<Cell>, number: usize, to: usize) {
     let shard = requests_cell::shard(number);
     let from = cell.holder(&shard);
@@ -189,7 +189,7 @@
         return;
     }
     cell.entries[from].context.shared.authority.revoke();
-    cell.give(shard, to, false);
+    cell.assign(shard, to, false);
     cell.publish_to(to);
     let cell = cell.clone();
     tokio::spawn(async move {
@@ -208,14 +208,14 @@
     }
     let drained = cell.entries[from].context.kernel.drain(shard.clone()).await;
     if cell.epoch(&shard) == epoch {
-        cell.give(shard, to, drained == kernel::Drained::Clean);
+        cell.assign(shard, to, drained == kernel::Drained::Clean);
         cell.publish();
     }
 }
 
 async fn call(
     cell: sync::Arc<Cell>,
-    told: sync::Arc<sync::Mutex<Told>>,
+    outcomes: sync::Arc<sync::Mutex<Outcomes>>,
     stop: sync::Arc<atomic::AtomicBool>,
     mut rng: rngs::StdRng,
 ) {
@@ -233,7 +233,7 @@
         };
         let paths = ["quote", "cover", "voyages"];
         let path = format!("/v1/run/hullrate/{}", paths[rng.random_range(0..3)]);
-        // A repeat comes while the first is on its way, or after it.
+        // Some requests are repeated, while the first message is in progress or after it.
         let tries = if rng.random_bool(0.2) { 3 } else { 1 };
         let mut all_not_run = true;
         for _ in 0..tries {
@@ -245,65 +245,67 @@
                 .header(headers::RUN_MS, rng.random_range(0..60))
                 .header(headers::ANSWER_BYTES, answer_bytes)
                 .body(body.clone());
-            // Some callers leave early.
-            let stay = match rng.random_range(0..10) {
+            // Some callers disconnect early.
+            let patience = match rng.random_range(0..10) {
                 0 => time::Duration::from_millis(rng.random_range(1..80)),
                 _ => requests_cell::LONG,
             };
-            let answer = cell.client.send_within(stay, call).await;
+            let answer = cell.client.send_within(patience, call).await;
             let seen = cell.ledger.may_have_run(&id.to_string());
-            let mut told = told.lock().unwrap();
+            let mut outcomes = outcomes.lock().unwrap();
             let verdict = match answer {
                 Err(_) => {
-                    told.broken += 1;
+                    outcomes.broken += 1;
                     Verdict::MayHaveRun
                 }
-                Ok(answer) => take_in(&mut told, &answer, id, &body),
+                Ok(answer) => record_answer(&mut outcomes, &answer, id, &body),
             };
             all_not_run &= verdict == Verdict::NotRun;
-            // Nobody remembers idempotent ids, so a repeat's word is about itself.
+            // Idempotent ids are not remembered, so the verdict of a repeat is only about
+            // that message.
             let about_id = !idempotent || tries == 1;
             if verdict == Verdict::NotRun && seen && about_id {
-                told.lies.push(id.to_string());
+                outcomes.false_not_run.push(id.to_string());
             }
         }
         if all_not_run {
-            told.lock().unwrap().not_run.push(id.to_string());
+            outcomes.lock().unwrap().not_run.push(id.to_string());
         }
     }
 }
 
-/// Checks an answer as its caller would, and notes what it says.
-fn take_in(
-    told: &mut Told,
+/// Checks an answer as its caller would, and records its outcome.
+fn record_answer(
+    outcomes: &mut Outcomes,
     answer: &figscale_standin::client::Answer,
     id: ids::RequestId,
     body: &[u8],
 ) -> Verdict {
     let verdict: Verdict = answer.header(headers::VERDICT).parse().unwrap();
-    // Without a runner's name it is a refusal that tells how an earlier message
-    // of the same request ended.
+    // Without a runner's name this is a refused repeat; its verdict is that of an
+    // earlier message of the same request.
     if verdict == Verdict::Ran && !answer.header(headers::RUNNER).is_empty() {
-        told.answered += 1;
+        outcomes.answered += 1;
         let whole = answer.header(headers::CHECKSUM) == runner::checksum(&answer.body);
-        let own = answer.json::<runner::RunAnswer>().is_ok_and(|told| {
-            told.request_id == id.to_string() && told.body_checksum == runner::checksum(body)
+        let own = answer.json::<runner::RunAnswer>().is_ok_and(|run| {
+            run.request_id == id.to_string() && run.body_checksum == runner::checksum(body)
         });
         if !whole || !own {
             let start: String = answer.text().chars().take(200).collect();
             let status = answer.status;
-            let wrong = format!("{id}: {status}, whole {whole}, own {own}: {start}");
-            told.wrong.push(wrong);
+            let wrong_answers = format!("{id}: {status}, whole {whole}, own {own}: {start}");
+            outcomes.wrong_answers.push(wrong_answers);
         }
         return verdict;
     }
     let refused = verdict == Verdict::NotRun && answer.status.as_u16() >= 429;
     if refused && answer.header("retry-after").is_empty() {
-        told.wrong
+        outcomes
+            .wrong_answers
             .push(format!("{id}: no retry-after: {}", answer.text()));
     }
-    let told_of: serde_json::Value = answer.json().unwrap();
-    let line = format!("{verdict} {}", told_of["error"].as_str().unwrap());
-    *told.other.entry(line).or_default() += 1;
+    let error: serde_json::Value = answer.json().unwrap();
+    let line = format!("{verdict} {}", error["error"].as_str().unwrap());
+    *outcomes.errors.entry(line).or_default() += 1;
     verdict
 }
--- a/crates/figscale/tests/requests_stop.rs
+++ b/crates/figscale/tests/requests_stop.rs
@@ -13,16 +13,16 @@
 use tokio::io::AsyncWriteExt as _;
 use tokio::net::TcpStream;
 
-/// A connection that looks idle at a stop may have a request on its way: it is
-/// served, and told that it is the last one, while nobody can connect any more.
+/// A connection that seems idle at a stop may have a request in flight. The request
+/// is served with `connection: close`, while new connections are refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_kept_connection_is_served_once_more() {
     let cell = Cell::start(Shape::default()).await;
     let entry = &cell.entries[0];
-    let mut kept = TcpStream::connect(entry.caller).await.unwrap();
-    ask(&mut kept).await;
+    let mut connection = TcpStream::connect(entry.caller).await.unwrap();
+    send_request(&mut connection).await;
     let mut first = vec![0; 4_096];
-    assert!(kept.read(&mut first).await.unwrap() > 0);
+    assert!(connection.read(&mut first).await.unwrap() > 0);
 
     entry.context.shared.leaving.send_replace(true);
     let context = entry.context.clone();
@@ -31,32 +31,32 @@
         TcpStream::connect(entry.caller).await.is_err()
     })
     .await;
-    ask(&mut kept).await;
+    send_request(&mut connection).await;
     let mut last = String::new();
-    kept.read_to_string(&mut last).await.unwrap();
+    connection.read_to_string(&mut last).await.unwrap();
     assert!(last.contains("HTTP/1.1 200 OK"), "{last}");
     assert!(last.contains("connection: close"), "{last}");
     assert!(last.contains("body_checksum"), "{last}");
     stopped.await.unwrap();
 }
 
-/// Silent connections do not keep a process from ending.
+/// Idle connections do not prevent a process from ending.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections_are_closed() {
     let cell = Cell::start(Shape::default()).await;
     let entry = &cell.entries[0];
-    let mut silent = TcpStream::connect(entry.caller).await.unwrap();
-    ask(&mut silent).await;
+    let mut idle = TcpStream::connect(entry.caller).await.unwrap();
+    send_request(&mut idle).await;
     let mut first = vec![0; 4_096];
-    assert!(silent.read(&mut first).await.unwrap() > 0);
+    assert!(idle.read(&mut first).await.unwrap() > 0);
     let stopped = traffic::drain(&entry.context);
     tokio::time::timeout(requests_cell::LONG, stopped)
         .await
         .unwrap();
-    assert!(!silent.read(&mut first).await.is_ok_and(|count| count > 0));
+    assert!(!idle.read(&mut first).await.is_ok_and(|count| count > 0));
 }
 
-async fn ask(caller: &mut TcpStream) {
+async fn send_request(caller: &mut TcpStream) {
     let owner = headers::OWNER;
     let text = format!(
         "POST {QUOTE} HTTP/1.1\r\nhost: x\r\n{owner}: brokers\r\ncontent-length: 4\r\n\r\nbody"
--- a/crates/figscale/tests/requests_whole.rs
+++ b/crates/figscale/tests/requests_whole.rs
@@ -1,7 +1,7 @@
-//! Each caller gets its own whole answer, whatever a runner writes.
+//! Each caller gets its own complete answer or an error, whatever a runner writes.
 //!
-//! The runner here is a socket that answers each request with bytes of the
-//! test's choice. Every case goes through the holder itself and through one hop.
+//! The runner here is a socket that answers each request with bytes chosen by the
+//! test. Every case is run at the holder itself and forwarded to it.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -24,10 +24,10 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// Larger than what is held before the head goes out.
+/// Larger than what is buffered before the head is sent.
 const HUGE: usize = 3 << 20;
 
-/// What the runner writes for a request.
+/// What the runner writes in answer to a request.
 #[derive(Clone)]
 struct Script {
     bytes: Vec<u8>,
@@ -48,10 +48,10 @@
     Script { bytes, close }
 }
 
-/// Heads that a raw runner was sent.
+/// Heads of the requests that a raw runner received.
 type Heads = sync::Arc<sync::Mutex<String>>;
 
-/// A runner that writes the same for every request.
+/// A runner that writes the same bytes for every request.
 async fn raw_runner(script: Script, heads: Heads) -> net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -184,7 +184,7 @@
     assert!(answer.is_err(), "{:?}", answer.map(|a| a.body.len()));
 }
 
-/// A reader that stops reading keeps its own answer waiting and nobody else's.
+/// A caller that reads slowly delays only its own answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_reader_gets_its_whole_answer() {
     let cell = cell(with_length(HUGE, HUGE, false)).await;
@@ -208,8 +208,8 @@
     }
 }
 
-/// Pipelined requests are answered in order, each with its own answer, and so
-/// is one that follows an aborted one on another connection.
+/// Pipelined requests are answered in order, each with its own answer, also after
+/// another connection was aborted during its request.
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_requests_get_their_own_answers() {
     let cell = Cell::start(Shape::default()).await;
@@ -221,7 +221,7 @@
     tokio::time::sleep(time::Duration::from_millis(20)).await;
     drop(aborted);
     let mut caller = TcpStream::connect(cell.entries[0].caller).await.unwrap();
-    // Earlier ones run longer.
+    // Earlier requests run longer.
     let all: String = (0..4).map(|n| pipelined(n, 40 - 10 * n as u64)).collect();
     caller.write_all(all.as_bytes()).await.unwrap();
     let mut text = String::new();
@@ -248,8 +248,8 @@
     )
 }
 
-/// Only the holder's own words about a request reach a runner, and none that a
-/// runner made up come back.
+/// Internal and hop-by-hop headers set by a caller do not reach a runner, and those
+/// set by a runner do not reach the caller.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_runner_hears_nothing_that_a_caller_made_up(#[values(0, 1)] entry: usize) {
@@ -277,12 +277,12 @@
     let answer = cell.send(call).await;
     assert_eq!(answer.status, 200);
     assert_eq!(answer.header("x-kept"), "1");
-    for gone in ["x-figscale-made-up", "x-peer-from", "x-named"] {
-        assert_eq!(answer.header(gone), "", "{gone} in the answer");
+    for removed in ["x-figscale-made-up", "x-peer-from", "x-named"] {
+        assert_eq!(answer.header(removed), "", "{removed} in the answer");
     }
     let heads = heads.lock().unwrap().clone();
     assert!(heads.contains("x-kept: 1"), "{heads}");
-    for gone in ["made-up", "x-peer", headers::LEAVING, "x-named"] {
-        assert!(!heads.contains(gone), "{gone} in {heads}");
+    for removed in ["made-up", "x-peer", headers::LEAVING, "x-named"] {
+        assert!(!heads.contains(removed), "{removed} in {heads}");
     }
 }
