--- a/crates/figscale/src/traffic/attempts.rs
+++ b/crates/figscale/src/traffic/attempts.rs
@@ -63,7 +63,7 @@
             let target = next.take().unwrap_or_else(|| self.choose());
             let result = match &target {
                 Target::Local => self.run_locally().await,
-                Target::Peer(holder, room) => self.run_at_peer(holder, *room).await,
+                Target::Peer(holder, availability) => self.run_at_peer(holder, *availability).await,
                 Target::Unavailable if self.traffic.now() < no_holder_limit => {
                     self.excluded.clear();
                     tokio::time::sleep(POLL_INTERVAL).await;
@@ -78,11 +78,11 @@
                 Ok(answer) => return Ok(answer),
                 Err(AttemptError::Refused(refusal)) => {
                     let last = matches!(target, Target::Unavailable);
-                    self.refused(&target, refusal, last).await?;
+                    self.on_refusal(&target, refusal, last).await?;
                 }
                 Err(AttemptError::Moved(target)) => next = Some(target),
                 Err(AttemptError::Failed(failure)) => {
-                    self.failed(&target, failure)?;
+                    self.on_failure(&target, failure)?;
                     no_holder_limit = self.traffic.now() + wait;
                 }
             }
@@ -128,7 +128,7 @@
         let Some(member) = live else {
             return Target::Unavailable;
         };
-        let room = match choice.room > 0.0 {
+        let availability = match choice.room > 0.0 {
             true => Availability::Free,
             false => Availability::Busy,
         };
@@ -137,7 +137,7 @@
             member: choice.member,
             address: member.peer_address,
         };
-        Target::Peer(holder, room)
+        Target::Peer(holder, availability)
     }
 
     fn may_run_locally(&self) -> bool {
@@ -163,9 +163,9 @@
             let chosen = self.choose_peer(decisions, now);
             let better = chosen.filter(|c| c.room > 0.0 && Some(&c.member) != present);
             if let Some(choice) = better
-                && let Target::Peer(holder, room) = self.target_for(decisions, choice)
+                && let Target::Peer(holder, availability) = self.target_for(decisions, choice)
             {
-                return Target::Peer(holder, room);
+                return Target::Peer(holder, availability);
             }
         }
     }
@@ -205,7 +205,7 @@
     async fn run_at_peer(
         &self,
         holder: &forward::Holder,
-        room: Availability,
+        availability: Availability,
     ) -> Result<Answer, AttemptError> {
         let small = self.call.body.len() <= wire::MAX_EAGER_BYTES;
         let attempt = forward::Attempt {
@@ -213,14 +213,14 @@
             holder,
             call: self.call,
             avoid: self.avoid.clone(),
-            eager: self.call.idempotent && small && room == Availability::Free,
+            eager: self.call.idempotent && small && availability == Availability::Free,
         };
         let better = self.wait_for_better(Some(&holder.member));
         attempt.run(|| self.progress.sent(), better).await
     }
 
     /// After a refusal: excludes the holder, and fails if there is no other to try.
-    async fn refused(
+    async fn on_refusal(
         &mut self,
         target: &Target,
         refusal: dispatcher::Refusal,
@@ -270,7 +270,7 @@
     }
 
     /// After a failure: prepares another attempt, or fails if none is allowed.
-    fn failed(&mut self, target: &Target, failure: Failure) -> Result<(), RequestError> {
+    fn on_failure(&mut self, target: &Target, failure: Failure) -> Result<(), RequestError> {
         self.progress.ended(failure.verdict);
         self.attempts_made += 1;
         super::log_failure(self.call.id, failure.verdict, failure.fault.as_str());
--- a/crates/figscale/src/traffic/front.rs
+++ b/crates/figscale/src/traffic/front.rs
@@ -204,8 +204,8 @@
             self.begin(accepted);
         }
         drop(listener);
-        let whole_stop = self.traffic.context.settings.shutdown_ms;
-        let idle_timeout = IDLE_TIMEOUT_AT_STOP.min(time::Duration::from_millis(whole_stop / 4));
+        let stop_limit_ms = self.traffic.context.settings.shutdown_ms;
+        let idle_timeout = IDLE_TIMEOUT_AT_STOP.min(time::Duration::from_millis(stop_limit_ms / 4));
         let _ = tokio::time::timeout(idle_timeout, async {
             while self.shutdown.count() > 0 {
                 tokio::time::sleep(POLL_INTERVAL).await;
@@ -270,8 +270,8 @@
     let head = match call::Head::read(&parts) {
         Ok(head) => head,
         Err(bad) => {
-            let none = RequestError::Bad(bad);
-            return error_response(&traffic, &none, none.verdict(), counted);
+            let error = RequestError::Bad(bad);
+            return error_response(&traffic, &error, error.verdict(), counted);
         }
     };
     let attempt = traffic.new_attempt_id();
@@ -287,10 +287,10 @@
             count(&traffic, &head.entry, Verdict::Ran);
             answer_response(&traffic, answer, admitted, counted)
         }
-        Err(none) => {
-            let verdict = traffic.final_verdict(&head, attempt, &none).await;
+        Err(error) => {
+            let verdict = traffic.final_verdict(&head, attempt, &error).await;
             count(&traffic, &head.entry, verdict);
-            error_response(&traffic, &none, verdict, counted)
+            error_response(&traffic, &error, verdict, counted)
         }
     };
     with_request_id(response, head.id)
@@ -325,11 +325,11 @@
 
 fn error_response(
     traffic: &Traffic,
-    none: &RequestError,
+    error: &RequestError,
     verdict: Verdict,
     counted: InProgress,
 ) -> Response<ResponseBody> {
-    let (status, map, bytes) = none.parts(verdict);
+    let (status, map, bytes) = error.parts(verdict);
     let mut response = own_response(traffic, status, map, bytes, counted);
     insert(response.headers_mut(), headers::VERDICT, verdict.as_str());
     response
--- a/crates/figscale/src/traffic/homes.rs
+++ b/crates/figscale/src/traffic/homes.rs
@@ -1,8 +1,8 @@
 //! Homes of request ids: the messages around the deduplication in [`once`].
 //!
-//! Request ids are hashed to shards. The holder of a shard is the *home* of its
-//! ids: it remembers which of them were used, so that a request that is not
-//! idempotent is executed at most once.
+//! The low, random bits of a request id select its shard. The holder of the shard
+//! is the *home* of the id: it remembers which ids were used, so that a request
+//! that is not idempotent is executed at most once.
 //!
 //! A home answers only while it holds the shard and has authority; both are
 //! checked before and after its memory is queried. An entry instance repeats a
--- a/crates/figscale/src/traffic/pass_on.rs
+++ b/crates/figscale/src/traffic/pass_on.rs
@@ -29,28 +29,28 @@
     /// The claims show no later epoch of the shard yet.
     Unknown,
     /// This process holds it again.
-    Here,
+    Local,
     /// Another member holds it.
-    There(std::net::SocketAddr),
+    Peer(std::net::SocketAddr),
     /// Another process was the home in between, or the holder is gone: the memory
     /// is dropped.
-    Nowhere,
+    Discard,
 }
 
 fn next_home(view: &state::ClaimsView, handover: &homes::Handover) -> NextHome {
     let Some(shard) = view.claims.shards.get(&handover.shard) else {
-        return NextHome::Nowhere;
+        return NextHome::Discard;
     };
     if shard.epoch <= handover.given_up {
         return NextHome::Unknown;
     }
     if shard.epoch != handover.given_up.next() {
-        return NextHome::Nowhere;
+        return NextHome::Discard;
     }
     match view.holder(&handover.shard) {
-        Some((holder, _)) if *holder == view.me => NextHome::Here,
-        Some((_, member)) => NextHome::There(member.peer_address),
-        None => NextHome::Nowhere,
+        Some((holder, _)) if *holder == view.me => NextHome::Local,
+        Some((_, member)) => NextHome::Peer(member.peer_address),
+        None => NextHome::Discard,
     }
 }
 
@@ -72,8 +72,8 @@
 
 /// Tries to hand over every released memory; returns how many remain.
 async fn hand_over_all(traffic: &sync::Arc<Traffic>) -> usize {
-    let passes = traffic.homes.outgoing().into_iter();
-    futures_util::future::join_all(passes.map(|handover| hand_over(traffic, handover))).await;
+    let handovers = traffic.homes.outgoing().into_iter();
+    futures_util::future::join_all(handovers.map(|handover| hand_over(traffic, handover))).await;
     traffic.homes.outgoing().len()
 }
 
@@ -81,12 +81,12 @@
     let next = next_home(&traffic.context.shared.claims_now(), &handover);
     let done = match next {
         NextHome::Unknown => false,
-        NextHome::Nowhere => true,
-        NextHome::Here => {
+        NextHome::Discard => true,
+        NextHome::Local => {
             traffic.homes.receive(handover.clone());
             true
         }
-        NextHome::There(address) => {
+        NextHome::Peer(address) => {
             let peers = &traffic.context.peers;
             let sent = peers
                 .call::<_, ()>(address, SERVICE, &handover, TIMEOUT)
--- a/crates/figscale/src/traffic/route.rs
+++ b/crates/figscale/src/traffic/route.rs
@@ -76,9 +76,9 @@
         &self,
         head: &call::Head,
         attempt: once::AttemptId,
-        none: &RequestError,
+        error: &RequestError,
     ) -> Verdict {
-        let verdict = none.verdict();
+        let verdict = error.verdict();
         if verdict != Verdict::NotRun || !head.is_remembered() {
             return verdict;
         }
