--- a/crates/figscale/src/store/budget.rs
+++ b/crates/figscale/src/store/budget.rs
@@ -1,8 +1,9 @@
-//! The share of the store's calls that this entry instance may make.
+//! Rate limit of this entry instance's calls to the store.
 //!
-//! A token bucket of one second's worth. The budget of all entry instances is
-//! divided evenly by their number; an idle one's share is not lent to others,
-//! which wastes some of it but needs no message between them.
+//! A token bucket that holds the tokens of one second. The budget of all entry
+//! instances is divided evenly by their number. The share of an idle instance
+//! is not lent to others, which wastes some of the budget but needs no messages
+//! between instances.
 
 use std::time;
 
@@ -16,7 +17,7 @@
 }
 
 impl Budget {
-    /// A full bucket for one entry instance that has the budget to itself.
+    /// Creates a full bucket for an entry instance that has the whole budget.
     pub fn new(all_calls_per_s: u64, now: time::Instant) -> Self {
         let rate = all_calls_per_s.max(1) as f64;
         Self {
@@ -34,8 +35,9 @@
         self.tokens = self.tokens.min(self.burst());
     }
 
-    /// Takes a token and tells how long to wait for it; `None`, and no token
-    /// taken, when that would be longer than `longest`.
+    /// Takes a token and returns how long to wait for it.
+    ///
+    /// Returns `None` and takes no token if the wait would exceed `longest`.
     pub fn reserve(
         &mut self,
         now: time::Instant,
@@ -51,13 +53,14 @@
         Some(wait)
     }
 
-    /// Takes a token for a call that does not wait; the debt is bounded.
+    /// Takes a token for a call that does not wait. The bucket may go negative by
+    /// at most the burst size.
     pub fn charge(&mut self, now: time::Instant) {
         self.fill(now);
         self.tokens = (self.tokens - 1.0).max(-self.burst());
     }
 
-    /// One second's worth, and room for at least one call.
+    /// Size of the bucket: the tokens of one second, but at least one.
     fn burst(&self) -> f64 {
         self.calls_per_s.max(1.0)
     }
--- a/crates/figscale/src/store/count.rs
+++ b/crates/figscale/src/store/count.rs
@@ -1,23 +1,23 @@
-//! Counts of calls and bytes by kind of call.
+//! Counters of calls and bytes by kind of call.
 
 use figscale_types::platform;
 use indexmap::IndexMap;
 use serde::Serialize;
 
-/// Use of one kind of call.
+/// Counters of one kind of call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Usage {
     /// Calls made.
     pub calls: u64,
-    /// Calls that failed in any way.
+    /// Calls that failed for any reason.
     pub failed: u64,
-    /// Bytes of heads and bodies sent, estimated without the connection's own.
+    /// Estimated bytes of heads and bodies sent, without connection overhead.
     pub sent_bytes: u64,
-    /// Bytes of heads and bodies received, estimated likewise.
+    /// Estimated bytes of heads and bodies received, without connection overhead.
     pub received_bytes: u64,
 }
 
-/// Use of the store by kind of call.
+/// Counters by kind of call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct Counts {
@@ -25,12 +25,12 @@
 }
 
 impl Counts {
-    /// Use of one kind of call.
+    /// Counters of one kind of call; zero if it was never made.
     pub fn of(&self, call: platform::CallKind) -> Usage {
         self.by_call.get(&call).copied().unwrap_or_default()
     }
 
-    /// Each kind of call that was used.
+    /// The counters of each kind of call that was made.
     pub fn iter(&self) -> impl Iterator<Item = (platform::CallKind, Usage)> {
         self.by_call.iter().map(|(call, usage)| (*call, *usage))
     }
--- a/crates/figscale/src/store/error.rs
+++ b/crates/figscale/src/store/error.rs
@@ -6,25 +6,26 @@
 use figscale_types::ids;
 use figscale_types::verdict::Verdict;
 
-/// What is wrong with a call to the store.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreErrorKind {
-    /// The key has another revision; for a missing key 0.
+    /// The key has this revision instead of the expected one; 0 if it is absent.
     Conflict(ids::Revision),
-    /// The lease is gone.
+    /// The lease has expired or was revoked.
     LeaseGone,
     /// The value is too large.
     TooLarge,
-    /// Over the rate; come back later.
+    /// Over the rate limit; retry later.
     Busy,
-    /// No answer, or an answer that says so.
-    Away(String),
+    /// The store is unavailable: there was no response, or one that cannot be
+    /// used. Carries the cause.
+    Unavailable(String),
 }
 
 /// A call to the store that failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreError {
-    /// What is wrong.
+    /// Why it failed.
     pub kind: StoreErrorKind,
     /// Whether a write may have taken effect.
     pub verdict: Verdict,
@@ -38,13 +39,19 @@
         }
     }
 
-    pub(super) fn away(cause: String) -> Self {
-        Self::not_run(StoreErrorKind::Away(cause))
+    pub(super) fn unavailable(cause: String) -> Self {
+        Self::not_run(StoreErrorKind::Unavailable(cause))
     }
 
-    /// Whether the store answered at all, if only to refuse.
+    /// Whether the error is a response of the store, such as a refusal.
+    ///
+    /// [`StoreErrorKind::Busy`] does not count; the client's own rate limit
+    /// returns it too.
     pub fn is_answer(&self) -> bool {
-        !matches!(self.kind, StoreErrorKind::Away(_) | StoreErrorKind::Busy)
+        !matches!(
+            self.kind,
+            StoreErrorKind::Unavailable(_) | StoreErrorKind::Busy
+        )
     }
 }
 
@@ -56,7 +63,7 @@
             StoreErrorKind::LeaseGone => write!(f, "lease is gone")?,
             StoreErrorKind::TooLarge => write!(f, "value is too large")?,
             StoreErrorKind::Busy => write!(f, "over the rate")?,
-            StoreErrorKind::Away(cause) => write!(f, "no answer: {cause}")?,
+            StoreErrorKind::Unavailable(cause) => write!(f, "unavailable: {cause}")?,
         }
         write!(f, " ({})", self.verdict)
     }
--- a/crates/figscale/src/store/http.rs
+++ b/crates/figscale/src/store/http.rs
@@ -1,10 +1,11 @@
 //! The platform's protocol over HTTP.
 //!
-//! Maps statuses to errors with their verdict. A read never runs anything, so
-//! its errors always say not run. A write may have run unless it was refused
-//! by an answer that says so (over the rate, other revision, lease gone, too
-//! large) or no connection came about. A 503 or any other status counts as may
-//! have run, since whoever gave it may stand between us and the store.
+//! Maps statuses to errors with a verdict. A read changes nothing, so the
+//! verdict of its errors is always [`Verdict::NotRun`]. A write may have run
+//! unless it was refused explicitly (over the rate, other revision, lease gone,
+//! too large) or no connection was established. A 503 or any other status counts
+//! as [`Verdict::MayHaveRun`], since an intermediary between client and store
+//! may have sent it.
 
 use std::fmt;
 use std::net;
@@ -28,13 +29,13 @@
 use super::StoreError;
 use super::StoreErrorKind;
 
-/// Largest answer; instance lists may be larger than a value.
+/// Largest response body; instance lists may be larger than a value.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// Time to connect.
+/// Timeout of establishing a connection.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT_MS: u64 = 30_000;
-/// Bytes of a request's head besides its path and headers.
+/// Estimated bytes of a message's head besides its path and headers.
 const HEAD_BYTES: usize = 40;
 
 /// A call before it is sent.
@@ -69,14 +70,14 @@
         self
     }
 
-    /// Bytes on the wire, estimated.
+    /// Estimated size on the wire, in bytes.
     pub(super) fn len(&self) -> usize {
         let headers = self.headers.iter().map(|(n, v)| n.len() + v.len() + 4);
         HEAD_BYTES + self.path.len() + headers.sum::<usize>() + self.body.len()
     }
 
-    /// The verdict when it is not known whether the store acted.
-    fn unknown_verdict(&self) -> Verdict {
+    /// The verdict if it is not known whether the store executed the request.
+    fn verdict_if_unanswered(&self) -> Verdict {
         match self.method {
             Method::GET => Verdict::NotRun,
             _ => Verdict::MayHaveRun,
@@ -84,18 +85,18 @@
     }
 }
 
-/// An answer that is no error.
+/// A response that is not an error.
 pub(super) struct Answer {
     status: StatusCode,
     revision: Option<ids::Revision>,
     entity_tag: Option<String>,
     body: Bytes,
-    /// Verdict of an answer that makes no sense.
+    /// The verdict of the error if the response turns out to be unusable.
     unknown: Verdict,
 }
 
 impl Answer {
-    /// Bytes on the wire, estimated.
+    /// Estimated size on the wire, in bytes.
     pub(super) fn len(&self) -> usize {
         HEAD_BYTES + self.body.len()
     }
@@ -103,14 +104,14 @@
     pub(super) fn done(self) -> Result<(), StoreError> {
         match self.status {
             StatusCode::OK => Ok(()),
-            _ => Err(self.senseless()),
+            _ => Err(self.unexpected_response()),
         }
     }
 
     pub(super) fn written(self) -> Result<ids::Revision, StoreError> {
         match (self.status, self.revision) {
             (StatusCode::OK, Some(revision)) => Ok(revision),
-            _ => Err(self.senseless()),
+            _ => Err(self.unexpected_response()),
         }
     }
 
@@ -121,31 +122,33 @@
                 value: self.body.into(),
             })),
             (StatusCode::NOT_FOUND | StatusCode::NO_CONTENT, _) => Ok(None),
-            _ => Err(self.senseless()),
+            _ => Err(self.unexpected_response()),
         }
     }
 
     pub(super) fn json<T: de::DeserializeOwned>(self) -> Result<T, StoreError> {
         match self.status {
-            StatusCode::OK => serde_json::from_slice(&self.body).map_err(|_| self.senseless()),
-            _ => Err(self.senseless()),
+            StatusCode::OK => {
+                serde_json::from_slice(&self.body).map_err(|_| self.unexpected_response())
+            }
+            _ => Err(self.unexpected_response()),
         }
     }
 
-    /// Whether what the call named by its entity tag is still current.
+    /// Whether the resource still has the entity tag named in the request.
     pub(super) fn is_unchanged(&self) -> bool {
         self.status == StatusCode::NOT_MODIFIED
     }
 
-    /// The tag by which a later call may ask whether this changed.
+    /// The entity tag, for a later conditional request.
     pub(super) fn entity_tag(&self) -> Option<String> {
         self.entity_tag.clone()
     }
 
-    fn senseless(&self) -> StoreError {
-        let cause = format!("an answer with status {} makes no sense", self.status);
+    fn unexpected_response(&self) -> StoreError {
+        let cause = format!("unexpected response with status {}", self.status);
         StoreError {
-            kind: StoreErrorKind::Away(cause),
+            kind: StoreErrorKind::Unavailable(cause),
             verdict: self.unknown,
         }
     }
@@ -153,7 +156,7 @@
 
 type Connector = legacy::connect::HttpConnector;
 
-/// Connections to the platform, kept and reused.
+/// An HTTP client of the platform with a connection pool.
 pub(super) struct HttpClient {
     address: net::SocketAddr,
     client: legacy::Client<Connector, Full<Bytes>>,
@@ -171,18 +174,18 @@
         Self { address, client }
     }
 
-    /// Sends a call and waits at most `timeout` for the whole answer.
+    /// Sends a request and waits at most `timeout` for the whole response.
     pub(super) async fn send(
         &self,
         request: Request,
         timeout: time::Duration,
     ) -> Result<Answer, StoreError> {
-        let unknown = request.unknown_verdict();
+        let unknown = request.verdict_if_unanswered();
         let request = self.build(request)?;
         match tokio::time::timeout(timeout, self.exchange(request, unknown)).await {
             Ok(result) => result,
             Err(_) => Err(StoreError {
-                kind: StoreErrorKind::Away(format!("none in {timeout:?}")),
+                kind: StoreErrorKind::Unavailable(format!("timed out after {timeout:?}")),
                 verdict: unknown,
             }),
         }
@@ -196,7 +199,7 @@
         }
         builder
             .body(Full::new(request.body.into()))
-            .map_err(|e| StoreError::away(e.to_string()))
+            .map_err(|e| StoreError::unavailable(e.to_string()))
     }
 
     async fn exchange(
@@ -210,7 +213,7 @@
                 false => unknown,
             };
             StoreError {
-                kind: StoreErrorKind::Away(describe(&error)),
+                kind: StoreErrorKind::Unavailable(describe(&error)),
                 verdict,
             }
         })?;
@@ -219,7 +222,7 @@
         let entity_tag = header(&answer, header::ETAG).map(str::to_owned);
         let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES);
         let body = body.collect().await.map_err(|error| StoreError {
-            kind: StoreErrorKind::Away(error.to_string()),
+            kind: StoreErrorKind::Unavailable(error.to_string()),
             verdict: unknown,
         })?;
         let answer = Answer {
@@ -229,7 +232,7 @@
             body: body.to_bytes(),
             unknown,
         };
-        judge(answer, unknown)
+        check_status(answer, unknown)
     }
 }
 
@@ -239,8 +242,8 @@
     }
 }
 
-/// Turns refusals into errors.
-fn judge(answer: Answer, unknown: Verdict) -> Result<Answer, StoreError> {
+/// Maps statuses that mean a refusal or failure to errors.
+fn check_status(answer: Answer, unknown: Verdict) -> Result<Answer, StoreError> {
     let kind = match answer.status {
         StatusCode::PRECONDITION_FAILED => {
             StoreErrorKind::Conflict(answer.revision.unwrap_or_default())
@@ -252,7 +255,7 @@
         status if status.is_success() => return Ok(answer),
         status => {
             return Err(StoreError {
-                kind: StoreErrorKind::Away(format!("status {status}")),
+                kind: StoreErrorKind::Unavailable(format!("status {status}")),
                 verdict: unknown,
             });
         }
@@ -268,7 +271,7 @@
     str::from_utf8(answer.headers().get(name)?.as_bytes()).ok()
 }
 
-/// The whole chain of causes, since the first one alone says little.
+/// Formats the whole chain of causes, since the outermost error says little.
 fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/figscale/src/store/mod.rs
+++ b/crates/figscale/src/store/mod.rs
@@ -1,14 +1,14 @@
 //! Client of the platform's key-value service and instance list.
 //!
 //! The protocol is in `figscale_types::platform`. Every call is counted by
-//! kind, waits for its share of a budget that all entry instances have
-//! together, and is bounded in time. The client never repeats a call: an error
-//! tells by its verdict whether a write may have taken effect, and the caller
-//! knows how to find out. [`Backoff`] spaces the repeats.
+//! kind, rate-limited by a budget that all entry instances share, and bounded in
+//! time. The client never retries a call: the verdict of an error tells whether
+//! a write may have taken effect, and only the caller knows how to find out.
+//! Callers space their retries with [`Backoff`].
 //!
-//! Renewals of leases and their first grant do not wait for the budget, since a
-//! lease that lapses costs more calls than it saved; they are charged to it
-//! all the same.
+//! Calls that grant, renew or revoke a lease do not wait for the budget, since a
+//! lease that expires costs more calls than the wait saves; they are charged
+//! to it nevertheless.
 
 mod budget;
 mod count;
@@ -41,7 +41,7 @@
     pub value: Vec<u8>,
 }
 
-/// The client.
+/// The store client.
 pub struct Store {
     http: http::HttpClient,
     name: String,
@@ -49,18 +49,18 @@
     timeout: time::Duration,
     budget: sync::Mutex<Budget>,
     counts: sync::Mutex<Counts>,
-    listed: sync::Mutex<Option<Listed>>,
+    listed: sync::Mutex<Option<CachedInstances>>,
 }
 
-/// The instance list as last read whole.
+/// The instance list as last received, with its entity tag.
 #[derive(Clone, Debug)]
-struct Listed {
+struct CachedInstances {
     entity_tag: String,
     list: sync::Arc<instances::InstanceList>,
 }
 
 impl Store {
-    /// A client of the platform at `address`.
+    /// Creates a client of the platform at `address`.
     pub fn new(
         address: net::SocketAddr,
         settings: &crate::settings::StoreSettings,
@@ -78,23 +78,23 @@
         }
     }
 
-    /// Gives the client's name with every call, for the platform's accounts.
+    /// Sends the client's name with every call, for the platform's accounting.
     pub fn named(mut self, member: &ids::MemberId) -> Self {
         self.name = member.to_string();
         self
     }
 
-    /// Tells how many entry instances share the budget.
+    /// Sets the number of entry instances that share the budget.
     pub fn share_among(&self, members: usize) {
         mutex::lock(&self.budget).share_among(members, self.clock.now());
     }
 
-    /// Calls and bytes so far, by kind.
+    /// The calls and bytes so far, by kind of call.
     pub fn counts(&self) -> Counts {
         mutex::lock(&self.counts).clone()
     }
 
-    /// Reads a key; `None` when absent.
+    /// Reads a key; `None` if it is absent.
     pub async fn get(&self, key: &str) -> Result<Option<Versioned>, StoreError> {
         let request = http::Request::read(format!("/v1/kv/{key}"));
         let answer = self
@@ -103,7 +103,7 @@
         answer.versioned()
     }
 
-    /// Writes a key if it has the revision `expected` (0: is absent).
+    /// Writes a key if its revision is `expected`; 0 means that it is absent.
     pub async fn put(
         &self,
         key: &str,
@@ -126,7 +126,7 @@
         answer.written()
     }
 
-    /// Deletes a key if it has the revision `expected`.
+    /// Deletes a key if its revision is `expected`.
     pub async fn delete(&self, key: &str, expected: ids::Revision) -> Result<(), StoreError> {
         let request = http::Request::write(hyper::Method::DELETE, format!("/v1/kv/{key}"))
             .header(platform::IF_REVISION, expected.0);
@@ -136,7 +136,10 @@
         answer.done()
     }
 
-    /// Waits until a key's revision is above `after`; `None` when `wait` has passed.
+    /// Waits at most `wait` until the revision of a key is above `after`.
+    ///
+    /// Returns `None` if that did not happen in time, or early if the key is
+    /// absent.
     pub async fn watch(
         &self,
         key: &str,
@@ -162,11 +165,11 @@
         answer.json()
     }
 
-    /// Makes a lease.
+    /// Grants a new lease.
     pub async fn grant(&self, ttl: time::Duration) -> Result<ids::LeaseId, StoreError> {
         let ttl_ms = clock::millis(ttl);
         let body = serde_json::to_vec(&platform::LeaseRequest { ttl_ms })
-            .map_err(|e| StoreError::away(e.to_string()))?;
+            .map_err(|e| StoreError::unavailable(e.to_string()))?;
         let request = http::Request::write(hyper::Method::POST, "/v1/leases".to_owned())
             .header("content-type", "application/json")
             .body(body);
@@ -195,9 +198,10 @@
         answer.done()
     }
 
-    /// Reads the instance list, whole only when it has changed since the last read.
+    /// Reads the instance list. It is transferred only if it has changed since the
+    /// last read.
     ///
-    /// An unchanged list is the very same one.
+    /// For an unchanged list, the same `Arc` is returned.
     pub async fn instances(&self) -> Result<sync::Arc<instances::InstanceList>, StoreError> {
         let known = mutex::lock(&self.listed).clone();
         let mut request = http::Request::read("/v1/instances".to_owned());
@@ -219,7 +223,7 @@
     ) -> Result<sync::Arc<instances::InstanceList>, StoreError> {
         let entity_tag = answer.entity_tag();
         let list: sync::Arc<instances::InstanceList> = sync::Arc::new(answer.json()?);
-        let tagged = entity_tag.map(|entity_tag| Listed {
+        let tagged = entity_tag.map(|entity_tag| CachedInstances {
             entity_tag,
             list: list.clone(),
         });
--- a/crates/figscale/tests/claims_store.rs
+++ b/crates/figscale/tests/claims_store.rs
@@ -1,4 +1,4 @@
-//! The store client against a small server that answers as told.
+//! The store client against a small server with scripted responses.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -57,7 +57,7 @@
 #[case::lease_gone(410, StoreErrorKind::LeaseGone, Verdict::NotRun)]
 #[case::too_large(413, StoreErrorKind::TooLarge, Verdict::NotRun)]
 #[case::over_the_rate(429, StoreErrorKind::Busy, Verdict::NotRun)]
-#[case::outage(503, StoreErrorKind::Away("status 503 Service Unavailable".to_owned()), Verdict::MayHaveRun)]
+#[case::outage(503, StoreErrorKind::Unavailable("status 503 Service Unavailable".to_owned()), Verdict::MayHaveRun)]
 #[tokio::test]
 async fn refused_write(#[case] code: u16, #[case] kind: StoreErrorKind, #[case] verdict: Verdict) {
     let address = serve(sync::Arc::new(move |_| status(code, 9))).await;
@@ -141,7 +141,7 @@
     assert!(budget.reserve(start + second, second).is_some());
 }
 
-/// The list crosses the network again only after a change.
+/// Guards against an unchanged instance list being transferred again.
 #[tokio::test]
 async fn an_unchanged_instance_list_is_not_sent_again() {
     let worker = |number: u64| instances::Instance {
@@ -171,8 +171,14 @@
     let first = store.instances().await.unwrap();
     let whole = read_bytes(&store);
     let second = store.instances().await.unwrap();
-    assert!(sync::Arc::ptr_eq(&first, &second), "read whole again");
-    assert!(read_bytes(&store) - whole < 200, "sent whole again");
+    assert!(
+        sync::Arc::ptr_eq(&first, &second),
+        "the whole list was read again"
+    );
+    assert!(
+        read_bytes(&store) - whole < 200,
+        "the whole list was sent again"
+    );
 
     platform.change_instances(|all| all.truncate(50));
     let after = store.instances().await.unwrap();
