--- a/crates/figscale/src/jobs/calls.rs
+++ b/crates/figscale/src/jobs/calls.rs
@@ -1,4 +1,8 @@
-//! Calls that run on the traffic threads and come back as messages.
+//! Calls of the jobs service to workers, peers and the store.
+//!
+//! Each call runs on the traffic threads, so that the control thread never
+//! waits for the network. Its result is sent back to the service as a
+//! [`CallResult`].
 
 use std::net;
 use std::time;
@@ -22,81 +26,81 @@
 use crate::state;
 use crate::store;
 
-/// Time for one call between home and placer.
+/// Timeout of a call between the home of a job shard and a placer.
 const CORE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
-/// Time for a forwarded submission, which waits for a write.
+/// Timeout of a forwarded request; a submission waits for a write to the store.
 const FORWARD_TIMEOUT: time::Duration = time::Duration::from_secs(8);
-/// Time to come back after when a home could not be reached.
+/// Delay after which a caller may retry when a home could not be reached.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// What came of a call.
-pub(super) enum Done {
-    /// A start.
+/// The result of a call.
+pub(super) enum CallResult {
+    /// The start of a task on a worker.
     Start(placer::Target, message::Attempt, placer::StartOutcome),
-    /// A renewal or an action.
-    Report(ReportDone),
+    /// A lease renewal or an action on a task.
+    Report(ReportResult),
     /// A call of the home of a job shard to a placer.
-    Call(CallDone),
-    /// News were told to a home, which took note of them or not.
-    Told(Vec<message::TaskEvent>, bool),
-    /// A document was read.
+    Call(PlacerCallResult),
+    /// Task events were sent to a home; whether it acknowledged them.
+    EventsSent(Vec<message::TaskEvent>, bool),
+    /// The document of a job shard was read.
     Read(message::HomeKey, home::ReadOutcome),
-    /// A document was written.
+    /// The document of a job shard was written.
     Write(message::HomeKey, home::WriteOutcome),
 }
 
-/// What came of a renewal or an action.
-pub(super) struct ReportDone {
+/// The result of a lease renewal or an action.
+pub(super) struct ReportResult {
     pub(super) target: placer::Target,
-    pub(super) asked_at: time::Instant,
+    pub(super) sent_at: time::Instant,
     pub(super) forgotten: Vec<ids::TaskId>,
     pub(super) report: Option<worker::WorkerReport>,
 }
 
-/// What came of a call to a placer.
-pub(super) struct CallDone {
+/// The result of a call to a placer.
+pub(super) struct PlacerCallResult {
     pub(super) home: message::HomeKey,
     pub(super) placer: ids::MemberKey,
-    pub(super) asked_at: time::Instant,
+    pub(super) sent_at: time::Instant,
     pub(super) question: message::Question,
     pub(super) result: Result<message::Answer, Verdict>,
 }
 
-/// Makes the calls.
+/// Makes the calls and sends their results to the service.
 #[derive(Clone)]
 pub(super) struct Calls {
     context: state::Context,
     workers: workers::Workers,
-    done: mpsc::UnboundedSender<Done>,
+    results: mpsc::UnboundedSender<CallResult>,
 }
 
 impl Calls {
     pub(super) fn new(
         context: &state::Context,
         timeout: time::Duration,
-        done: mpsc::UnboundedSender<Done>,
+        results: mpsc::UnboundedSender<CallResult>,
     ) -> Self {
         Self {
             context: context.clone(),
             workers: workers::Workers::new(context, timeout),
-            done,
+            results,
         }
     }
 
-    /// Has a result dealt with after what is under way.
-    pub(super) fn done(&self, done: Done) {
+    /// Queues a result, so that the service handles it after its current work.
+    pub(super) fn send_result(&self, result: CallResult) {
         // The receiver lives as long as the service.
-        let _ = self.done.send(done);
+        let _ = self.results.send(result);
     }
 
-    fn spawn(&self, call: impl Future<Output = Done> + Send + 'static) {
-        let done = self.done.clone();
+    fn spawn(&self, call: impl Future<Output = CallResult> + Send + 'static) {
+        let results = self.results.clone();
         self.context.traffic.spawn(async move {
-            let _ = done.send(call.await);
+            let _ = results.send(call.await);
         });
     }
 
-    /// Carries out an action of the placer towards a worker.
+    /// Sends a task start to a worker.
     pub(super) fn start(&self, call: placer::StartCall) {
         let workers = self.workers.clone();
         self.spawn(async move {
@@ -105,65 +109,67 @@
                 task: call.start.task,
                 number: call.start.attempt,
             };
-            Done::Start(call.target, attempt, outcome)
+            CallResult::Start(call.target, attempt, outcome)
         });
     }
 
-    /// Sends a renewal that the placer decided on at `asked_at`.
-    pub(super) fn renew(&self, asked_at: time::Instant, call: placer::RenewCall) {
+    /// Sends a lease renewal that the placer decided on at `sent_at`.
+    pub(super) fn renew(&self, sent_at: time::Instant, call: placer::RenewCall) {
         let workers = self.workers.clone();
         self.spawn(async move {
             let report = workers.renew(&call).await.ok();
-            Done::Report(ReportDone {
+            CallResult::Report(ReportResult {
                 target: call.target,
-                asked_at,
+                sent_at,
                 forgotten: call.renew.forget,
                 report,
             })
         });
     }
 
-    /// Sends an action that the placer decided on at `asked_at`.
-    pub(super) fn act(&self, asked_at: time::Instant, call: placer::ActCall) {
+    /// Sends an action that the placer decided on at `sent_at`.
+    pub(super) fn act(&self, sent_at: time::Instant, call: placer::ActCall) {
         let workers = self.workers.clone();
         self.spawn(async move {
             let report = workers.act(&call).await.ok();
-            Done::Report(ReportDone {
+            CallResult::Report(ReportResult {
                 target: call.target,
-                asked_at,
+                sent_at,
                 forgotten: Vec::new(),
                 report,
             })
         });
     }
 
-    /// Asks the placer of a peer on behalf of a home.
-    pub(super) fn ask_placer(
+    /// Calls the placer of a peer on behalf of a home.
+    ///
+    /// Without an address the call fails with [`Verdict::NotRun`].
+    pub(super) fn call_placer(
         &self,
         home: message::HomeKey,
         placer: ids::MemberKey,
         address: Option<net::SocketAddr>,
         question: message::Question,
     ) {
-        let asked_at = self.context.clock.now();
+        let sent_at = self.context.clock.now();
         let peers = self.context.peers.clone();
         self.spawn(async move {
             let result = match address {
                 Some(address) => core_call(&peers, address, question.clone()).await,
                 None => Err(Verdict::NotRun),
             };
-            Done::Call(CallDone {
+            CallResult::Call(PlacerCallResult {
                 home,
                 placer,
-                asked_at,
+                sent_at,
                 question,
                 result,
             })
         });
     }
 
-    /// Tells a peer that is the home of a job shard.
-    pub(super) fn tell_home(
+    /// Sends task events to a peer that is the home of a job shard.
+    pub(super) fn send_events(
         &self,
         address: net::SocketAddr,
         shard: ids::ShardId,
@@ -173,13 +179,14 @@
         self.spawn(async move {
             let question = message::Question::Tell(shard, events.clone());
             let answer = core_call(&peers, address, question).await;
-            Done::Told(events, answer == Ok(message::Answer::Noted))
+            CallResult::EventsSent(events, answer == Ok(message::Answer::Noted))
         });
     }
 
-    /// Tells peers what owners use on the workers held here; the next time makes
-    /// up for a call that is lost.
-    pub(super) fn tell_usage(
+    /// Sends peers the usage of each owner on the workers held here.
+    ///
+    /// The result is ignored: a lost call is made up for by the next report.
+    pub(super) fn send_usage(
         &self,
         peers: Vec<net::SocketAddr>,
         usage: Vec<(ids::OwnerName, sizes::Resources)>,
@@ -211,7 +218,7 @@
                     home::ReadOutcome::Away
                 }
             };
-            Done::Read(home, outcome)
+            CallResult::Read(home, outcome)
         });
     }
 
@@ -221,7 +228,7 @@
         self.spawn(async move {
             let key = jobs::document_key(&home.shard);
             let outcome = match serde_json::to_vec(&call.document) {
-                Ok(value) => written(store.put(&key, call.expected, value, None).await),
+                Ok(value) => write_outcome(store.put(&key, call.expected, value, None).await),
                 Err(_) => home::WriteOutcome::Failed(Verdict::NotRun),
             };
             if matches!(outcome, home::WriteOutcome::Failed(_)) {
@@ -231,11 +238,11 @@
                     error = "write failed"
                 );
             }
-            Done::Write(home, outcome)
+            CallResult::Write(home, outcome)
         });
     }
 
-    /// Passes a question about a job on to its home.
+    /// Forwards a request about a job to its home.
     pub(super) fn forward(
         &self,
         address: net::SocketAddr,
@@ -255,7 +262,9 @@
         });
     }
 
-    /// Lists the jobs of all homes; `own` are those of this process.
+    /// Lists the jobs of all homes, newest first; `own` are those of this process.
+    ///
+    /// Fails if any home does not answer, since the list would be incomplete.
     pub(super) fn list(
         &self,
         own: Vec<(u64, jobs::JobStatus)>,
@@ -319,7 +328,7 @@
     }
 }
 
-fn written(result: Result<ids::Revision, store::StoreError>) -> home::WriteOutcome {
+fn write_outcome(result: Result<ids::Revision, store::StoreError>) -> home::WriteOutcome {
     match result {
         Ok(revision) => home::WriteOutcome::Written(revision),
         Err(error) => match error.kind {
@@ -329,7 +338,7 @@
     }
 }
 
-/// The answer when the home of a job could not be asked.
+/// The error returned when the home of a job could not be reached.
 pub(super) fn unreachable_home(verdict: Verdict) -> operator::OperatorError {
     let (kind, message) = match verdict {
         Verdict::NotRun => (
@@ -338,7 +347,7 @@
         ),
         _ => (
             operator::ErrorKind::Unknown,
-            "the home of the job did not answer in time; ask again with the same id",
+            "the home of the job did not answer in time; retry with the same id",
         ),
     };
     let mut error = operator::OperatorError::new(kind, message);
--- a/crates/figscale/src/jobs/mod.rs
+++ b/crates/figscale/src/jobs/mod.rs
@@ -1,9 +1,14 @@
-//! The jobs service: accepts jobs, places their tasks on workers and sees them end.
+//! The jobs service: accepts jobs, places their tasks on workers and tracks
+//! them until they end.
 //!
-//! One `service::Service` on the control thread owns the homes of the job
-//! shards and the placer of the worker shards that this process holds. Calls
-//! to workers, peers and the store run on the traffic threads and come back as
-//! messages, so that no decision waits for the network.
+//! Jobs and workers are divided into shards, and the claims service decides
+//! which entry instance holds which shard. The *home* of a job shard keeps the
+//! state of its jobs in one document in the store. The *placer* of a process
+//! places tasks on the workers of the worker shards that it holds.
+//!
+//! One `service::Service` on the control thread owns the homes and the placer
+//! of this process. Calls to workers, peers and the store run on the traffic
+//! threads and return as messages, so that no decision waits for the network.
 
 mod calls;
 mod service;
@@ -22,14 +27,15 @@
 /// Name of the service.
 pub const NAME: &str = "jobs";
 
-/// An answer about one job.
+/// The result of a request about one job.
 pub type JobResult = Result<jobs::JobStatus, operator::OperatorError>;
 
-/// What the service is asked.
+/// A request to the service.
 pub enum Message {
-    /// Accept a job under an id that its submitter chose, so that a repeat counts once.
+    /// Accept a job. Its submitter chooses the id, so that a retry does not
+    /// submit it twice.
     Submit(ids::JobId, jobs::JobSpec, kernel::Reply<JobResult>),
-    /// Tell how a job stands.
+    /// Return the status of a job.
     Status(ids::JobId, kernel::Reply<JobResult>),
     /// Cancel a job.
     Cancel(ids::JobId, kernel::Reply<JobResult>),
@@ -38,32 +44,32 @@
         Option<ids::OwnerName>,
         kernel::Reply<Result<Vec<jobs::JobStatus>, operator::OperatorError>>,
     ),
-    /// Answer another entry instance.
+    /// Answer a call of another entry instance.
     Peer(PeerQuestion),
-    /// Give up a shard in order.
+    /// Drain a shard before it is released.
     Drain(ids::ShardId, kernel::Reply<kernel::Drained>),
-    /// Bring the gauges up to date.
+    /// Update the gauges.
     Report(kernel::Reply<()>),
-    /// Show the state.
+    /// Return the state for diagnostics.
     Dump(kernel::Reply<serde_json::Value>),
 }
 
-/// A call of another entry instance, with where its answer goes.
+/// A call of another entry instance, and the channel for its answer.
 pub struct PeerQuestion {
     pub(crate) from: ids::MemberKey,
     pub(crate) question: wire::Question,
     pub(crate) reply: kernel::Reply<wire::Answer>,
 }
 
-/// Registers the service and what it answers to peers, then runs it on the
-/// control thread.
+/// Registers the service and its handler for calls of peers, and runs it on
+/// the control thread.
 pub fn start(context: &state::Context, handlers: &mut peer::Handlers) {
     let inbox = context.kernel.register::<Message>(NAME);
     let Ok(address) = context.kernel.find::<Message>(NAME) else {
         return;
     };
-    answer_peers(&address, handlers);
-    offer_drains(&address, &context.kernel);
+    register_peer_handler(&address, handlers);
+    register_drains(&address, &context.kernel);
     let dumped = address.clone();
     context.kernel.offer_dump(NAME, move || {
         let address = dumped.clone();
@@ -77,7 +83,7 @@
     tokio::task::spawn_local(service::run(context.clone(), inbox));
 }
 
-fn answer_peers(address: &kernel::Address<Message>, handlers: &mut peer::Handlers) {
+fn register_peer_handler(address: &kernel::Address<Message>, handlers: &mut peer::Handlers) {
     let address = address.clone();
     handlers.on_call(NAME, move |from, question: wire::Question| {
         let address = address.clone();
@@ -94,7 +100,7 @@
     });
 }
 
-fn offer_drains(address: &kernel::Address<Message>, kernel: &kernel::Kernel) {
+fn register_drains(address: &kernel::Address<Message>, kernel: &kernel::Kernel) {
     for prefix in ["worker/", "job/"] {
         let address = address.clone();
         kernel.offer_drain(prefix, move |shard| {
--- a/crates/figscale/src/jobs/service/dump.rs
+++ b/crates/figscale/src/jobs/service/dump.rs
@@ -1,4 +1,4 @@
-//! Giving up shards, and what operators see of the service.
+//! Drains of shards, gauges, and the diagnostic dump of the service.
 
 use figscale_types::ids;
 
--- a/crates/figscale/src/jobs/service/mod.rs
+++ b/crates/figscale/src/jobs/service/mod.rs
@@ -1,4 +1,7 @@
-//! The service on the control thread: homes, placer, and what goes between.
+//! The event loop of the jobs service, which runs on the control thread.
+//!
+//! It passes messages, results of calls and changes of claims and catalogue to
+//! the homes and the placer, polls them, and executes the actions they return.
 
 use std::time;
 
@@ -11,8 +14,8 @@
 use indexmap::IndexSet;
 use tokio::sync::mpsc;
 
-mod asks;
 mod dump;
+mod requests;
 mod view;
 
 use super::Message;
@@ -22,24 +25,24 @@
 use crate::kernel;
 use crate::state;
 
-/// Time between looks at what became due.
+/// Interval at which homes and placer are polled for due work.
 const TICK: time::Duration = time::Duration::from_millis(25);
-/// Time between reports of what owners use here to the other placers.
-const TELL_USAGE: time::Duration = time::Duration::from_secs(1);
-/// Messages dealt with before the machines are polled.
+/// Interval of usage reports to the other placers.
+const USAGE_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// Most messages handled in one go before homes and placer are polled.
 const BATCH: usize = 256;
 /// Prefix of worker shards.
 const WORKER_PREFIX: &str = "worker/";
 /// Prefix of job shards.
 const JOB_PREFIX: &str = "job/";
 
-/// Who waits for a home's answer.
-enum Asker {
+/// A caller that waits for the answer of a home.
+enum Caller {
     Local(kernel::Reply<super::JobResult>),
     Peer(kernel::Reply<wire::Answer>),
 }
 
-impl Asker {
+impl Caller {
     fn answer(self, result: super::JobResult) {
         match self {
             Self::Local(reply) => reply.send(result),
@@ -48,13 +51,13 @@
     }
 }
 
-/// An asker and the home that it waits for.
-struct Waiting {
+/// A caller and the home that it waits for.
+struct PendingCall {
     home: message::HomeKey,
-    asker: Asker,
+    caller: Caller,
 }
 
-/// A shard that is being given up.
+/// A shard that is being drained.
 struct Draining {
     shard: ids::ShardId,
     reply: kernel::Reply<kernel::Drained>,
@@ -68,13 +71,13 @@
     home_config: home::Config,
     placer: placer::Placer,
     homes: IndexMap<ids::ShardId, home::Home>,
-    askers: IndexMap<home::Ticket, Waiting>,
+    callers: IndexMap<home::Ticket, PendingCall>,
     next_ticket: u64,
-    /// When peers were last told what owners use here.
-    usage_told_at: Option<time::Instant>,
-    /// Tasks found running twice that were logged.
-    duplicates_told: u64,
-    /// Peers as of the last claims.
+    /// When usage was last sent to peers.
+    usage_sent_at: Option<time::Instant>,
+    /// Number of duplicate tasks logged so far.
+    duplicates_logged: u64,
+    /// Members of the cell in the last claims.
     peers: IndexSet<ids::MemberId>,
     draining: Vec<Draining>,
 }
@@ -96,7 +99,7 @@
                 None => return,
             },
             result = done.recv() => match result {
-                Some(result) => service.on_done(result),
+                Some(result) => service.on_call_result(result),
                 None => return,
             },
             changed = claims.changed() => match changed {
@@ -113,7 +116,7 @@
             if let Ok(message) = inbox.try_recv() {
                 service.on_message(message);
             } else if let Ok(result) = done.try_recv() {
-                service.on_done(result);
+                service.on_call_result(result);
             } else {
                 break;
             }
@@ -123,7 +126,7 @@
 }
 
 impl Service {
-    fn new(context: &state::Context, done: mpsc::UnboundedSender<calls::Done>) -> Self {
+    fn new(context: &state::Context, done: mpsc::UnboundedSender<calls::CallResult>) -> Self {
         let settings = &context.settings.jobs;
         let millis = time::Duration::from_millis;
         let placer_config = placer::Config {
@@ -146,10 +149,10 @@
             home_config,
             placer: placer::Placer::new(placer_config),
             homes: IndexMap::new(),
-            askers: IndexMap::new(),
+            callers: IndexMap::new(),
             next_ticket: 0,
-            usage_told_at: None,
-            duplicates_told: 0,
+            usage_sent_at: None,
+            duplicates_logged: 0,
             peers: IndexSet::new(),
             draining: Vec::new(),
         }
@@ -185,61 +188,63 @@
             );
         }
         for (key, action) in actions {
-            self.carry_out_home(key, action);
+            self.execute_home_action(key, action);
         }
         let valid_until = self.valid_until();
         for action in self.placer.poll(now.at, valid_until) {
-            self.carry_out_placer(now, action);
+            self.execute_placer_action(now, action);
         }
-        self.tell_duplicates();
+        self.log_duplicates();
         self.finish_drains();
-        self.tell_usage(now);
+        self.send_usage(now);
     }
 
-    /// Logs tasks that were found running although they have room elsewhere.
-    fn tell_duplicates(&mut self) {
+    /// Logs tasks that were found running although their resources are reserved
+    /// on another worker, or a later attempt is known.
+    fn log_duplicates(&mut self) {
         let found = self.placer.duplicates();
-        if found > self.duplicates_told {
+        if found > self.duplicates_logged {
             crate::event!(
                 events::jobs::TASK_DUPLICATE,
-                tasks = found - self.duplicates_told
+                tasks = found - self.duplicates_logged
             );
-            self.duplicates_told = found;
+            self.duplicates_logged = found;
         }
     }
 
-    fn carry_out_home(&mut self, key: message::HomeKey, action: home::Action) {
+    fn execute_home_action(&mut self, key: message::HomeKey, action: home::Action) {
         match action {
             home::Action::Read => self.calls.read(key),
             home::Action::Write(call) => self.calls.write(key, call),
             home::Action::Answer(ticket, outcome) => {
-                if let Some(waiting) = self.askers.swap_remove(&ticket) {
-                    waiting.asker.answer(*outcome);
+                if let Some(pending) = self.callers.swap_remove(&ticket) {
+                    pending.caller.answer(*outcome);
                 }
             }
             home::Action::Call(placer, question) if placer == self.me => {
-                let asked_at = self.context.clock.now();
+                let sent_at = self.context.clock.now();
                 let me = self.me.clone();
                 let answer = self.on_core(&me, question.clone());
-                self.calls.done(calls::Done::Call(calls::CallDone {
-                    home: key,
-                    placer,
-                    asked_at,
-                    question,
-                    result: Ok(answer),
-                }));
+                self.calls
+                    .send_result(calls::CallResult::Call(calls::PlacerCallResult {
+                        home: key,
+                        placer,
+                        sent_at,
+                        question,
+                        result: Ok(answer),
+                    }));
             }
             home::Action::Call(placer, question) => {
                 let view = self.context.shared.claims_now();
                 let member = view.claims.members.get(&placer.id);
                 let member = member.filter(|member| member.incarnation == placer.incarnation);
                 let address = member.map(|member| member.peer_address);
-                self.calls.ask_placer(key, placer, address, question);
+                self.calls.call_placer(key, placer, address, question);
             }
         }
     }
 
-    fn carry_out_placer(&mut self, now: home::Now, action: placer::Action) {
+    fn execute_placer_action(&mut self, now: home::Now, action: placer::Action) {
         match action {
             placer::Action::Start(call) => {
                 self.context.metrics.task_start_sent();
@@ -247,18 +252,25 @@
             }
             placer::Action::Renew(call) => self.calls.renew(now.at, call),
             placer::Action::Act(call) => self.calls.act(now.at, call),
-            placer::Action::Tell(shard, events) => self.tell(now, shard, events),
+            placer::Action::Tell(shard, events) => self.deliver_events(now, shard, events),
         }
     }
 
-    fn tell(&mut self, now: home::Now, shard: ids::ShardId, events: Vec<message::TaskEvent>) {
+    fn deliver_events(
+        &mut self,
+        now: home::Now,
+        shard: ids::ShardId,
+        events: Vec<message::TaskEvent>,
+    ) {
         if let Some(home) = self.homes.get_mut(&shard) {
             home.on_tell(now, &self.me, &events);
-            return self.calls.done(calls::Done::Told(events, true));
+            return self
+                .calls
+                .send_result(calls::CallResult::EventsSent(events, true));
         }
         let view = self.context.shared.claims_now();
         if let Some((_, member)) = view.holder(&shard) {
-            self.calls.tell_home(member.peer_address, shard, events);
+            self.calls.send_events(member.peer_address, shard, events);
         }
     }
 }
--- a/crates/figscale/src/jobs/service/asks.rs
+++ b/crates/figscale/src/jobs/service/requests.rs
@@ -1,13 +1,13 @@
-//! Questions: from callers, from peers, and their answers.
+//! Handles requests of callers and peers, and the results of calls.
 
 use figscale_core::job::home;
 use figscale_core::job::message;
 use figscale_types::ids;
 use figscale_types::jobs;
 
-use super::Asker;
+use super::Caller;
+use super::PendingCall;
 use super::Service;
-use super::Waiting;
 use super::view;
 use crate::jobs::Message;
 use crate::jobs::PeerQuestion;
@@ -59,60 +59,60 @@
         }
     }
 
-    /// Asks the home of a job, here or at a peer.
+    /// Sends a request to the home of a job, here or at a peer.
     pub(super) fn route(
         &mut self,
         id: &ids::JobId,
         question: wire::Question,
         reply: kernel::Reply<crate::jobs::JobResult>,
     ) {
-        let not_here = calls::unreachable_home(figscale_types::verdict::Verdict::NotRun);
+        let unreachable = calls::unreachable_home(figscale_types::verdict::Verdict::NotRun);
         let Some(shard) = jobs::shard_of(id) else {
-            return reply.send(Err(not_here));
+            return reply.send(Err(unreachable));
         };
         if self.homes.contains_key(&shard) {
-            return self.ask_home(&shard, question, Asker::Local(reply));
+            return self.call_home(&shard, question, Caller::Local(reply));
         }
         let view = self.context.shared.claims_now();
         match view.holder(&shard) {
             Some((key, member)) if *key != self.me => {
                 self.calls.forward(member.peer_address, question, reply);
             }
-            _ => reply.send(Err(not_here)),
+            _ => reply.send(Err(unreachable)),
         }
     }
 
-    pub(super) fn ask_home(
+    pub(super) fn call_home(
         &mut self,
         shard: &ids::ShardId,
         question: wire::Question,
-        asker: Asker,
+        caller: Caller,
     ) {
         let now = self.now();
         let Some(home) = self.homes.get_mut(shard) else {
             let verdict = figscale_types::verdict::Verdict::NotRun;
-            return asker.answer(Err(calls::unreachable_home(verdict)));
+            return caller.answer(Err(calls::unreachable_home(verdict)));
         };
         self.next_ticket += 1;
         let ticket = home::Ticket(self.next_ticket);
         match question {
             wire::Question::Submit(id, spec, terms) => {
-                let waiting = Waiting {
+                let pending = PendingCall {
                     home: home.key().clone(),
-                    asker,
+                    caller,
                 };
-                self.askers.insert(ticket, waiting);
+                self.callers.insert(ticket, pending);
                 home.submit(now, ticket, home::Submission { id, spec, terms });
             }
             wire::Question::Cancel(id) => {
-                let waiting = Waiting {
+                let pending = PendingCall {
                     home: home.key().clone(),
-                    asker,
+                    caller,
                 };
-                self.askers.insert(ticket, waiting);
+                self.callers.insert(ticket, pending);
                 home.cancel(now, ticket, &id);
             }
-            wire::Question::Status(id) => asker.answer(home.status(&id)),
+            wire::Question::Status(id) => caller.answer(home.status(&id)),
             wire::Question::Core(_) | wire::Question::List(_) | wire::Question::Usage(_) => {}
         }
     }
@@ -140,11 +140,11 @@
             | wire::Question::Status(id)
             | wire::Question::Cancel(id) => id,
         };
-        // An unknown shard is answered like one that is held elsewhere.
+        // An id without a shard is treated like one whose home is elsewhere.
         let Some(shard) = jobs::shard_of(job) else {
             return;
         };
-        self.ask_home(&shard, question, Asker::Peer(reply));
+        self.call_home(&shard, question, Caller::Peer(reply));
     }
 
     pub(super) fn on_core(
@@ -170,34 +170,34 @@
             .collect()
     }
 
-    pub(super) fn on_done(&mut self, done: calls::Done) {
+    pub(super) fn on_call_result(&mut self, done: calls::CallResult) {
         let now = self.now();
         match done {
-            calls::Done::Start(target, attempt, outcome) => {
+            calls::CallResult::Start(target, attempt, outcome) => {
                 self.placer.on_start(now.at, &target, &attempt, outcome);
             }
-            calls::Done::Report(done) => match &done.report {
+            calls::CallResult::Report(done) => match &done.report {
                 Some(report) => {
                     let forgotten = &done.forgotten;
                     self.placer
-                        .on_report(now.at, &done.target, done.asked_at, forgotten, report);
+                        .on_report(now.at, &done.target, done.sent_at, forgotten, report);
                 }
-                None => self.placer.on_no_report(&done.target, done.asked_at),
+                None => self.placer.on_no_report(&done.target, done.sent_at),
             },
-            calls::Done::Call(done) => {
+            calls::CallResult::Call(done) => {
                 let home = self.homes.get_mut(&done.home.shard);
                 if let Some(home) = home.filter(|home| *home.key() == done.home) {
-                    home.on_call(now, &done.placer, done.asked_at, done.question, done.result);
+                    home.on_call(now, &done.placer, done.sent_at, done.question, done.result);
                 }
             }
-            calls::Done::Told(events, true) => self.placer.on_told(&events),
-            calls::Done::Told(_, false) => {}
-            calls::Done::Read(key, outcome) => {
+            calls::CallResult::EventsSent(events, true) => self.placer.on_told(&events),
+            calls::CallResult::EventsSent(_, false) => {}
+            calls::CallResult::Read(key, outcome) => {
                 if let Some(home) = self.home_of(&key) {
                     home.on_read(now, outcome);
                 }
             }
-            calls::Done::Write(key, outcome) => {
+            calls::CallResult::Write(key, outcome) => {
                 if let Some(home) = self.home_of(&key) {
                     home.on_write(now, outcome);
                 }
--- a/crates/figscale/src/jobs/service/view.rs
+++ b/crates/figscale/src/jobs/service/view.rs
@@ -1,4 +1,4 @@
-//! What the service takes over from the catalogue and the claims.
+//! Applies changes of the catalogue and the claims to homes and placer.
 
 use figscale_core::job::home;
 use figscale_core::job::message;
@@ -10,7 +10,7 @@
 
 use super::JOB_PREFIX;
 use super::Service;
-use super::TELL_USAGE;
+use super::USAGE_INTERVAL;
 use super::WORKER_PREFIX;
 use crate::events;
 use crate::jobs::calls;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes over which shards are held here, and by whom the others are.
+    /// Applies which shards are held here, and who holds the others.
     pub(super) fn on_claims(&mut self) {
         let now = self.now();
         let view = self.context.shared.claims_now();
@@ -42,8 +42,8 @@
             }
         }
         self.placer.set_shards(now.at, &held);
-        self.forget_peers(&view);
-        self.take_homes(&view);
+        self.remove_departed_peers(&view);
+        self.update_homes(&view);
         let holders = holders(&view);
         for home in self.homes.values_mut() {
             home.set_shards(now, &self.me, &holders);
@@ -58,8 +58,8 @@
         }
     }
 
-    /// What owners used at a member that is gone is no more counted.
-    pub(super) fn forget_peers(&mut self, view: &state::ClaimsView) {
+    /// Removes the usage reported by members that are gone.
+    pub(super) fn remove_departed_peers(&mut self, view: &state::ClaimsView) {
         let members: IndexSet<_> = view.claims.members.keys().cloned().collect();
         for gone in self.peers.difference(&members) {
             self.placer.remove_peer(gone);
@@ -67,28 +67,30 @@
         self.peers = members;
     }
 
-    /// Tells the other placers what owners use here, for their quotas.
-    pub(super) fn tell_usage(&mut self, now: home::Now) {
-        let due = |told| now.at >= told + TELL_USAGE;
-        if !self.usage_told_at.is_none_or(due) {
+    /// Sends the other placers the usage of each owner here, which counts
+    /// towards the quotas.
+    pub(super) fn send_usage(&mut self, now: home::Now) {
+        let due = |sent_at| now.at >= sent_at + USAGE_INTERVAL;
+        if !self.usage_sent_at.is_none_or(due) {
             return;
         }
-        self.usage_told_at = Some(now.at);
+        self.usage_sent_at = Some(now.at);
         let view = self.context.shared.claims_now();
         let others = view.claims.members.iter();
         let others = others.filter(|(id, _)| **id != self.me.id);
         let addresses = others.map(|(_, member)| member.peer_address).collect();
         let usage = self.placer.usage().into_iter().collect();
-        self.calls.tell_usage(addresses, usage);
+        self.calls.send_usage(addresses, usage);
     }
 
-    pub(super) fn take_homes(&mut self, view: &state::ClaimsView) {
+    pub(super) fn update_homes(&mut self, view: &state::ClaimsView) {
         let me = &self.me;
         self.homes.retain(|id, home| {
             let epoch = home.key().epoch;
             let used = view.held.get(id).is_some_and(|held| held.epoch == epoch);
-            // Out of use but not another's: authority is away for a moment, or
-            // it is about to be drained and has a last write to make.
+            // Not usable, but not held by another either: authority is lost
+            // for the moment, or the home is about to be drained and has a last
+            // write to make.
             let known = view.claims.shards.get(id);
             let mine = known.is_some_and(|s| s.holder.as_ref() == Some(me) && s.epoch == epoch);
             home.pause(!used);
@@ -98,7 +100,7 @@
             }
             kept
         });
-        self.answer_orphans();
+        self.fail_orphaned_calls();
         for (id, held) in &view.held {
             if !id.as_str().starts_with(JOB_PREFIX) || self.homes.contains_key(id) {
                 continue;
@@ -115,22 +117,23 @@
         }
     }
 
-    /// Whoever waits for a home that is no more here is told at once.
-    pub(super) fn answer_orphans(&mut self) {
-        let waiting = std::mem::take(&mut self.askers);
-        for (ticket, waiting) in waiting {
-            let home = self.homes.get(&waiting.home.shard);
-            if home.is_some_and(|home| *home.key() == waiting.home) {
-                self.askers.insert(ticket, waiting);
+    /// Fails the pending calls to homes that are no longer here, so that their
+    /// callers need not wait for a timeout.
+    pub(super) fn fail_orphaned_calls(&mut self) {
+        let pending = std::mem::take(&mut self.callers);
+        for (ticket, pending) in pending {
+            let home = self.homes.get(&pending.home.shard);
+            if home.is_some_and(|home| *home.key() == pending.home) {
+                self.callers.insert(ticket, pending);
                 continue;
             }
             let verdict = figscale_types::verdict::Verdict::MayHaveRun;
-            waiting.asker.answer(Err(calls::unreachable_home(verdict)));
+            pending.caller.answer(Err(calls::unreachable_home(verdict)));
         }
     }
 }
 
-/// The weights of owners among each other.
+/// The scheduling weight of each owner.
 fn owner_weights(catalogue: &catalogue::Catalogue) -> IndexMap<ids::OwnerName, u32> {
     let owners = catalogue.owners.iter();
     owners
@@ -138,7 +141,7 @@
         .collect()
 }
 
-/// The worker shards with their holders.
+/// The holder of each worker shard.
 fn holders(view: &state::ClaimsView) -> IndexMap<ids::ShardId, home::ShardHolder> {
     view.claims
         .shards
@@ -154,7 +157,7 @@
         .collect()
 }
 
-/// Where the other homes of jobs are.
+/// The addresses of the peers that are homes of job shards.
 pub(super) fn other_homes(
     view: &state::ClaimsView,
     me: &ids::MemberKey,
--- a/crates/figscale/src/jobs/submit.rs
+++ b/crates/figscale/src/jobs/submit.rs
@@ -1,4 +1,4 @@
-//! What a job must meet before its home is asked to accept it.
+//! Admission check of a job, made before it is sent to its home.
 
 use figscale_core::job::placement::feasibility;
 use figscale_types::catalogue;
@@ -7,11 +7,12 @@
 
 use crate::state;
 
-/// The terms of a job that may be accepted.
+/// Returns the terms under which a job may be accepted.
 ///
 /// # Errors
 ///
-/// The job breaks a limit of its entry, or can never run here.
+/// The job names an unknown entry, breaks a limit of its entry, or can never
+/// run in this cell.
 pub(super) fn check(
     shared: &state::Shared,
     spec: &jobs::JobSpec,
--- a/crates/figscale/src/jobs/wire.rs
+++ b/crates/figscale/src/jobs/wire.rs
@@ -1,4 +1,4 @@
-//! What the jobs services of entry instances say to each other.
+//! Messages between the jobs services of entry instances.
 
 use figscale_core::job::message;
 use figscale_types::ids;
@@ -11,29 +11,29 @@
 /// A call to the jobs service of a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Question {
-    /// Between home and placer.
+    /// A call between a home and a placer.
     Core(message::Question),
-    /// To the home: accept a job.
+    /// To the home of a job: accept it.
     Submit(ids::JobId, jobs::JobSpec, jobs::JobTerms),
-    /// To the home: how does a job stand?
+    /// To the home of a job: return its status.
     Status(ids::JobId),
-    /// To the home: cancel a job.
+    /// To the home of a job: cancel it.
     Cancel(ids::JobId),
-    /// To any: what owners use on the workers that the sender holds.
+    /// To any peer: the usage of each owner on the workers that the sender holds.
     Usage(Vec<(ids::OwnerName, sizes::Resources)>),
-    /// To any: the jobs that you are the home of, of one owner or of all.
+    /// To any peer: list the jobs that it is the home of, of one owner or of all.
     List(Option<ids::OwnerName>),
 }
 
 /// The answer to a [`Question`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Answer {
-    /// Between home and placer.
+    /// The answer to a call between a home and a placer.
     Core(message::Answer),
-    /// About one job.
+    /// The result of a request about one job.
     Job(Result<jobs::JobStatus, operator::OperatorError>),
-    /// Taken note of.
+    /// Received; there is nothing to return.
     Noted,
-    /// A listing, each with the time of its acceptance.
+    /// The listed jobs, each with the Unix time in milliseconds of its acceptance.
     List(Vec<(u64, jobs::JobStatus)>),
 }
--- a/crates/figscale/src/jobs/workers.rs
+++ b/crates/figscale/src/jobs/workers.rs
@@ -1,9 +1,9 @@
-//! The HTTP client towards workers.
+//! HTTP client for workers.
 //!
-//! A call is written only while this process has authority and its bound has
-//! not passed. What that check cannot cover, a pause between it and the write,
-//! is covered by the bound in the message, which the worker checks by its own
-//! clock.
+//! A call is sent only while this process has authority over its shards and
+//! the call's time bound has not passed. The process may still be paused
+//! between this check and the write; therefore the message carries the bound
+//! too, and the worker checks it by its own clock.
 
 use std::net;
 use std::sync;
@@ -23,19 +23,19 @@
 use crate::events;
 use crate::state;
 
-/// Largest answer of a worker, in bytes.
+/// Largest response body accepted from a worker, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Failure {
-    /// No byte was written.
+    /// Nothing was sent, so the worker did not act.
     NotSent,
-    /// Nobody can tell.
+    /// The worker may or may not have acted.
     Unknown,
 }
 
-/// The client.
+/// A client for all workers.
 #[derive(Clone)]
 pub(super) struct Workers {
     http: legacy::Client<legacy::connect::HttpConnector, Full<Bytes>>,
@@ -45,7 +45,7 @@
 }
 
 impl Workers {
-    /// A client whose calls last at most `timeout`.
+    /// Creates a client whose calls take at most `timeout`.
     pub(super) fn new(context: &state::Context, timeout: time::Duration) -> Self {
         let mut connector = legacy::connect::HttpConnector::new();
         connector.set_nodelay(true);
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Sends a start.
+    /// Sends the start of a task.
     pub(super) async fn start(&self, call: &placer::StartCall) -> placer::StartOutcome {
         let answer = self
-            .bounded(
+            .send_bounded(
                 call.target.address,
                 "/v1/tasks",
                 &call.start,
@@ -75,26 +75,26 @@
         }
     }
 
-    /// Sends a renewal.
+    /// Sends a lease renewal.
     pub(super) async fn renew(
         &self,
         call: &placer::RenewCall,
     ) -> Result<worker::WorkerReport, Failure> {
         let bound = Some(call.bound);
-        self.bounded(call.target.address, "/v1/renew", &call.renew, bound)
+        self.send_bounded(call.target.address, "/v1/renew", &call.renew, bound)
             .await
     }
 
-    /// Sends an action.
+    /// Sends an action on a task, which has no time bound.
     pub(super) async fn act(
         &self,
         call: &placer::ActCall,
     ) -> Result<worker::WorkerReport, Failure> {
-        self.bounded(call.target.address, "/v1/act", &call.act, None)
+        self.send_bounded(call.target.address, "/v1/act", &call.act, None)
             .await
     }
 
-    async fn bounded<Q: Serialize, A: de::DeserializeOwned>(
+    async fn send_bounded<Q: Serialize, A: de::DeserializeOwned>(
         &self,
         address: net::SocketAddr,
         path: &str,
--- a/crates/figscale/tests/jobs_cell.rs
+++ b/crates/figscale/tests/jobs_cell.rs
@@ -1,4 +1,5 @@
-//! Jobs over real entry instances, judged at the workers' shared ledger.
+//! Jobs on real entry instances under faults, checked against the ledger shared
+//! by the workers.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -21,8 +22,8 @@
 use jobs_support::state;
 use jobs_support::wait_for;
 
-/// Submitted at either of two entry instances, every job is written, placed,
-/// runs under a lease and is done, and both tell so.
+/// Guards against jobs that do not complete, or that one of two entry instances
+/// does not report as done, whichever instance they were submitted to.
 #[tokio::test(flavor = "multi_thread")]
 async fn jobs_run_to_their_end_over_two_entries() {
     let cell = start(plan(2, 4)).await;
@@ -47,8 +48,8 @@
     assert_eq!(cell.tasks.runs().len(), 8 * 3 + 6, "{}", cell.logs());
 }
 
-/// The death of an entry instance loses no accepted job and runs none twice at
-/// once; what may not run again is not run again.
+/// Guards against accepted jobs lost when an entry instance is killed, tasks that
+/// run twice concurrently, and tasks that are not idempotent run again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_entry_loses_no_job() {
     let mut cell = start(plan(3, 4)).await;
@@ -76,8 +77,8 @@
     judge(&cell);
 }
 
-/// An entry instance that is frozen past its leases and then goes on starts
-/// nothing that runs elsewhere.
+/// Guards against tasks started a second time by an entry instance that resumes
+/// after being frozen for longer than its leases.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_entry_runs_nothing_twice() {
     let cell = start(plan(3, 4)).await;
@@ -95,8 +96,8 @@
     judge(&cell);
 }
 
-/// A worker that is frozen past its tasks' leases, and one that is cut off,
-/// keep nothing from running, and nothing runs in two places.
+/// Guards against jobs that hang, or tasks that run in two places, when a worker
+/// is frozen past its tasks' leases, one is cut off, and one loses starts.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_or_cut_worker_runs_nothing_twice() {
     let cell = start(plan(2, 4)).await;
@@ -117,15 +118,15 @@
     judge(&cell);
 }
 
-/// While the store is away running tasks go on and end, nothing is accepted,
-/// and the refusal says when to come back; what was refused never runs.
+/// Guards against tasks stopped by an outage of the store, jobs accepted during
+/// it, refusals without a retry time, and refused jobs that run later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_outage_stops_no_task() {
     let cell = start(plan(2, 2)).await;
     accept(&cell, 0, "before", &spec("tides", 4, 4_000, false)).await;
     harness::wait_until("running tasks", || async { cell.tasks.runs().len() == 4 }).await;
     cell.platform.change_faults(|faults| faults.outage = true);
-    // The first submission finds out; from then on the refusal is immediate.
+    // The first submission detects the outage; later ones are refused at once.
     let mut refused = Vec::new();
     for number in 0..40 {
         let name = format!("during-{number}");
@@ -152,8 +153,8 @@
     judge(&cell);
 }
 
-/// A job that can never run is refused with the reason; one that asks for too
-/// much at once blocks nobody.
+/// Guards against accepting a job that can never run, and against such a job
+/// blocking others.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_that_can_never_run_is_refused() {
     let cell = start(plan(2, 2)).await;
@@ -171,8 +172,8 @@
     judge(&cell);
 }
 
-/// A planned stop hands its shards over: no running task is cut off or started
-/// again, and every job ends.
+/// Guards against a planned stop that ends or restarts running tasks instead of
+/// handing over its shards.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_cuts_off_no_task() {
     let mut cell = start(plan(3, 4)).await;
--- a/crates/figscale/tests/jobs_cost.rs
+++ b/crates/figscale/tests/jobs_cost.rs
@@ -1,8 +1,8 @@
-//! What jobs cost the store, by scheme, and how long a killed holder is missed.
+//! Store writes per task by scheme, and the time until a killed holder is replaced.
 //!
-//! Run with `--nocapture` to see the figures. Schemes that figscale does not
-//! use are counted over the same run: what each would have written for the
-//! very jobs, tasks and attempts that the run saw.
+//! Run with `--nocapture` to see the figures. The writes of schemes that
+//! figscale does not use are computed from the jobs, tasks and attempts of the
+//! same run.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -17,7 +17,7 @@
 
 const JOBS: u32 = 200;
 const TASKS: u32 = 10;
-/// Submissions under way at once.
+/// Concurrent submissions.
 const SUBMITTERS: usize = 20;
 
 async fn start(settings: serde_json::Value, entries: usize, workers: usize) -> harness::Cell {
@@ -63,7 +63,7 @@
     .unwrap()
 }
 
-/// A field of the homes of all these entry instances.
+/// The dumps of the homes of these entry instances.
 async fn homes(cell: &harness::Cell, entries: &[usize]) -> Vec<serde_json::Value> {
     let mut all = Vec::new();
     for entry in entries {
@@ -126,10 +126,11 @@
         let grouped = writes(&cell).await - writes_before;
         let starts = (cell.tasks.runs().len() - starts_before) as u64;
         let (jobs, tasks) = (u64::from(JOBS), u64::from(JOBS * TASKS));
-        // Accepted and ended for each job; placed, started, ended for each task.
+        // Two writes per job: accepted, ended. Three per start of a task: placed,
+        // started, ended.
         let every_step = 2 * jobs + 3 * starts;
-        // Instance and delayed check at the start, completion at the end, and
-        // the check itself, which finds nothing to do and is deleted.
+        // Four writes: the instance and a delayed check at the start, completion
+        // at the end, and the deletion of the check, which finds nothing to do.
         let around_job = 4 * jobs;
         let around_task = 4 * tasks;
         println!(
--- a/crates/figscale/tests/jobs_faults.rs
+++ b/crates/figscale/tests/jobs_faults.rs
@@ -1,4 +1,5 @@
-//! Faults of workers, faults together, and waves, over real entry instances.
+//! Jobs on real entry instances: faults of workers, combined faults, and mass
+//! cancellation.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -21,8 +22,8 @@
 use jobs_support::state;
 use jobs_support::wait_for;
 
-/// Tasks that use ten times what they declare, reports that lag and a holder
-/// that is frozen and killed: no worker is asked for more than it holds.
+/// Guards against starts beyond the capacity of a worker. Tasks use ten times
+/// what they declare, one holder is frozen and another is killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn wrong_sizes_never_fill_a_worker_beyond_what_it_holds() {
     let mut cell = start(plan(3, 3)).await;
@@ -43,8 +44,8 @@
     judge(&cell);
 }
 
-/// Tasks whose use, ten times what they declare, is seen while they run: what
-/// does not fit is stopped, what was learned is reserved, and all end.
+/// Guards against jobs that never end because their tasks use ten times what they
+/// declare: tasks that do not fit are stopped, and the learned size is reserved.
 #[tokio::test(flavor = "multi_thread")]
 async fn tasks_that_use_ten_times_their_size_all_end() {
     let cell = start(plan(2, 3)).await;
@@ -60,8 +61,8 @@
     judge(&cell);
 }
 
-/// The store is away while an entry instance dies and a worker is cut off:
-/// nothing runs twice, and every accepted job ends once the store is back.
+/// Guards against lost jobs and tasks that run twice when an entry instance is
+/// killed and a worker is cut off during an outage of the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_death_during_an_outage_loses_and_doubles_nothing() {
     let mut cell = start(plan(3, 4)).await;
@@ -132,7 +133,8 @@
     judge(&cell);
 }
 
-/// A worker that fails everything is set aside after few losses.
+/// Guards against a worker that fails every task getting many of them before it is
+/// ejected.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_worker_that_fails_everything_loses_little() {
     let cell = start(plan(1, 4)).await;
@@ -154,8 +156,8 @@
     judge(&cell);
 }
 
-/// Ten thousand tasks cancelled at once: what comes after runs, and the wave
-/// costs a bounded number of writes.
+/// Guards against the cancellation of ten thousand tasks at once holding up the
+/// jobs submitted after it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_wave_of_cancellations_holds_up_nothing() {
     let cell = start(plan(2, 2)).await;
--- a/crates/figscale/tests/jobs_support/mod.rs
+++ b/crates/figscale/tests/jobs_support/mod.rs
@@ -1,4 +1,4 @@
-//! A cell with short leases and a catalogue for jobs, and its judge.
+//! A cell with short leases and a catalogue for jobs, and an invariant checker.
 
 #![allow(
     dead_code,
@@ -75,7 +75,7 @@
     text.parse().unwrap()
 }
 
-/// Submits until the job is accepted, with the same id.
+/// Submits a job, retrying with the same id until it is accepted.
 pub(crate) async fn accept(cell: &harness::Cell, entry: usize, name: &str, spec: &jobs::JobSpec) {
     harness::wait_until(&format!("acceptance of {name}"), || async {
         cell.operator(entry).submit(&id(name), spec).await.is_ok()
@@ -109,7 +109,7 @@
     }
 }
 
-/// What the entry instances that answer know of homes and placers.
+/// Dumps of the jobs service of the entry instances that answer.
 async fn dumps(cell: &harness::Cell) -> String {
     let mut all = String::new();
     for index in 0..cell.len() {
@@ -120,7 +120,8 @@
     all
 }
 
-/// What must hold whatever happened.
+/// Checks what must hold after any fault: no violation in the ledger, and no worker
+/// ever asked for more than its capacity.
 pub(crate) fn judge(cell: &harness::Cell) {
     assert_eq!(cell.tasks.violations(), Vec::new(), "{}", cell.logs());
     for worker in &cell.workers {
--- a/crates/figscale/tests/jobs_takeover.rs
+++ b/crates/figscale/tests/jobs_takeover.rs
@@ -1,5 +1,5 @@
-//! Running tasks outlive their holder: with the default lease of tasks, longer
-//! than a takeover takes, a killed entry instance stops none.
+//! Guards against tasks that stop because their holder was killed. The default
+//! lease of tasks is longer than a takeover, so they must continue to run.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -18,7 +18,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_holder_stops_no_task() {
     let mut plan = jobs_support::plan(3, 4);
-    // Leases of members and tasks as by default.
+    // Use the default leases of members and tasks.
     plan.settings = serde_json::json!({});
     let mut cell = start(plan).await;
     for number in 0..8 {
