--- a/crates/figscale/src/claims/calls.rs
+++ b/crates/figscale/src/claims/calls.rs
@@ -1,5 +1,5 @@
-//! Carries out the actions of the claims machine: calls to the store and to
-//! peers, each a task that ends in one input.
+//! Executes the actions of the claims state machine: calls to the store and to
+//! peers. Each is a task of its own that produces at most one input of the machine.
 
 use std::net;
 use std::sync;
@@ -22,16 +22,17 @@
 use crate::store::StoreError;
 use crate::store::StoreErrorKind;
 
-/// Time that one watch of the document waits.
-const WATCH_MS: u64 = 20_000;
-/// Shortest delay bound after a failed watch or read of the instance list.
-const FIRST_DELAY_MS: u64 = 100;
-/// Longest one.
-const LONGEST_DELAY_MS: u64 = 2_000;
-/// Longest wait for a peer's answer.
+/// Longest time that one watch of the claims document waits for a change.
+const WATCH_TIMEOUT_MS: u64 = 20_000;
+/// Initial backoff after a failed watch or read of the instance list.
+const MIN_BACKOFF_MS: u64 = 100;
+/// Maximum of this backoff.
+const MAX_BACKOFF_MS: u64 = 2_000;
+/// Timeout of a call to a peer.
 const PEER_TIMEOUT_MS: u64 = 1_000;
 
-/// Value of the key under a member's lease; for people, nobody reads it back.
+/// Value of the key under a member's lease. It is only for operators to
+/// inspect; no code reads it.
 #[derive(Serialize)]
 struct MemberRecord {
     incarnation: ids::Incarnation,
@@ -49,17 +50,17 @@
         Self { context, inputs }
     }
 
-    /// Starts what an action asks for.
-    pub(super) fn carry_out(&self, action: core::Action) {
+    /// Starts a task that executes an action.
+    pub(super) fn execute(&self, action: core::Action) {
         let calls = self.clone();
         tokio::task::spawn_local(async move {
-            if let Some(input) = calls.input_of(action).await {
+            if let Some(input) = calls.perform(action).await {
                 let _ = calls.inputs.send(input).await;
             }
         });
     }
 
-    async fn input_of(&self, action: core::Action) -> Option<core::Input> {
+    async fn perform(&self, action: core::Action) -> Option<core::Input> {
         let store = &self.context.store;
         let sent_at = self.context.clock.now();
         let input = match action {
@@ -101,7 +102,7 @@
                 core::Input::Drained { shard, clean }
             }
             core::Action::Ask { address, question } => {
-                let answer = self.ask(address, &question).await;
+                let answer = self.call_peer(address, &question).await;
                 core::Input::Answered {
                     question,
                     sent_at,
@@ -109,7 +110,7 @@
                 }
             }
             core::Action::Revoke { lease } => {
-                // It lapses by itself if this fails.
+                // If this fails, the lease expires by itself.
                 let _ = store.revoke(lease).await;
                 return None;
             }
@@ -161,7 +162,7 @@
         written.await.map_err(|e| failure(&e))
     }
 
-    async fn ask(
+    async fn call_peer(
         &self,
         address: net::SocketAddr,
         question: &claims::PeerQuestion,
@@ -170,30 +171,30 @@
         let peers = &self.context.peers;
         let answer = peers.call(address, super::NAME, question, timeout).await;
         if answer.is_err() {
-            // The link may lead nowhere without saying so.
+            // The connection may be dead without an error.
             peers.forget(address);
         }
         answer.ok()
     }
 
-    /// Keeps a watch on the document.
+    /// Watches the claims document.
     pub(super) fn watch_document(&self) {
         let calls = self.clone();
         tokio::task::spawn_local(async move {
-            let mut delays = Delays::new(&calls.context);
+            let mut delays = RetryDelays::new(&calls.context);
             loop {
                 let after = calls.context.shared.claims_now().revision;
-                let wait = time::Duration::from_millis(WATCH_MS);
+                let wait = time::Duration::from_millis(WATCH_TIMEOUT_MS);
                 let store = &calls.context.store;
                 let began = calls.context.clock.now();
                 match store.watch(super::DOCUMENT_KEY, after, wait).await {
                     Ok(Some(found)) => {
                         delays.reset();
-                        calls.seen(&found).await;
+                        calls.on_document(&found).await;
                     }
-                    // Nothing new in all that time.
+                    // No change during the whole wait.
                     Ok(None) if calls.context.clock.now() >= began + wait => delays.reset(),
-                    // Too early: the key is gone.
+                    // Returned before the wait was over: the key was deleted.
                     Ok(None) => delays.pause().await,
                     Err(error) => delays.wait(&error).await,
                 }
@@ -201,7 +202,7 @@
         });
     }
 
-    async fn seen(&self, found: &store::Versioned) {
+    async fn on_document(&self, found: &store::Versioned) {
         if let Some(document) = parse(found) {
             let input = core::Input::Read {
                 result: Ok(document),
@@ -209,17 +210,18 @@
             };
             let mut view = self.context.shared.claims.subscribe();
             let _ = self.inputs.send(input).await;
-            // The next watch has to ask for what comes after this.
+            // The next watch must ask for revisions after this one, so wait
+            // until the view has it.
             let later = |view: &sync::Arc<state::ClaimsView>| view.revision >= found.revision;
             let _ = view.wait_for(later).await;
         }
     }
 
-    /// Reads the instance list again and again.
+    /// Polls the instance list.
     pub(super) fn poll_instances(&self) {
         let calls = self.clone();
         tokio::task::spawn_local(async move {
-            let mut delays = Delays::new(&calls.context);
+            let mut delays = RetryDelays::new(&calls.context);
             let pause = time::Duration::from_millis(calls.context.settings.claims.instances_ms);
             loop {
                 match calls.context.store.instances().await {
@@ -236,18 +238,18 @@
     }
 }
 
-/// Growing delays of one loop.
-struct Delays {
+/// Backoff of one loop, which logs the first of consecutive failures.
+struct RetryDelays {
     backoff: store::Backoff,
     rng: rngs::SmallRng,
     failed: bool,
 }
 
-impl Delays {
+impl RetryDelays {
     fn new(context: &state::Context) -> Self {
         let millis = time::Duration::from_millis;
         Self {
-            backoff: store::Backoff::new(millis(FIRST_DELAY_MS), millis(LONGEST_DELAY_MS)),
+            backoff: store::Backoff::new(millis(MIN_BACKOFF_MS), millis(MAX_BACKOFF_MS)),
             rng: rngs::SmallRng::seed_from_u64(context.me().incarnation.0),
             failed: false,
         }
--- a/crates/figscale/src/claims/driver.rs
+++ b/crates/figscale/src/claims/driver.rs
@@ -1,4 +1,4 @@
-//! The loop around the claims machine.
+//! The event loop that drives the claims state machine.
 
 use std::time;
 
@@ -13,9 +13,9 @@
 use crate::kernel;
 use crate::state;
 
-/// Time between ticks of the machine.
+/// Interval of the ticks of the state machine.
 const TICK_MS: u64 = 100;
-/// Inputs that wait for the loop before their senders do.
+/// Inputs queued for the loop; beyond this number their senders wait.
 const INPUTS_LEN: usize = 1_024;
 
 pub(super) async fn run(context: state::Context, mut inbox: kernel::Inbox<Message>) {
@@ -119,10 +119,11 @@
         }
         let now = self.context.clock.now();
         let actions = self.machine.handle(now, input);
-        // First the view, so that a shard is out of use before it is drained.
+        // Publish the view first, so that a shard is no longer used when its
+        // drain begins.
         self.publisher.publish(&self.machine, now);
         for action in actions {
-            self.calls.carry_out(action);
+            self.calls.execute(action);
         }
         if self.machine.has_left() {
             for reply in self.leaving.drain(..) {
--- a/crates/figscale/src/claims/dump.rs
+++ b/crates/figscale/src/claims/dump.rs
@@ -1,4 +1,4 @@
-//! The state of the claims, for people.
+//! Diagnostic dump of the claims state.
 
 use std::time;
 
@@ -32,7 +32,10 @@
     clean: bool,
 }
 
-/// Shows the machine at `now`; times are what is left, zero when over.
+/// Dumps the state machine as of `now`.
+///
+/// `authority_ms`, `lease_ms` and `promised_ms` are the remaining times, 0 once
+/// they have passed; `held_ms` is the time for which a shard has been held.
 pub(super) fn dump(machine: &core::Machine, now: time::Instant) -> serde_json::Value {
     let left_ms = |until: Option<time::Instant>| {
         let left = until.map(|until| until.saturating_duration_since(now));
--- a/crates/figscale/src/claims/mod.rs
+++ b/crates/figscale/src/claims/mod.rs
@@ -1,10 +1,18 @@
-//! The claims service: membership, heartbeat, and which shards this process holds.
+//! The claims service: membership, heartbeats, and which shards this process holds.
 //!
-//! The decisions are the machine in `figscale_core::claims`; this module gives
-//! it time, the store's answers and peers' questions, carries out its actions
-//! and publishes [`crate::state::ClaimsView`] and the authority. It runs on
-//! the control thread. Calls to the store and to peers are tasks of their own,
-//! each of which ends in exactly one input.
+//! The entry instances that are *members* divide the shards of the cell among
+//! them. The claims document in the store names the *holder* of each shard and
+//! the *epoch* of its claim, which grows with each change of holder. A process
+//! may use its shards only while it has *authority*: by a valid lease in the
+//! store or, while the store is unavailable, by promises of its *witnesses* not
+//! to help evict it. Its witnesses are the members that it listed in the
+//! document; `figscale_core::claims` has the rules.
+//!
+//! The state machine in `figscale_core::claims` makes the decisions. This
+//! module feeds it ticks, results from the store and calls of peers, executes
+//! its actions, and publishes [`crate::state::ClaimsView`] and the authority.
+//! It runs on the control thread. Calls to the store and to peers are tasks of
+//! their own, each of which produces at most one input.
 
 mod calls;
 mod driver;
@@ -22,36 +30,36 @@
 pub const NAME: &str = "claims";
 /// Key of the claims document in the store.
 pub const DOCUMENT_KEY: &str = "claims";
-/// Prefix of the keys that stand under members' leases.
+/// Prefix of the keys that are bound to members' leases.
 pub const MEMBER_PREFIX: &str = "member/";
 
-/// What the service is asked.
+/// A request to the service.
 enum Message {
-    /// A peer asks.
+    /// A call of a peer.
     Peer {
         from: ids::MemberKey,
         question: claims::PeerQuestion,
         reply: kernel::Reply<claims::PeerAnswer>,
     },
-    /// Leave, and answer once that is done.
+    /// Release all shards and leave; answered once that is done.
     Leave(kernel::Reply<()>),
-    /// Show the state.
+    /// Return the state for diagnostics.
     Dump(kernel::Reply<serde_json::Value>),
 }
 
-/// Registers the service and what it answers to peers, then runs it on the
-/// control thread.
+/// Registers the service and its handler for calls of peers, and runs it on
+/// the control thread.
 pub fn start(context: &state::Context, handlers: &mut peer::Handlers) {
     let inbox = context.kernel.register::<Message>(NAME);
     let Ok(address) = context.kernel.find::<Message>(NAME) else {
         return;
     };
-    answer_peers(address.clone(), handlers);
-    offer_dumps(context, address);
+    register_peer_handler(address.clone(), handlers);
+    register_dumps(context, address);
     tokio::task::spawn_local(driver::run(context.clone(), inbox));
 }
 
-fn answer_peers(address: kernel::Address<Message>, handlers: &mut peer::Handlers) {
+fn register_peer_handler(address: kernel::Address<Message>, handlers: &mut peer::Handlers) {
     handlers.on_call(NAME, move |from, question: claims::PeerQuestion| {
         let address = address.clone();
         async move {
@@ -67,7 +75,7 @@
     });
 }
 
-fn offer_dumps(context: &state::Context, address: kernel::Address<Message>) {
+fn register_dumps(context: &state::Context, address: kernel::Address<Message>) {
     context.kernel.offer_dump(NAME, move || {
         let address = address.clone();
         Box::pin(async move {
@@ -82,7 +90,7 @@
     });
 }
 
-/// Gives up all shards in order and leaves; bounded by the caller.
+/// Drains and releases all shards, then leaves. The caller sets a time limit.
 pub async fn leave(context: &state::Context) {
     if let Ok(address) = context.kernel.find::<Message>(NAME) {
         let _ = address.call(Message::Leave).await;
--- a/crates/figscale/src/claims/publish.rs
+++ b/crates/figscale/src/claims/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes what the claims machine knows, and logs what changed.
+//! Publishes the state of the claims state machine and logs its changes.
 
 use std::sync;
 use std::time;
@@ -11,13 +11,14 @@
 use crate::events::claims as events;
 use crate::state;
 
-/// The last thing published.
+/// Publishes the claims view and the authority, and remembers what was last
+/// published and logged.
 pub(super) struct Publisher {
     context: state::Context,
     instances: sync::Arc<instances::InstanceList>,
     by_shard: IndexMap<ids::ShardId, Vec<instances::Instance>>,
-    /// Whether the list is newer than the view.
-    listed: bool,
+    /// Whether the instance list is newer than the published view.
+    list_changed: bool,
     was_member: bool,
     had_authority: bool,
     by_promises: bool,
@@ -30,7 +31,7 @@
             context,
             instances: sync::Arc::default(),
             by_shard: IndexMap::new(),
-            listed: false,
+            list_changed: false,
             was_member: false,
             had_authority: false,
             by_promises: false,
@@ -38,20 +39,20 @@
         }
     }
 
-    /// Takes in the instance list.
+    /// Stores the instance list, to be published with the next view.
     pub(super) fn instances(&mut self, list: sync::Arc<instances::InstanceList>) {
-        // The very same list is handed on while it does not change.
+        // The store client returns the same `Arc` while the list is unchanged.
         if !sync::Arc::ptr_eq(&list, &self.instances) && *list != *self.instances {
             self.by_shard = core::by_shard(&list);
             self.instances = list;
-            self.listed = true;
+            self.list_changed = true;
         }
     }
 
     /// Publishes the view if it changed, and the authority.
     ///
-    /// A lost authority goes before the view and a gained one after it, so
-    /// that no reader pairs new shards with an old right to use them.
+    /// Lost authority is published before the view and gained authority after
+    /// it, so that no reader combines new shards with outdated authority.
     pub(super) fn publish(&mut self, machine: &core::Machine, now: time::Instant) {
         let until = machine.authority_until();
         if until.is_none() {
@@ -75,16 +76,16 @@
             && held
                 .iter()
                 .all(|(id, held)| old.held.get(id).is_some_and(|old| old.epoch == held.epoch));
-        if same_held && revision == old.revision && !self.listed {
+        if same_held && revision == old.revision && !self.list_changed {
             return;
         }
-        self.listed = false;
+        self.list_changed = false;
         let claims = match machine.document() {
             Some((_, claims)) if revision != old.revision => claims.clone(),
             _ => old.claims.clone(),
         };
         self.context.store.share_among(claims.members.len());
-        log_moves(&old, &held);
+        log_shard_changes(&old, &held);
         let view = state::ClaimsView {
             me: old.me.clone(),
             revision,
@@ -140,13 +141,13 @@
     }
 }
 
-fn log_moves(old: &state::ClaimsView, held: &IndexMap<ids::ShardId, core::Held>) {
-    let taken = held.keys().filter(|id| !old.held.contains_key(*id)).count();
-    let given = old.held.keys().filter(|id| !held.contains_key(*id)).count();
-    if taken > 0 {
-        crate::event!(events::SHARDS_TAKEN, shards = taken, held = held.len());
+fn log_shard_changes(old: &state::ClaimsView, held: &IndexMap<ids::ShardId, core::Held>) {
+    let acquired = held.keys().filter(|id| !old.held.contains_key(*id)).count();
+    let released = old.held.keys().filter(|id| !held.contains_key(*id)).count();
+    if acquired > 0 {
+        crate::event!(events::SHARDS_TAKEN, shards = acquired, held = held.len());
     }
-    if given > 0 {
-        crate::event!(events::SHARDS_GIVEN, shards = given, held = held.len());
+    if released > 0 {
+        crate::event!(events::SHARDS_GIVEN, shards = released, held = held.len());
     }
 }
--- a/crates/figscale/tests/claims_faults.rs
+++ b/crates/figscale/tests/claims_faults.rs
@@ -1,5 +1,5 @@
-//! Faults of real entry instances, judged by what they say of themselves all
-//! along: nobody uses a shard under a lower epoch than was in use before.
+//! Faults of real entry instances. Throughout each test their dumps are polled to
+//! check that no shard is used under a lower epoch than was in use before.
 
 mod claims_support;
 mod harness;
@@ -9,7 +9,7 @@
 use nix::sys::signal;
 use rstest::rstest;
 
-/// Shards in use in the whole cell.
+/// Number of shards in use in the whole cell.
 fn in_use(all: &[Option<claims_support::Claims>]) -> usize {
     let claims = all.iter().flatten();
     claims.map(|claims| claims.in_use().len()).sum()
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_and_back_under_its_address() {
+async fn killed_and_restarted_under_its_address() {
     let mut cell = cell(3).await;
     cell.kill(0).await;
     cell.wait_for_holders(&[1, 2]).await;
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn killed_and_back_at_once() {
+async fn killed_and_restarted_at_once() {
     let mut cell = cell(3).await;
     cell.kill(0).await;
     cell.launch(0);
@@ -50,27 +50,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_past_its_lease_and_woken() {
+async fn frozen_past_its_lease_and_resumed() {
     let mut cell = cell(3).await;
     cell.signal(0, signal::Signal::SIGSTOP);
     cell.wait_for_holders(&[1, 2]).await;
     cell.signal(0, signal::Signal::SIGCONT);
-    // It must not use what it held before; the judge looks all the time.
+    // It must not use the shards that it held before; every poll checks this.
     cell.wait_for_holders(&[0, 1, 2]).await;
 }
 
-/// It wakes with everything that it knew, and nothing tells it better: only
-/// its clock can stop it.
+/// The resumed instance is cut off and cannot learn that it lost its shards; only
+/// its clock can stop it from using them.
 #[tokio::test(flavor = "multi_thread")]
-async fn frozen_and_woken_in_the_dark() {
+async fn frozen_and_resumed_while_cut_off() {
     let mut cell = cell(3).await;
     cell.signal(0, signal::Signal::SIGSTOP);
     cell.cut_off(0, &[1, 2]);
     cell.wait_for_holders(&[1, 2]).await;
     cell.signal(0, signal::Signal::SIGCONT);
-    cell.wait_until("an answer of the woken one", |all| all[0].is_some())
+    cell.wait_until("an answer of the resumed instance", |all| all[0].is_some())
         .await;
-    cell.look_for(LEASE_MS).await;
+    cell.poll_for(LEASE_MS).await;
     for other in [1, 2] {
         cell.cut_peers(0, other, false);
     }
@@ -106,7 +106,7 @@
         true => faults.to_target.cut = true,
         false => faults.to_client.cut = true,
     });
-    cell.wait_until("holders without the one cut off", |all| {
+    cell.wait_until("holders other than the instance cut off", |all| {
         let uses = |index: usize| all[index].as_ref().map_or(0, |c| c.in_use().len());
         uses(0) == 0 && uses(1) + uses(2) == claims_support::shard_count(2)
     })
@@ -124,7 +124,7 @@
     for other in [1, 2] {
         cell.cut_peers(0, other, true);
     }
-    cell.look_for(2 * LEASE_MS).await;
+    cell.poll_for(2 * LEASE_MS).await;
     cell.wait_for_holders(&[0, 1, 2]).await;
     assert_eq!(cell.document().shards, before);
 }
@@ -143,8 +143,8 @@
     cell.kill(3).await;
     let left = claims_support::shard_count(2) - lost;
     for _ in 0..20 {
-        cell.look_for(LEASE_MS / 4).await;
-        let all = cell.look().await;
+        cell.poll_for(LEASE_MS / 4).await;
+        let all = cell.poll().await;
         assert_eq!(in_use(&all), left, "an outage stops no holder");
     }
     cell.platform.expire_all_leases();
@@ -165,7 +165,7 @@
     for other in [1, 2] {
         cell.cut_peers(0, other, true);
     }
-    cell.wait_until("an end of the lone one's authority", |all| {
+    cell.wait_until("the end of authority of the isolated instance", |all| {
         let lone = all[0]
             .as_ref()
             .is_some_and(|claims| !claims.has_authority());
@@ -188,7 +188,7 @@
     let before = cell.document().shards;
     cell.platform
         .change_faults(|faults| faults.answer_delay_ms = 300);
-    cell.look_for(3 * LEASE_MS).await;
+    cell.poll_for(3 * LEASE_MS).await;
     cell.wait_for_holders(&[0, 1, 2]).await;
     assert_eq!(cell.document().shards, before, "a slow store moves nothing");
 }
@@ -216,7 +216,7 @@
         cell.kill(index).await;
         cell.launch(index);
     }
-    cell.look_for(LEASE_MS).await;
+    cell.poll_for(LEASE_MS).await;
     cell.platform.change_faults(|faults| faults.outage = false);
     cell.wait_for_holders(&[0, 1, 2]).await;
 }
--- a/crates/figscale/tests/claims_join.rs
+++ b/crates/figscale/tests/claims_join.rs
@@ -1,4 +1,4 @@
-//! Entry instances come, share the shards, and go.
+//! Entry instances join, share the shards, and leave.
 
 mod claims_support;
 mod harness;
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn four_share_and_one_leaves_in_order() {
+async fn four_share_and_one_leaves_cleanly() {
     let mut cell = Cell::new(4).await;
     cell.start_all().await;
     cell.signal(3, signal::Signal::SIGTERM);
@@ -22,6 +22,6 @@
     let document = cell.document();
     assert!(!document.members.contains_key(&cell.id(3)));
     let unclean = document.shards.values().filter(|shard| !shard.clean);
-    assert_eq!(unclean.count(), 0, "a planned hand-over is clean");
+    assert_eq!(unclean.count(), 0, "a planned handover is clean");
     cell.wait_for_holders(&[0, 1, 2]).await;
 }
--- a/crates/figscale/tests/claims_measure.rs
+++ b/crates/figscale/tests/claims_measure.rs
@@ -1,4 +1,4 @@
-//! Figures on claims, for docs/design/claims.md. Run by hand, in release:
+//! Measurements of claims, for docs/design/claims.md. Run by hand, in release:
 //! `cargo test --release -p figscale --test claims_measure -- --ignored
 //! --nocapture --test-threads=1`. Asserts nothing about speed.
 
@@ -20,10 +20,10 @@
 
 /// The lease of the default settings.
 const DEFAULT_LEASE_MS: u64 = 6_000;
-/// Time over which calls at rest are counted.
+/// Time over which calls of an idle cell are counted.
 const REST: time::Duration = time::Duration::from_secs(10);
 
-/// How an entry instance goes.
+/// How an entry instance ends.
 #[derive(Clone, Copy, Debug)]
 enum End {
     Kill,
@@ -119,8 +119,8 @@
     store::Store::new(platform, &settings, sync::Arc::new(clock::SystemClock))
 }
 
-/// The baseline: one key for each instance under its holder's lease, listed at
-/// every heartbeat, written again when a holder stops.
+/// The baseline scheme: one key per instance under its holder's lease, listed at
+/// every heartbeat, and written again when a holder stops.
 #[rstest]
 #[case(2, 100)]
 #[case(4, 100)]
@@ -154,9 +154,9 @@
     }
     cell.platform.reset_counts();
     let began = time::Instant::now();
-    let mut beat = tokio::time::interval(heartbeat);
+    let mut heartbeat_tick = tokio::time::interval(heartbeat);
     while began.elapsed() < REST {
-        beat.tick().await;
+        heartbeat_tick.tick().await;
         for (store, lease) in &members {
             store.renew(*lease).await.unwrap();
             store.keys("holder/").await.unwrap();
--- a/crates/figscale/tests/claims_runner.rs
+++ b/crates/figscale/tests/claims_runner.rs
@@ -1,6 +1,6 @@
-//! Faults of real entry instances under load, judged at stand-in runners: none
-//! gets a request from a holder after one from its successor, and none gets
-//! more than it has slots for.
+//! Faults of real entry instances under load. Stand-in runners check that none
+//! gets a request from a holder after one from its successor, or more requests
+//! than it has slots for.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -20,9 +20,9 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// Callers for each entry instance.
+/// Concurrent callers of each entry instance.
 const CALLERS: usize = 3;
-/// The shard that the faults are about.
+/// The shard whose holder is subjected to faults.
 const SHARD: &str = "runner/rating/d0/r1";
 
 struct Loaded {
@@ -55,7 +55,7 @@
     let mut callers = tokio::task::JoinSet::new();
     for index in 0..cell.len() {
         for _ in 0..CALLERS {
-            callers.spawn(call_on(cell.caller_address(index)));
+            callers.spawn(call_in_loop(cell.caller_address(index)));
         }
     }
     let mut loaded = Loaded {
@@ -87,8 +87,8 @@
     assert!(answer.status.is_success(), "{}", answer.text());
 }
 
-/// Asks one entry instance again and again; errors are the faults' business.
-async fn call_on(caller: net::SocketAddr) {
+/// Calls one entry instance in a loop; errors are expected under faults.
+async fn call_in_loop(caller: net::SocketAddr) {
     let client = client::Client::default();
     loop {
         let call = client::Call::post(caller, "/v1/run/quote")
@@ -109,7 +109,7 @@
         self.cell.document().shards[&shard].epoch
     }
 
-    /// Which entry instance holds the shard.
+    /// The index of the entry instance that holds the shard.
     fn holder(&self) -> usize {
         let shard = SHARD.parse::<ids::ShardId>().unwrap();
         let document = self.cell.document();
@@ -118,7 +118,7 @@
         indexes.find(|i| self.cell.id(*i) == holder.id).unwrap()
     }
 
-    /// Waits until the runner got a request under a higher epoch.
+    /// Waits until a runner has received a request under a higher epoch.
     async fn wait_for_dispatch_above(&mut self, epoch: ids::Epoch) {
         let ledger = self.ledger.clone();
         self.cell
@@ -131,7 +131,7 @@
             .await;
     }
 
-    async fn judge(mut self) {
+    async fn check_ledger(mut self) {
         self.callers.abort_all();
         assert_eq!(self.ledger.violations(), []);
     }
@@ -141,7 +141,7 @@
 enum Fault {
     Kill,
     Freeze,
-    FreezeInTheDark,
+    FreezeAndCutOff,
     CutStore,
     CutStoreAndPeers,
     PlannedStop,
@@ -150,7 +150,7 @@
 #[rstest]
 #[case(Fault::Kill)]
 #[case(Fault::Freeze)]
-#[case(Fault::FreezeInTheDark)]
+#[case(Fault::FreezeAndCutOff)]
 #[case(Fault::CutStore)]
 #[case(Fault::CutStoreAndPeers)]
 #[case(Fault::PlannedStop)]
@@ -163,7 +163,7 @@
     match fault {
         Fault::Kill => loaded.cell.kill(holder).await,
         Fault::Freeze => loaded.cell.signal(holder, signal::Signal::SIGSTOP),
-        Fault::FreezeInTheDark => {
+        Fault::FreezeAndCutOff => {
             loaded.cell.signal(holder, signal::Signal::SIGSTOP);
             loaded.cell.cut_off(holder, &others);
         }
@@ -172,9 +172,9 @@
         Fault::PlannedStop => loaded.cell.signal(holder, signal::Signal::SIGTERM),
     }
     loaded.wait_for_dispatch_above(epoch).await;
-    if matches!(fault, Fault::Freeze | Fault::FreezeInTheDark) {
+    if matches!(fault, Fault::Freeze | Fault::FreezeAndCutOff) {
         loaded.cell.signal(holder, signal::Signal::SIGCONT);
     }
-    loaded.cell.look_for(2 * LEASE_MS).await;
-    loaded.judge().await;
+    loaded.cell.poll_for(2 * LEASE_MS).await;
+    loaded.check_ledger().await;
 }
--- a/crates/figscale/tests/claims_support/mod.rs
+++ b/crates/figscale/tests/claims_support/mod.rs
@@ -1,5 +1,5 @@
-//! A cell for tests of claims: that of the harness with short leases, and a
-//! judge that compares what its entry instances say of their claims.
+//! A cell for tests of claims: the cell of the harness with short leases, and an
+//! invariant checker that compares the claims in the dumps of its entry instances.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 #![expect(dead_code, reason = "each test binary uses a part")]
@@ -17,10 +17,10 @@
 use crate::harness;
 use crate::harness::PATIENCE;
 
-/// Life of a lease in these tests.
+/// Duration of a lease in these tests.
 pub(crate) const LEASE_MS: u64 = 2_000;
 
-/// What a dump says of claims.
+/// The claims section of a dump.
 #[derive(Clone, Debug)]
 pub(crate) struct Claims {
     pub(crate) raw: serde_json::Value,
@@ -35,7 +35,7 @@
         self.has_authority() && self.raw["lease_ms"].as_u64() == Some(0)
     }
 
-    /// Shards and epochs that may be used at the moment.
+    /// The shards that may be used now, with their epochs.
     pub(crate) fn in_use(&self) -> HashMap<String, u64> {
         let Some(held) = self.raw["held"].as_object() else {
             return HashMap::new();
@@ -48,22 +48,23 @@
     }
 }
 
-/// What a cell is like.
+/// The size and timing of a cell.
 #[derive(Clone, Copy)]
 pub(crate) struct Shape {
     /// Entry instances.
     pub(crate) entries: usize,
     /// Racks of runners, one runner in each.
     pub(crate) racks: usize,
-    /// Life of a lease; a quarter is the heartbeat, a tenth the margin.
+    /// Duration of a lease; the heartbeat interval is a quarter of it, the margin
+    /// a tenth.
     pub(crate) lease_ms: u64,
 }
 
-/// The cell; all else that it can do is the harness's.
+/// A cell of the harness with an invariant checker.
 pub(crate) struct Cell {
     base: harness::Cell,
     shape: Shape,
-    judge: Judge,
+    checker: EpochChecker,
 }
 
 impl ops::Deref for Cell {
@@ -80,15 +81,15 @@
     }
 }
 
-/// Finds two holders of one shard: whoever uses a lower epoch after a higher
-/// one was in use is an old holder that goes on.
+/// Detects two holders of one shard: an instance that uses a lower epoch after a
+/// higher one was in use is a former holder that did not stop.
 #[derive(Default)]
-struct Judge {
+struct EpochChecker {
     highest: HashMap<String, (u64, String, time::Instant)>,
 }
 
-impl Judge {
-    fn see(&mut self, name: &str, began: time::Instant, ended: time::Instant, claims: &Claims) {
+impl EpochChecker {
+    fn record(&mut self, name: &str, began: time::Instant, ended: time::Instant, claims: &Claims) {
         for (shard, epoch) in claims.in_use() {
             match self.highest.get(&shard) {
                 Some((highest, by, since)) if *highest > epoch => assert!(
@@ -121,7 +122,7 @@
 }
 
 impl Cell {
-    /// A platform with two racks of runners, and `len` entry instances that
+    /// Creates a platform with two racks of runners, and `len` entry instances that
     /// are not yet running.
     pub(crate) async fn new(len: usize) -> Self {
         let shape = Shape {
@@ -132,7 +133,7 @@
         Self::of(shape).await
     }
 
-    /// A cell of some shape; no entry instance runs yet.
+    /// Creates a cell of this shape; no entry instance runs yet.
     pub(crate) async fn of(shape: Shape) -> Self {
         let settings = json!({
             "store": { "timeout_ms": 500 },
@@ -155,11 +156,11 @@
         Self {
             base,
             shape,
-            judge: Judge::default(),
+            checker: EpochChecker::default(),
         }
     }
 
-    /// Starts all and waits until they share all shards.
+    /// Starts all entry instances and waits until they share all shards.
     pub(crate) async fn start_all(&mut self) {
         let all: Vec<_> = (0..self.len()).collect();
         for index in &all {
@@ -168,7 +169,7 @@
         self.wait_for_holders(&all).await;
     }
 
-    /// What an entry instance says of its claims; `None` without an answer.
+    /// Reads and checks the claims of an entry instance; `None` without an answer.
     pub(crate) async fn claims(&mut self, index: usize) -> Option<Claims> {
         let began = time::Instant::now();
         let address = self.operator_address(index);
@@ -179,13 +180,13 @@
         let claims = Claims {
             raw: dump.get("claims")?.clone(),
         };
-        self.judge
-            .see(self.base.name(index), began, time::Instant::now(), &claims);
+        self.checker
+            .record(self.base.name(index), began, time::Instant::now(), &claims);
         Some(claims)
     }
 
-    /// Looks at all entry instances once, judging what they say.
-    pub(crate) async fn look(&mut self) -> Vec<Option<Claims>> {
+    /// Reads and checks the claims of all running entry instances once.
+    pub(crate) async fn poll(&mut self) -> Vec<Option<Claims>> {
         let mut all = Vec::new();
         for index in 0..self.len() {
             let claims = match self.is_running(index) {
@@ -197,7 +198,7 @@
         all
     }
 
-    /// Looks on until `done` says so.
+    /// Polls until `done` returns true.
     pub(crate) async fn wait_until(
         &mut self,
         what: &str,
@@ -205,7 +206,7 @@
     ) {
         let began = time::Instant::now();
         loop {
-            let all = self.look().await;
+            let all = self.poll().await;
             if done(&all) {
                 return;
             }
@@ -214,16 +215,16 @@
         }
     }
 
-    /// Looks on for a while.
-    pub(crate) async fn look_for(&mut self, while_ms: u64) {
+    /// Polls for this time, only to check the invariant.
+    pub(crate) async fn poll_for(&mut self, while_ms: u64) {
         let began = time::Instant::now();
         while began.elapsed() < time::Duration::from_millis(while_ms) {
-            self.look().await;
+            self.poll().await;
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     }
 
-    /// Waits until exactly these hold every shard, each some.
+    /// Waits until exactly these entry instances use all shards, each at least one.
     pub(crate) async fn wait_for_holders(&mut self, indexes: &[usize]) {
         let indexes = indexes.to_vec();
         let shards = shard_count(self.shape.racks);
@@ -237,7 +238,7 @@
         .await;
     }
 
-    /// Waits until every member has listed all as its witnesses.
+    /// Waits until every member has listed all members as its witnesses.
     pub(crate) async fn wait_for_witnesses(&mut self) {
         let began = time::Instant::now();
         loop {
@@ -248,13 +249,13 @@
                 return;
             }
             assert!(began.elapsed() < PATIENCE, "no witnesses: {document:#?}");
-            self.look().await;
+            self.poll().await;
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     }
 
-    /// Cuts an entry instance from the store and the others, so that not even
-    /// what was on its way arrives.
+    /// Cuts an entry instance off from the store and the others. Connections are
+    /// broken too, so that messages in flight do not arrive.
     pub(crate) fn cut_off(&self, index: usize, others: &[usize]) {
         self.cut_store(index, true);
         self.store_path(index).break_connections();
@@ -276,7 +277,7 @@
     }
 }
 
-/// So many racks of runners and all homes.
+/// The number of shards: one per rack of runners, and those of all homes.
 pub(crate) fn shard_count(racks: usize) -> usize {
     let homes = figscale_types::claims::ID_SHARDS + figscale_types::claims::JOB_SHARDS;
     racks + homes as usize
