--- a/crates/figscale/src/catalogue/apply.rs
+++ b/crates/figscale/src/catalogue/apply.rs
@@ -1,4 +1,5 @@
-//! Carries out what `figscale_core::catalogue::apply` decides about a change.
+//! Accepts or refuses a change of the catalogue: executes the reads and writes
+//! that `figscale_core::catalogue::apply` decides on.
 
 use std::rc;
 use std::time;
@@ -17,12 +18,12 @@
 use crate::events::catalogue as events;
 use crate::store;
 
-/// Longest time until an operator has an answer.
+/// Time limit of a change, after which the operator gets an error.
 const APPLY_TIMEOUT: time::Duration = time::Duration::from_millis(5_000);
-/// Shortest and longest pause after a failed call.
-const PAUSE_MS: std::ops::Range<u64> = 100..300;
+/// Range of the random pause after a failed call.
+const RETRY_PAUSE_MS: std::ops::Range<u64> = 100..300;
 
-/// Decides about a change; every outcome is an answer.
+/// Accepts or refuses a change, and logs the outcome.
 pub(super) async fn run(
     service: &rc::Rc<service::Service>,
     change: apply::Change,
@@ -47,7 +48,7 @@
     service: &rc::Rc<service::Service>,
     change: apply::Change,
 ) -> Result<operator::ApplyAnswer, operator::OperatorError> {
-    let Ok(_turn) = service.turns.try_acquire() else {
+    let Ok(_permit) = service.change_permits.try_acquire() else {
         return Err(operator::OperatorError {
             kind: operator::ErrorKind::Unavailable,
             message: "too many changes are being decided here; nothing was done".to_owned(),
@@ -55,7 +56,7 @@
         });
     };
     let mut apply = apply::Apply::new(change, unix_ms(service))?;
-    let decided = tokio::time::timeout(APPLY_TIMEOUT, carry_out(service, &mut apply)).await;
+    let decided = tokio::time::timeout(APPLY_TIMEOUT, execute(service, &mut apply)).await;
     decided.unwrap_or_else(|_| Err(apply.give_up()))
 }
 
@@ -68,7 +69,7 @@
     clock::millis(since_epoch.unwrap_or_default())
 }
 
-async fn carry_out(
+async fn execute(
     service: &rc::Rc<service::Service>,
     apply: &mut apply::Apply,
 ) -> Result<operator::ApplyAnswer, operator::OperatorError> {
@@ -78,7 +79,7 @@
             apply::Action::Done(decided) => return decided,
             apply::Action::Read => read(service).await,
             apply::Action::ReadLater => {
-                let pause = rand::rng().random_range(PAUSE_MS);
+                let pause = rand::rng().random_range(RETRY_PAUSE_MS);
                 tokio::time::sleep(time::Duration::from_millis(pause)).await;
                 read(service).await
             }
@@ -110,7 +111,7 @@
     };
     match written {
         Ok(_) => {
-            service.see_accepted(document);
+            service.adopt_written(document);
             apply::Input::Written
         }
         Err(error) => match error.kind {
--- a/crates/figscale/src/catalogue/mod.rs
+++ b/crates/figscale/src/catalogue/mod.rs
@@ -2,16 +2,16 @@
 //!
 //! Publishes the accepted catalogue to [`crate::state::Shared`]. A change is
 //! accepted by a compare-and-swap in the store (`apply`) and reaches the
-//! other entry instances by three ways, each of which is enough alone
-//! (`follow`): a watch on the store's key, an exchange with peers after each
-//! adoption, and a poll of the store and of one peer at a time. All of them end
-//! in `service`, which adopts higher revisions only.
+//! other entry instances by three paths, each of which is sufficient alone
+//! (`propagation`): a watch on the key in the store, an exchange with peers after
+//! each adoption, and periodic polls of the store and of one peer at a time.
+//! All of them end in `service`, which adopts higher revisions only.
 //!
 //! The service runs on the control thread as local tasks that share one
-//! `service::Service`; nothing holds a borrow of it over an await.
+//! `service::Service`; no borrow of its cells is held across an `await`.
 
 mod apply;
-pub mod follow;
+pub mod propagation;
 mod service;
 
 use std::rc;
@@ -28,7 +28,7 @@
 /// Name of the service.
 pub const NAME: &str = "catalogue";
 
-/// What the service is asked.
+/// A request to the service.
 pub enum Message {
     /// Accept a new catalogue.
     Apply(
@@ -40,24 +40,24 @@
         operator::RollbackRequest,
         kernel::Reply<Result<operator::ApplyAnswer, operator::OperatorError>>,
     ),
-    /// The catalogue in force here; an error until one is known, since a process
-    /// that has just started must not report a lower revision than its last life.
+    /// Return the catalogue in force here. An error until one is known: a
+    /// restarted process must not report a lower revision than before.
     InForce(kernel::Reply<Result<sync::Arc<catalogue::Accepted>, operator::OperatorError>>),
-    /// The changes, newest first.
+    /// Return the accepted changes, newest first.
     History(kernel::Reply<Result<Vec<operator::HistoryLine>, operator::OperatorError>>),
-    /// An earlier catalogue.
+    /// Return the catalogue of an earlier revision.
     At(
         ids::Revision,
         kernel::Reply<Result<catalogue::Accepted, operator::OperatorError>>,
     ),
-    /// Revision in force at each entry instance.
+    /// Return the revision in force at each entry instance.
     Status(kernel::Reply<operator::CatalogueStatus>),
-    /// A peer's question.
-    Peer(follow::Question, kernel::Reply<follow::Answer>),
+    /// A call of a peer.
+    Peer(propagation::Question, kernel::Reply<propagation::Answer>),
 }
 
-/// Registers the service and what it answers to peers, then runs it on the
-/// control thread.
+/// Registers the service and its handler for calls of peers, and runs it on
+/// the control thread.
 pub fn start(context: &state::Context, handlers: &mut peer::Handlers) {
     let inbox = context.kernel.register::<Message>(NAME);
     let kernel = context.kernel.clone();
@@ -71,10 +71,10 @@
         }
     });
     let service = rc::Rc::new(service::Service::new(context.clone()));
-    tokio::task::spawn_local(follow::watch(service.clone()));
-    tokio::task::spawn_local(follow::tell_adopted(service.clone()));
-    tokio::task::spawn_local(follow::poll_store(service.clone()));
-    tokio::task::spawn_local(follow::poll_peers(service.clone()));
+    tokio::task::spawn_local(propagation::watch(service.clone()));
+    tokio::task::spawn_local(propagation::announce_adoptions(service.clone()));
+    tokio::task::spawn_local(propagation::poll_store(service.clone()));
+    tokio::task::spawn_local(propagation::poll_peers(service.clone()));
     tokio::task::spawn_local(answer_all(service, inbox));
     offer_dump(context);
 }
@@ -100,7 +100,8 @@
     }
 }
 
-/// Answers at once, or in a task of its own where the store or peers are asked.
+/// Answers at once, or from a separate task where that needs calls to the store
+/// or to peers.
 fn answer(service: &rc::Rc<service::Service>, message: Message) {
     let service = service.clone();
     match message {
@@ -114,7 +115,9 @@
         }
         Message::InForce(reply) => reply.send(service.in_force()),
         Message::Status(reply) => {
-            tokio::task::spawn_local(async move { reply.send(follow::status(&service).await) });
+            tokio::task::spawn_local(
+                async move { reply.send(propagation::status(&service).await) },
+            );
         }
         Message::History(reply) => {
             tokio::task::spawn_local(async move {
@@ -127,6 +130,6 @@
                 reply.send(found.and_then(|()| service.at(revision)));
             });
         }
-        Message::Peer(question, reply) => reply.send(follow::answer(&service, question)),
+        Message::Peer(question, reply) => reply.send(propagation::answer(&service, question)),
     }
 }
--- a/crates/figscale/src/catalogue/follow.rs
+++ b/crates/figscale/src/catalogue/propagation.rs
@@ -1,13 +1,17 @@
-//! The three ways by which a catalogue reaches this entry instance, and what
-//! peers ask each other.
+//! Propagation of the catalogue to this entry instance, and the calls between
+//! peers for it.
 //!
-//! 1. The watch: one waiting call on the store's key.
-//! 2. Peers: after each adoption, the revision is told to every member of the
-//!    claims; whoever is behind gets the catalogue, whoever is ahead is asked
-//!    for it. The catalogue itself travels only when it is wanted.
-//! 3. Polls: the revision of the store's key is listed now and then, and a peer
-//!    is told the revision in force; all peers are while the store is away.
-//!    They find what the others lost, and are rare enough to cost little.
+//! A catalogue propagates by three paths:
+//!
+//! 1. Watch: a long poll of the key in the store.
+//! 2. Peers: after each adoption, the revision is compared with every other
+//!    member of the claims. A peer that is behind is sent the catalogue; one
+//!    that is ahead is asked for it. The catalogue itself is sent only when
+//!    it is needed.
+//! 3. Polls: the revision of the key in the store is listed periodically, and
+//!    the revision in force is compared with one random peer, or with all peers
+//!    while the store is unavailable. Polls find changes that the other paths
+//!    missed, and are rare enough to cost little.
 
 use std::net;
 use std::rc;
@@ -24,42 +28,42 @@
 
 use super::service;
 
-/// Time to wait for a peer.
+/// Timeout of a call to a peer.
 const PEER_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 
-/// What a peer asks.
+/// A call to the catalogue service of a peer.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Question {
-    /// Which revision is in force? The asker's own goes along.
+    /// Return the revision in force. Carries the revision of the sender.
     Revision(Option<ids::Revision>),
-    /// Take this catalogue if it is newer.
+    /// Adopt this catalogue if it is newer.
     Take(Box<book::Newest>),
-    /// Give me yours.
+    /// Return the catalogue in force.
     Give,
 }
 
-/// What a peer answers.
+/// The answer to a [`Question`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Answer {
-    /// The revision in force; `None` when nothing was learnt yet.
+    /// The revision in force; `None` while none is known.
     Revision(Option<ids::Revision>),
     /// The catalogue in force.
     Newest(Box<book::Newest>),
 }
 
-/// Answers a peer.
+/// Answers a call of a peer.
 pub(super) fn answer(service: &rc::Rc<service::Service>, question: Question) -> Answer {
     match question {
         Question::Revision(_) => Answer::Revision(service.revision()),
         Question::Take(newest) => {
-            service.see_newest(*newest);
+            service.offer_newest(*newest);
             Answer::Revision(service.revision())
         }
         Question::Give => Answer::Newest(Box::new(service.newest())),
     }
 }
 
-/// Watches the store's key.
+/// Watches the key of the catalogue in the store, after a first read.
 pub(super) async fn watch(service: rc::Rc<service::Service>) {
     let wait = time::Duration::from_millis(service.context.settings.catalogue.watch_ms);
     let mut known = false;
@@ -70,7 +74,7 @@
         };
         match result {
             Ok(()) => known = true,
-            Err(_) => pause(service::RETRY_MS).await,
+            Err(_) => sleep_jittered(service::RETRY_MS).await,
         }
     }
 }
@@ -83,25 +87,25 @@
     let began = service.context.clock.now();
     let store = &service.context.store;
     let seen = store.watch(catalogue::KEY, after, wait).await;
-    service.note_store(&seen);
+    service.record_store_result(&seen);
     if let Some(versioned) = seen? {
-        service.see(Some(versioned), service::Source::Watch);
+        service.record_stored(Some(versioned), service::Source::Watch);
     } else if service.context.clock.now() < began + wait / 2 {
-        // Not the end of its time, so the key was deleted.
+        // Returned long before the wait was over, so the key was deleted.
         service.read(service::Source::Watch).await?;
-        pause(service::RETRY_MS).await;
+        sleep_jittered(service::RETRY_MS).await;
     }
     Ok(())
 }
 
-/// Lists the revision of the store's key now and then, and reads it when it is
-/// another than the one last read.
+/// Polls the revision of the key in the store, and reads the key if the revision
+/// differs from the one last read.
 pub(super) async fn poll_store(service: rc::Rc<service::Service>) {
     let every_ms = service.context.settings.catalogue.poll_ms;
     loop {
-        pause(every_ms).await;
+        sleep_jittered(every_ms).await;
         let listed = service.context.store.keys(catalogue::KEY).await;
-        service.note_store(&listed);
+        service.record_store_result(&listed);
         let Ok(list) = listed else {
             continue;
         };
@@ -113,14 +117,14 @@
     }
 }
 
-/// Compares revisions with one peer now and then, and with all of them while
-/// the store is away and they are the only source.
+/// Periodically compares revisions with a random peer, or with all peers while
+/// the store is unavailable and they are the only source.
 pub(super) async fn poll_peers(service: rc::Rc<service::Service>) {
     let every_ms = service.context.settings.catalogue.poll_ms;
     loop {
-        pause(every_ms).await;
-        if service.is_store_away() {
-            tell_peers(&service);
+        sleep_jittered(every_ms).await;
+        if service.is_store_unavailable() {
+            exchange_with_peers(&service);
             continue;
         }
         let peers = peers(&service);
@@ -131,43 +135,45 @@
     }
 }
 
-/// Tells peers of each catalogue that comes into force here.
-pub(super) async fn tell_adopted(service: rc::Rc<service::Service>) {
+/// Compares revisions with all peers after each adoption here.
+pub(super) async fn announce_adoptions(service: rc::Rc<service::Service>) {
     let mut adopted = service.context.shared.catalogue.subscribe();
     while adopted.changed().await.is_ok() {
-        tell_peers(&service);
+        exchange_with_peers(&service);
     }
 }
 
-/// Tells the revision in force to every peer, without waiting for them.
-fn tell_peers(service: &rc::Rc<service::Service>) {
+/// Compares revisions with every peer, without waiting for the results.
+fn exchange_with_peers(service: &rc::Rc<service::Service>) {
     for address in peers(service).into_values() {
         let service = service.clone();
         tokio::task::spawn_local(async move { exchange(&service, address).await });
     }
 }
 
-/// Compares revisions with a peer; the newer catalogue goes to the other side.
+/// Compares revisions with a peer; whichever side is behind gets the newer
+/// catalogue.
 async fn exchange(service: &rc::Rc<service::Service>, peer: net::SocketAddr) {
     let mine = service.revision();
-    let Some(theirs) = ask_revision(service, peer).await else {
+    let Some(theirs) = query_revision(service, peer).await else {
         return;
     };
     if theirs < mine {
         let newest = Question::Take(Box::new(service.newest()));
-        let _ = ask(service, peer, &newest).await;
+        let _ = call_peer(service, peer, &newest).await;
     } else if theirs > mine
-        && let Some(Answer::Newest(newest)) = ask(service, peer, &Question::Give).await
+        && let Some(Answer::Newest(newest)) = call_peer(service, peer, &Question::Give).await
     {
-        service.see_newest(*newest);
+        service.offer_newest(*newest);
     }
 }
 
-/// Revision in force at each member; `None` where it did not answer or knows none.
+/// Returns the revision in force at each member; `None` for a member that did
+/// not answer or knows no catalogue.
 pub(super) async fn status(service: &rc::Rc<service::Service>) -> operator::CatalogueStatus {
     let me = service.context.me().id;
     let asked = peers(service).into_iter().map(|(id, address)| async move {
-        let revision = ask_revision(service, address).await.flatten();
+        let revision = query_revision(service, address).await.flatten();
         (id, revision)
     });
     let mut in_force: IndexMap<_, _> = futures_util::future::join_all(asked)
@@ -183,19 +189,19 @@
     }
 }
 
-async fn ask_revision(
+async fn query_revision(
     service: &rc::Rc<service::Service>,
     peer: net::SocketAddr,
 ) -> Option<Option<ids::Revision>> {
     let question = Question::Revision(service.revision());
-    match ask(service, peer, &question).await? {
+    match call_peer(service, peer, &question).await? {
         Answer::Revision(revision) => Some(revision),
         Answer::Newest(_) => None,
     }
 }
 
-/// Asks a peer; `None` when it did not answer, which the next poll makes good.
-async fn ask(
+/// Calls a peer; `None` if it did not answer. The next poll makes up for it.
+async fn call_peer(
     service: &rc::Rc<service::Service>,
     peer: net::SocketAddr,
     question: &Question,
@@ -207,7 +213,7 @@
         .ok()
 }
 
-/// The other members of the claims by name.
+/// The peer addresses of the other members of the claims.
 fn peers(service: &service::Service) -> IndexMap<ids::MemberId, net::SocketAddr> {
     let view = service.context.shared.claims_now();
     let others = view
@@ -220,9 +226,9 @@
         .collect()
 }
 
-/// Waits for this time, give or take a quarter, so that entry instances do not
-/// fall into step.
-async fn pause(about_ms: u64) {
+/// Sleeps for this time with a jitter of 25 %, so that entry instances do not
+/// synchronize.
+async fn sleep_jittered(about_ms: u64) {
     let jittered = rand::rng().random_range(about_ms * 3 / 4..=about_ms * 5 / 4);
     tokio::time::sleep(time::Duration::from_millis(jittered)).await;
 }
--- a/crates/figscale/src/catalogue/service.rs
+++ b/crates/figscale/src/catalogue/service.rs
@@ -1,8 +1,8 @@
 //! The state of the catalogue service and what it reads from the store.
 //!
-//! Everything that arrives, by whichever way, ends in [`Service::see`] or
-//! [`Service::see_newest`], which let the book decide and publish what it
-//! adopts.
+//! A catalogue that arrives by any path ends in [`Service::record_stored`],
+//! [`Service::offer_newest`] or [`Service::adopt_written`]. These let
+//! [`book::Book`] decide whether to adopt it, and publish what it adopts.
 
 use std::cell;
 use std::fmt;
@@ -20,22 +20,22 @@
 use crate::state;
 use crate::store;
 
-/// Pause after a call of the store that failed, before jitter.
+/// Pause after a failed call to the store, before jitter.
 pub(super) const RETRY_MS: u64 = 500;
-/// Longest wait for the store where an answer without it is possible too.
+/// Longest wait for the store where a request can be answered without it.
 const REFRESH_TIMEOUT: time::Duration = time::Duration::from_millis(1_000);
 
-/// Changes that are decided at once; each may hold some megabytes.
-const MAX_CHANGES: usize = 16;
+/// Most changes decided concurrently; each may take several megabytes.
+const MAX_CONCURRENT_CHANGES: usize = 16;
 
-/// How a catalogue came to this entry instance.
+/// How a catalogue reached this entry instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
-    /// The first read, or one for an operator.
+    /// The first read, or a read for a request of an operator.
     Read,
-    /// The watch.
+    /// The watch on the key in the store.
     Watch,
-    /// The poll.
+    /// The poll of the store.
     Poll,
     /// A peer.
     Peer,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A read of the store's key.
+/// The result of a read of the key in the store.
 pub(super) struct Stored {
     /// The store's revision of the key; 0 when absent.
     pub(super) revision: ids::Revision,
@@ -64,7 +64,7 @@
 }
 
 impl Stored {
-    /// Whether the key holds something else than a document.
+    /// Whether the key holds a value that is not a document.
     pub(super) fn is_unreadable(&self) -> bool {
         self.document.is_none() && self.revision != ids::Revision(0)
     }
@@ -76,24 +76,24 @@
     book: cell::RefCell<book::Book>,
     /// The store's revision of the key as last read.
     store_revision: cell::Cell<ids::Revision>,
-    store_away: cell::Cell<bool>,
-    /// Turns of changes that are being decided.
-    pub(super) turns: tokio::sync::Semaphore,
+    store_unavailable: cell::Cell<bool>,
+    /// Limits the changes that are decided concurrently.
+    pub(super) change_permits: tokio::sync::Semaphore,
 }
 
 impl Service {
-    /// Nothing is known yet.
+    /// Creates the service; no catalogue is known yet.
     pub(super) fn new(context: state::Context) -> Self {
         Self {
             context,
             book: cell::RefCell::default(),
             store_revision: cell::Cell::default(),
-            store_away: cell::Cell::new(false),
-            turns: tokio::sync::Semaphore::new(MAX_CHANGES),
+            store_unavailable: cell::Cell::new(false),
+            change_permits: tokio::sync::Semaphore::new(MAX_CONCURRENT_CHANGES),
         }
     }
 
-    /// Revision in force; `None` until anything was learnt.
+    /// The revision in force; `None` while none is known.
     pub(super) fn revision(&self) -> Option<ids::Revision> {
         self.book.borrow().revision()
     }
@@ -103,12 +103,12 @@
         self.store_revision.get()
     }
 
-    /// What to pass on to a peer.
+    /// The catalogue in force, in the form in which it is sent to a peer.
     pub(super) fn newest(&self) -> book::Newest {
         self.book.borrow().newest()
     }
 
-    /// Runs a decision with the catalogue in force.
+    /// Calls `decide` with the document in force.
     pub(super) fn with_document<R>(&self, decide: impl FnOnce(&catalogue::Document) -> R) -> R {
         decide(self.book.borrow().document())
     }
@@ -119,18 +119,18 @@
     ) -> Result<sync::Arc<catalogue::Accepted>, operator::OperatorError> {
         match self.revision() {
             Some(_) => Ok(self.context.shared.catalogue_now()),
-            None => Err(nothing_known()),
+            None => Err(no_catalogue_error()),
         }
     }
 
-    /// The changes, newest first.
+    /// The accepted changes, newest first.
     pub(super) fn history(&self) -> Vec<operator::HistoryLine> {
         let book = self.book.borrow();
         let records = book.document().history.iter().rev();
         records.map(|record| record.line.clone()).collect()
     }
 
-    /// An earlier catalogue.
+    /// The catalogue of an earlier revision.
     pub(super) fn at(
         &self,
         revision: ids::Revision,
@@ -147,45 +147,47 @@
         })
     }
 
-    /// Reads the store, so that an operator's question right after a change
-    /// at another entry instance sees it; the store being away is an error only
-    /// as long as nothing is known at all.
+    /// Reads the store, so that a request of an operator right after a change at
+    /// another entry instance sees that change.
+    ///
+    /// An unavailable store is an error only while no catalogue is known.
     pub(super) async fn refreshed(self: &rc::Rc<Self>) -> Result<(), operator::OperatorError> {
         let read = tokio::time::timeout(REFRESH_TIMEOUT, self.read(Source::Read)).await;
         match read {
             Ok(Ok(_)) => Ok(()),
             _ if self.revision().is_some() => Ok(()),
-            _ => Err(nothing_known()),
+            _ => Err(no_catalogue_error()),
         }
     }
 
-    /// Reads the document from the store and shows it to the book.
+    /// Reads the document from the store and offers it for adoption.
     pub(super) async fn read(
         self: &rc::Rc<Self>,
         source: Source,
     ) -> Result<Stored, store::StoreError> {
         let found = self.context.store.get(catalogue::KEY).await;
-        self.note_store(&found);
-        Ok(self.see(found?, source))
+        self.record_store_result(&found);
+        Ok(self.record_stored(found?, source))
     }
 
     /// Whether the last call to the store failed.
-    pub(super) fn is_store_away(&self) -> bool {
-        self.store_away.get()
+    pub(super) fn is_store_unavailable(&self) -> bool {
+        self.store_unavailable.get()
     }
 
-    /// Logs once when the store goes away.
-    pub(super) fn note_store<T>(&self, result: &Result<T, store::StoreError>) {
-        let was_away = self.store_away.replace(result.is_err());
+    /// Records whether the store is available, and logs when it becomes
+    /// unavailable.
+    pub(super) fn record_store_result<T>(&self, result: &Result<T, store::StoreError>) {
+        let was_unavailable = self.store_unavailable.replace(result.is_err());
         if let Err(error) = result
-            && !was_away
+            && !was_unavailable
         {
             crate::event!(events::CATALOGUE_STORE_AWAY, error = error);
         }
     }
 
-    /// Takes what the store has under the key.
-    pub(super) fn see(
+    /// Records the value of the key in the store and offers it for adoption.
+    pub(super) fn record_stored(
         self: &rc::Rc<Self>,
         found: Option<store::Versioned>,
         source: Source,
@@ -193,33 +195,33 @@
         let stored = decode(found);
         self.store_revision.set(stored.revision);
         if !stored.is_unreadable() {
-            self.see_document(stored.document.clone(), source);
+            self.offer_document(stored.document.clone(), source);
         }
         stored
     }
 
-    fn see_document(self: &rc::Rc<Self>, document: Option<catalogue::Document>, source: Source) {
+    fn offer_document(self: &rc::Rc<Self>, document: Option<catalogue::Document>, source: Source) {
         let repair = self.book.borrow().repair(document.as_ref());
         let adoption = self.book.borrow_mut().see(document);
-        self.act_on(adoption, source);
+        self.apply_adoption(adoption, source);
         if let Some(repair) = repair {
             tokio::task::spawn_local(write_back(self.clone(), self.store_revision.get(), repair));
         }
     }
 
-    /// Takes what a peer passed on.
-    pub(super) fn see_newest(self: &rc::Rc<Self>, newest: book::Newest) {
+    /// Offers a catalogue received from a peer for adoption.
+    pub(super) fn offer_newest(self: &rc::Rc<Self>, newest: book::Newest) {
         let adoption = self.book.borrow_mut().see_newest(newest);
-        self.act_on(adoption, Source::Peer);
+        self.apply_adoption(adoption, Source::Peer);
     }
 
-    /// Takes a document whose write is known to have taken effect.
-    pub(super) fn see_accepted(self: &rc::Rc<Self>, document: catalogue::Document) {
+    /// Adopts a document whose write is known to have taken effect.
+    pub(super) fn adopt_written(self: &rc::Rc<Self>, document: catalogue::Document) {
         let adoption = self.book.borrow_mut().see(Some(document));
-        self.act_on(adoption, Source::Apply);
+        self.apply_adoption(adoption, Source::Apply);
     }
 
-    fn act_on(self: &rc::Rc<Self>, adoption: book::Adoption, source: Source) {
+    fn apply_adoption(self: &rc::Rc<Self>, adoption: book::Adoption, source: Source) {
         let revision = self.book.borrow().document().accepted.revision;
         match adoption {
             book::Adoption::Same => {}
@@ -259,7 +261,7 @@
     }
 }
 
-fn nothing_known() -> operator::OperatorError {
+fn no_catalogue_error() -> operator::OperatorError {
     operator::OperatorError {
         kind: operator::ErrorKind::Unavailable,
         message: "no catalogue is known here yet: the store has not answered".to_owned(),
@@ -289,8 +291,8 @@
 
 /// Writes the document in force over an older one in the store.
 ///
-/// The store's revision of the key is the condition, so a read that was merely
-/// late does no harm.
+/// The write is conditional on the store's revision of the key, so a decision
+/// based on an outdated read does no harm.
 async fn write_back(service: rc::Rc<Service>, over: ids::Revision, document: catalogue::Document) {
     let Ok(value) = history::encode(&document) else {
         return;
--- a/crates/figscale/tests/catalogue_follow.rs
+++ b/crates/figscale/tests/catalogue_follow.rs
@@ -1,5 +1,5 @@
-//! A change accepted at one entry instance comes into force at all, by each
-//! way alone, and what is in force never goes back.
+//! A change accepted at one entry instance comes into force at all of them, by
+//! each path alone, and the revision in force never decreases.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -12,7 +12,7 @@
 use nix::sys::signal;
 use serde_json::json;
 
-/// Settings under which no poll happens within a test.
+/// Settings with polls too rare to occur within a test.
 fn without_polls() -> serde_json::Value {
     json!({ "catalogue": { "poll_ms": 60_000, "watch_ms": 60_000 } })
 }
@@ -33,7 +33,7 @@
     cell
 }
 
-/// How the newest revision came into force at an entry instance, by its log.
+/// The path by which a revision came into force at an entry instance, from its log.
 fn source(cell: &harness::Cell, index: usize, revision: u64) -> String {
     let wanted = revision.to_string();
     let log = cell.log(index);
@@ -93,7 +93,7 @@
 async fn the_poll_of_a_peer_alone_is_enough() {
     let cell = cell_with(with_fast_polls()).await;
     cell.cut_store(1, true);
-    // Nothing that entry-0 sends on its own reaches entry-1.
+    // Calls that entry-0 makes do not reach entry-1; only entry-1 can call.
     let push = cell.peer_path(0, 1);
     push.change_faults(|faults| faults.to_target.cut = true);
     cell.operator(0).apply(&change(1, 2)).await.unwrap();
@@ -138,7 +138,7 @@
 async fn a_value_that_is_no_catalogue_changes_nothing() {
     let cell = cell_with(with_fast_polls()).await;
     cell.platform.write(catalogue::KEY, b"{".to_vec());
-    harness::wait_until("notice of the value", || async {
+    harness::wait_until("log of the unreadable value", || async {
         [0, 1]
             .iter()
             .all(|index| cell.log(*index).contains("CATALOGUE_UNREADABLE"))
@@ -151,7 +151,7 @@
     let error = cell.operator(0).apply(&change(1, 2)).await.unwrap_err();
     assert_eq!(error.kind, operator::ErrorKind::Unavailable);
     assert_eq!(cell.platform.read(catalogue::KEY).unwrap().bytes, b"{");
-    // Once the value is gone, the one in force is put in its place.
+    // Once the value is deleted, the catalogue in force is written back.
     cell.platform.delete(catalogue::KEY);
     harness::wait_until("repair of the store", || async {
         stored_revision(&cell) == Some(ids::Revision(1))
@@ -178,7 +178,7 @@
     cell.operator(0).apply(&change(1, 2)).await.unwrap();
     cell.wait_for_revision(&[0, 1], 2).await;
     for index in [0, 1] {
-        // The store forgets as well, each time that one is away.
+        // While the instance is down, the store is set back too.
         cell.kill(index).await;
         cell.platform.write(catalogue::KEY, older.clone());
         harness::wait_until("repair of the store", || async {
@@ -202,7 +202,7 @@
     for index in [0, 1] {
         cell.launch(index);
         cell.wait_until_live(index).await;
-        // Nothing is known, and nothing lower is reported.
+        // No catalogue is known, so no lower revision may be reported.
         let status = cell.operator(index).status().await.unwrap();
         assert!(status.in_force.values().all(Option::is_none), "{status:?}");
         let error = cell.operator(index).in_force().await.unwrap_err();
--- a/crates/figscale/tests/catalogue_latency.rs
+++ b/crates/figscale/tests/catalogue_latency.rs
@@ -1,5 +1,5 @@
-//! Time from sending a change until it is in force everywhere, by all ways and
-//! by each alone, with what it costs at the store.
+//! Measures the time from sending a change until it is in force everywhere, by all
+//! paths and by each alone, and the cost at the store.
 //!
 //! `FIGSCALE_MEASURE_N=20 cargo test --release -p figscale --test
 //! catalogue_latency -- --nocapture --test-threads 1` prints the figures of
@@ -22,9 +22,9 @@
 /// Entry instances of the smaller user today.
 const ENTRIES: usize = 6;
 
-/// Which ways are open.
+/// The propagation paths that are open.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Ways {
+enum Paths {
     All,
     Watch,
     Push,
@@ -32,7 +32,7 @@
     PollPeers,
 }
 
-impl Ways {
+impl Paths {
     fn settings(self) -> serde_json::Value {
         match self {
             Self::All | Self::PollStore | Self::PollPeers => json!({}),
@@ -58,7 +58,7 @@
                     cell.cut_store(index, true);
                     let push = cell.peer_path(0, index);
                     push.change_faults(|faults| faults.to_target.cut = true);
-                    let what = format!("notice of the cut by entry-{index}");
+                    let what = format!("log of the outage by entry-{index}");
                     harness::wait_until(&what, || async {
                         cell.log(index).contains("CATALOGUE_STORE_AWAY")
                     })
@@ -80,7 +80,7 @@
     given.map_or(1, |n| n.parse().unwrap())
 }
 
-/// Time at rest against which the cost of changes is measured.
+/// Idle time whose calls are the baseline for the cost of changes.
 fn rest_time() -> time::Duration {
     match rounds() {
         1 => time::Duration::ZERO,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Calls a second by kind, of all entry instances together.
+/// Calls per second by kind, summed over all entry instances.
 fn by_kind(cell: &harness::Cell, during: time::Duration) -> String {
     let mut kinds: IndexMap<String, u64> = IndexMap::new();
     for (kind, counts) in cell.platform.counts().into_values().flatten() {
@@ -103,16 +103,16 @@
 }
 
 #[rstest]
-#[case::all(Ways::All)]
-#[case::watch(Ways::Watch)]
-#[case::push(Ways::Push)]
-#[case::poll_store(Ways::PollStore)]
-#[case::poll_peers(Ways::PollPeers)]
+#[case::all(Paths::All)]
+#[case::watch(Paths::Watch)]
+#[case::push(Paths::Push)]
+#[case::poll_store(Paths::PollStore)]
+#[case::poll_peers(Paths::PollPeers)]
 #[tokio::test(flavor = "multi_thread")]
-async fn time_until_in_force(#[case] ways: Ways) {
+async fn time_until_in_force(#[case] paths: Paths) {
     let plan = harness::Plan {
         entries: ENTRIES,
-        settings: ways.settings(),
+        settings: paths.settings(),
         ..harness::Plan::default()
     };
     let cell = harness::Cell::start(plan).await;
@@ -120,7 +120,7 @@
     cell.wait_for_members(&all).await;
     cell.operator(0).apply(&change(0, 1)).await.unwrap();
     cell.wait_for_revision(&all, 1).await;
-    ways.close_others(&cell).await;
+    paths.close_others(&cell).await;
     cell.platform.reset_counts();
     let began = time::Instant::now();
     let mut answered = Vec::new();
@@ -147,7 +147,7 @@
     let per_change =
         |busy: u64, rest: u64| (busy as f64 - rest as f64 * share).max(0.0) / f64::from(rounds());
     println!(
-        "{ways:?}: n {}, answered {}, in force everywhere {}; store for a change: \
+        "{paths:?}: n {}, answered {}, in force everywhere {}; store for a change: \
          {:.1} calls, {:.0} bytes in, {:.0} bytes out; at rest {:.1} calls/s: {}",
         rounds(),
         median_and_worst(answered),
--- a/crates/figscale/tests/catalogue_race.rs
+++ b/crates/figscale/tests/catalogue_race.rs
@@ -1,6 +1,7 @@
-//! Operators race from many clients while the store is away, slow and loses
-//! answers, and entry instances are killed and come back: every accepted change is in the final history once, no refused one
-//! is, and no entry instance ever reports a lower revision than before.
+//! Operators race from many clients while the store is unavailable, slow and loses
+//! answers, and entry instances are killed and restarted. Guards against accepted
+//! changes that are lost or applied twice, refused changes in the history, and
+//! entry instances that report a lower revision than before.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -27,17 +28,18 @@
 const CHANGES: u32 = 4;
 const SEED: u64 = 20_261_202;
 
-/// What became of one client's changes.
+/// The outcome of one client's changes.
 #[derive(Default)]
 struct Outcome {
     accepted: Vec<(ids::ChangeId, ids::Revision)>,
     refused: Vec<ids::ChangeId>,
-    /// Answers that left the outcome open, after which the change was repeated.
+    /// Answers that left the outcome unknown, after which the change was retried.
     unknown: usize,
 }
 
-/// Gets its changes accepted, repeating what is unknown at any entry instance.
-async fn compete(operators: Vec<Operator>, number: u32) -> Outcome {
+/// Submits changes until enough are accepted. A change whose outcome is unknown is
+/// retried at a random entry instance.
+async fn submit_changes(operators: Vec<Operator>, number: u32) -> Outcome {
     let mut rng = rngs::StdRng::seed_from_u64(SEED + u64::from(number));
     let mut outcome = Outcome::default();
     while outcome.accepted.len() < CHANGES as usize {
@@ -47,12 +49,12 @@
             continue;
         };
         let request = change(base.0, number + 1);
-        settle(&operators, &mut rng, &request, &mut outcome).await;
+        resolve(&operators, &mut rng, &request, &mut outcome).await;
     }
     outcome
 }
 
-async fn settle(
+async fn resolve(
     operators: &[Operator],
     rng: &mut rngs::StdRng,
     request: &operator::ApplyRequest,
@@ -60,13 +62,13 @@
 ) {
     loop {
         let at = rng.random_range(0..operators.len());
-        // Some are impatient and ask again before they have an answer.
-        let patience_ms = match rng.random_bool(0.5) {
+        // Half of the calls time out and are retried before the answer arrives.
+        let timeout_ms = match rng.random_bool(0.5) {
             true => rng.random_range(1..40),
             false => 20_000,
         };
-        let patience = time::Duration::from_millis(patience_ms);
-        match operators[at].apply_within(patience, request).await {
+        let timeout = time::Duration::from_millis(timeout_ms);
+        match operators[at].apply_within(timeout, request).await {
             Ok(answer) => {
                 assert_eq!(answer.revision, request.base.next());
                 outcome.accepted.push((request.change, answer.revision));
@@ -91,7 +93,8 @@
     }
 }
 
-/// Reports of an entry instance never go down, over all its lives.
+/// Checks that the revision reported by an entry instance never decreases, also
+/// across restarts. Returns the number of reads.
 async fn watch_revisions(operator: Operator, done: sync::Arc<atomic::AtomicBool>) -> usize {
     let mut highest = ids::Revision(0);
     let mut reads = 0;
@@ -106,8 +109,9 @@
     reads
 }
 
-/// Plays faults until all is accepted, then mends them; returns the kills.
-async fn play_faults(cell: &mut harness::Cell, done: &atomic::AtomicBool) -> usize {
+/// Injects faults until all changes are accepted, then ends them; returns the number
+/// of kills.
+async fn inject_faults(cell: &mut harness::Cell, done: &atomic::AtomicBool) -> usize {
     let mut rng = rngs::StdRng::seed_from_u64(SEED);
     let mut kills = 0;
     while !done.load(atomic::Ordering::Relaxed) {
@@ -158,7 +162,7 @@
         .map(|operator| task::spawn(watch_revisions(operator.clone(), done.clone())))
         .collect();
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|number| task::spawn(compete(operators.clone(), number)))
+        .map(|number| task::spawn(submit_changes(operators.clone(), number)))
         .collect();
     let all = async {
         let mut outcomes = Vec::new();
@@ -168,15 +172,15 @@
         done.store(true, atomic::Ordering::Relaxed);
         outcomes
     };
-    let (outcomes, kills) = tokio::join!(all, play_faults(&mut cell, &done));
+    let (outcomes, kills) = tokio::join!(all, inject_faults(&mut cell, &done));
     assert!(kills > 0);
     for watcher in watching {
         assert!(watcher.await.unwrap() > 10);
     }
-    judge(&cell, &outcomes).await;
+    check_history(&cell, &outcomes).await;
 }
 
-async fn judge(cell: &harness::Cell, outcomes: &[Outcome]) {
+async fn check_history(cell: &harness::Cell, outcomes: &[Outcome]) {
     let accepted: Vec<_> = outcomes.iter().flat_map(|o| &o.accepted).collect();
     let refused: Vec<_> = outcomes.iter().flat_map(|o| &o.refused).collect();
     let unknown: usize = outcomes.iter().map(|o| o.unknown).sum();
--- a/crates/figscale/tests/catalogue_refuse.rs
+++ b/crates/figscale/tests/catalogue_refuse.rs
@@ -1,4 +1,5 @@
-//! A catalogue that is invalid or too large is refused whole, naming the place.
+//! Guards against an invalid or too large catalogue being accepted in part, and
+//! against errors that do not name the faulty field.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -48,7 +49,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_is_answered_with_the_time_to_come_back() {
+async fn an_outage_is_answered_with_a_retry_time() {
     let cell = harness::Cell::start(harness::Plan::default()).await;
     let operator = cell.operator(0);
     operator.apply(&change(0, 1)).await.unwrap();
@@ -63,7 +64,10 @@
         assert!(error.retry_after_ms.is_some(), "{error}");
         crowded += usize::from(error.message.starts_with("too many changes"));
     }
-    assert_eq!(crowded, 4, "20 at once, of which 16 get a turn");
+    assert_eq!(
+        crowded, 4,
+        "20 concurrent changes, of which 16 are admitted"
+    );
     assert_eq!(cell.platform.read(catalogue::KEY).unwrap(), before);
 }
 
