--- a/crates/figscale/tests/jobs_faults.rs
+++ b/crates/figscale/tests/jobs_faults.rs
@@ -23,7 +23,8 @@
 use jobs_support::wait_for;
 
 /// Guards against starts beyond the capacity of a worker. Tasks use ten times
-/// what they declare, one holder is frozen and another is killed.
+/// what they declare, reports of their use lag, one holder is frozen and another
+/// is killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn wrong_sizes_never_fill_a_worker_beyond_what_it_holds() {
     let mut cell = start(plan(3, 3)).await;
