--- a/crates/figscale-types/src/catalogue.rs
+++ b/crates/figscale-types/src/catalogue.rs
@@ -1,9 +1,9 @@
 //! The catalogue that operators edit.
 //!
-//! A catalogue names owners with their quotas and entries with their class and
-//! limits. It is one document, accepted or refused whole, so that an operator
-//! never sees half of a change in force. Every field has its unit in its name
-//! and a documented default; unknown fields are refused.
+//! A catalogue defines owners with their quotas, and entries with their class
+//! and limits. It is one document that is accepted or rejected as a whole, so
+//! that a change is never partly in force. Every field has its unit in its name
+//! and a documented default; unknown fields are rejected.
 
 use indexmap::IndexMap;
 use serde::Deserialize;
@@ -21,7 +21,7 @@
     pub owners: IndexMap<ids::OwnerName, Owner>,
     /// Entries by name.
     pub entries: IndexMap<ids::EntryName, Entry>,
-    /// What placement weighs in this cell.
+    /// Weights of the placement criteria in this cell.
     #[serde(default)]
     pub weights: Weights,
 }
@@ -31,9 +31,9 @@
 #[serde(deny_unknown_fields)]
 pub struct Owner {
     /// Share in fair queueing, relative to other owners. Default 1.
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Requests admitted a second. Default: no limit.
+    /// Requests admitted per second. Default: no limit.
     #[serde(default)]
     pub rate_per_s: Option<f64>,
     /// Requests in progress at once. Default: no limit.
@@ -44,16 +44,16 @@
     pub quota: Option<sizes::Resources>,
 }
 
-/// An entry: an owner, a class and the limits that bind it.
+/// An entry: an owner, a class and the limits that apply to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// Owner answerable for the entry.
+    /// Owner responsible for the entry.
     pub owner: ids::OwnerName,
-    /// Owners besides it that may use the entry. Default: every owner.
+    /// Other owners that may use the entry. Default: every owner.
     #[serde(default)]
     pub callers: Option<Vec<ids::OwnerName>>,
-    /// What the entry is and what binds it.
+    /// Kind of the entry and its limits.
     pub policy: Policy,
 }
 
@@ -67,15 +67,15 @@
     Tasks(TaskPolicy),
 }
 
-/// How urgent requests and tasks are among each other.
+/// Relative urgency of requests and tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// Somebody waits for it.
+    /// A user waits for the result.
     Interactive,
-    /// Bound by a deadline.
+    /// Must be done by a deadline.
     Deadline,
-    /// Runs when nothing more urgent needs the room.
+    /// Runs when nothing more urgent needs the resources.
     BestEffort,
 }
 
@@ -87,16 +87,16 @@
     pub service: ids::ServiceName,
     /// Urgency.
     pub urgency: Urgency,
-    /// Time a caller waits when its request names none. Default 30,000.
+    /// Time a caller waits if its request does not give one. Default 30,000.
     #[serde(default = "default_budget_ms")]
     pub budget_ms: u64,
-    /// Longest time a runner works on one request. Default 30,000.
+    /// Longest time a runner may spend on one request. Default 30,000.
     #[serde(default = "default_budget_ms")]
     pub max_run_ms: u64,
     /// Largest request body. Default 1 MiB.
     #[serde(default = "default_body_bytes")]
     pub max_body_bytes: u64,
-    /// Requests waiting at one entry instance. Default 200.
+    /// Most requests queued at one entry instance. Default 200.
     #[serde(default = "default_queue_len")]
     pub max_queue_len: u32,
     /// Attempts of one request, the first included. Default 3.
@@ -104,13 +104,13 @@
     pub max_attempts: u32,
 }
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job run in relation to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobClass {
     /// All tasks are kept running, spread over failure domains.
     Service,
-    /// Every task runs to its end, on its own.
+    /// Every task runs to completion independently.
     Batch,
     /// All tasks run at once or none does.
     Gang,
@@ -120,14 +120,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskPolicy {
-    /// How the tasks belong together.
+    /// How the tasks run in relation to each other.
     pub class: JobClass,
     /// Urgency.
     pub urgency: Urgency,
     /// Most tasks in one job. Default 1,000.
     #[serde(default = "default_max_tasks")]
     pub max_tasks: u32,
-    /// Largest task. Default: what the largest worker holds.
+    /// Resources of the largest task. Default: those of the largest worker.
     #[serde(default)]
     pub max_task: Option<sizes::Resources>,
     /// Longest run of a task. Default 24 hours.
@@ -141,13 +141,13 @@
     pub preemptible: bool,
 }
 
-/// What placement weighs, each from 0 to 1.
+/// Weights of the placement criteria, each from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
-    /// Short waits: keep room for urgent work. Default 0.5.
+    /// Weight of short waits: keep capacity free for urgent work. Default 0.5.
     pub waiting: f64,
-    /// Full instances. Default 0.5.
+    /// Weight of packing instances densely. Default 0.5.
     pub packing: f64,
 }
 
@@ -166,30 +166,30 @@
 /// Key of the store that holds the [`Document`].
 pub const KEY: &str = "catalogue";
 
-/// What the store keeps: the accepted catalogue and how it came about.
+/// The stored document: the accepted catalogue and the history of its changes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// The catalogue that is to be in force.
+    /// The catalogue that entry instances put in force.
     pub accepted: Accepted,
-    /// Changes, oldest first; the last one made `accepted`. Bounded in number
-    /// and bytes.
+    /// Changes, oldest first; the last one made `accepted`. Limited in number and
+    /// bytes.
     pub history: Vec<Record>,
 }
 
-/// One change as the store keeps it.
+/// One change in the stored document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who made it, when and why.
+    /// Author, time and reason of the change.
     pub line: operator::HistoryLine,
-    /// The catalogue that it made; `None` for the newest one, which stands in
-    /// [`Document::accepted`], and for those that became too old to keep.
+    /// The resulting catalogue; `None` for the newest change, whose catalogue is in
+    /// [`Document::accepted`], and for changes past the retention limits.
     pub catalogue: Option<Catalogue>,
 }
 
 /// A catalogue that was accepted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Its revision; the first is 1, and 0 stands for none.
+    /// Its revision; the first is 1, and 0 means no catalogue.
     pub revision: ids::Revision,
     /// The change that made it.
     pub change: Option<ids::ChangeId>,
@@ -197,7 +197,7 @@
     pub catalogue: Catalogue,
 }
 
-fn one() -> u32 {
+fn default_weight() -> u32 {
     1
 }
 
--- a/crates/figscale-types/src/claims.rs
+++ b/crates/figscale-types/src/claims.rs
@@ -1,8 +1,17 @@
 //! The claims document: which entry instance holds which shard.
 //!
+//! A shard is a set of runners, workers, request ids or jobs that at most one
+//! entry instance, its holder, manages at a time. The live entry instances are
+//! the members. Each change of a shard's holder increases its epoch, and orders
+//! of a lower epoch are refused.
+//!
+//! While the store is unavailable, leases cannot be renewed. A member may then
+//! continue to use its shards with promises from a majority of its witnesses:
+//! the members listed for it in the document, which promise not to help evict it.
+//!
 //! The document is one key of the store and changes only by compare-and-swap.
 //! Shard names are derived from the platform's instance list, so that every
-//! entry instance forms the same shards from the same list:
+//! entry instance derives the same shards from the same list:
 //!
 //! - `runner/SERVICE/DOMAIN/RACK`: the runners of a service in a rack;
 //! - `worker/DOMAIN/RACK`: the workers of a rack;
@@ -26,15 +35,15 @@
 /// A live entry instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The current life.
+    /// The current incarnation.
     pub incarnation: ids::Incarnation,
-    /// Where peers reach it.
+    /// Address at which peers reach it.
     pub peer_address: net::SocketAddr,
-    /// Where it stands.
+    /// Failure domain that it is in.
     pub failure_domain: ids::FailureDomain,
     /// Lease in the store that its heartbeat renews.
     pub lease: ids::LeaseId,
-    /// Whether it is about to go and takes no new shards.
+    /// Whether it is shutting down and acquires no new shards.
     pub leaving: bool,
 }
 
@@ -43,9 +52,10 @@
 pub struct Shard {
     /// The holder, if any.
     pub holder: Option<ids::MemberKey>,
-    /// Grows with every change of holder.
+    /// Increases with every change of holder.
     pub epoch: ids::Epoch,
-    /// Whether the last holder handed over in order, leaving nothing behind.
+    /// Whether the last holder released the shard in an orderly hand-over, with
+    /// nothing left to recover.
     pub clean: bool,
 }
 
@@ -56,14 +66,14 @@
     pub members: IndexMap<ids::MemberId, Member>,
     /// Shards by name.
     pub shards: IndexMap<ids::ShardId, Shard>,
-    /// Who answers for a member while the store is away, by the member's
-    /// name; written by nobody but the member itself.
+    /// Witnesses of each member, by the member's name. Written only by the member
+    /// itself.
     #[serde(default)]
     pub witnesses: IndexMap<ids::MemberId, Vec<ids::MemberKey>>,
 }
 
 impl Claims {
-    /// The key of a member in its current life.
+    /// The key of a member in its current incarnation.
     pub fn key_of(&self, id: &ids::MemberId) -> Option<ids::MemberKey> {
         let member = self.members.get(id)?;
         Some(ids::MemberKey {
@@ -72,7 +82,7 @@
         })
     }
 
-    /// The keys of all members in their current lives.
+    /// The keys of all members in their current incarnations.
     pub fn keys(&self) -> Vec<ids::MemberKey> {
         self.members
             .keys()
@@ -80,7 +90,7 @@
             .collect()
     }
 
-    /// The shards of a holder.
+    /// The shards that a holder holds.
     pub fn shards_of<'a>(
         &'a self,
         holder: &'a ids::MemberKey,
@@ -91,28 +101,28 @@
     }
 }
 
-/// What an entry instance asks another about claims.
+/// A request about claims from one entry instance to another.
 ///
-/// `witness` names the life that is asked, so that a restarted process does
-/// not answer for the one before it.
+/// `witness` names the incarnation that is asked, so that a restarted process
+/// does not answer in place of the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerQuestion {
-    /// Do not help to evict `holder`, who asks, for the life of a lease.
+    /// `holder` asks the witness not to help evict it for the duration of a lease.
     Promise {
-        /// Who is asked.
+        /// The member that is asked.
         witness: ids::MemberKey,
-        /// Who asks.
+        /// The member that asks.
         holder: ids::MemberKey,
         /// Leases under which the document may name the holder.
         leases: Vec<ids::LeaseId>,
     },
-    /// Help to evict `holder`, whose lease has lapsed in the store.
+    /// Asks the witness to help evict `holder`, whose lease has expired in the store.
     Release {
-        /// Who is asked.
+        /// The member that is asked.
         witness: ids::MemberKey,
-        /// Who is to be evicted.
+        /// The member to be evicted.
         holder: ids::MemberKey,
-        /// The lease that lapsed.
+        /// The lease that expired.
         lease: ids::LeaseId,
     },
 }
@@ -120,13 +130,14 @@
 /// Answer to a [`PeerQuestion`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// As asked.
+    /// Granted.
     Yes,
-    /// No; asking later may help.
+    /// Refused; a later request may be granted.
     No,
 }
 
-/// The shard of an instance; `None` for entry instances.
+/// The shard of an instance; `None` for entry instances and for runners without a
+/// service.
 pub fn shard_of(instance: &instances::Instance) -> Option<ids::ShardId> {
     let domain = &instance.failure_domain;
     let rack = &instance.rack;
--- a/crates/figscale-types/src/clock.rs
+++ b/crates/figscale-types/src/clock.rs
@@ -1,31 +1,32 @@
 //! The clock, passed in as an interface.
 //!
-//! Decisions never read a clock: they are given an [`time::Instant`]. Adapters
-//! read one through [`Clock`], so that a test can hold time still. The
-//! monotonic clock decides everything on one process; the wall clock is only
-//! for request ids and for what people read.
+//! Code that makes decisions never reads a clock; it is given a
+//! [`time::Instant`]. Adapters read the time through [`Clock`], so that tests can
+//! control it. All decisions within a process use the monotonic clock; the wall
+//! clock is used only for request ids and for output that people read.
 
 use std::sync;
 use std::time;
 
 use crate::mutex;
 
-/// Whole milliseconds of a time, as messages and settings have them; the
-/// largest number for one that is too long.
+/// Whole milliseconds of a duration, the unit of messages and settings; saturates
+/// at the largest value.
 pub fn millis(time: time::Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Source of monotonic and wall-clock time.
 pub trait Clock: Send + Sync {
-    /// Monotonic time; goes on while the process is stopped.
+    /// Monotonic time; advances while the process is stopped.
     fn now(&self) -> time::Instant;
 
     /// Wall-clock time; may jump.
     fn wall(&self) -> time::SystemTime;
 
-    /// Time since the machine started. Unlike [`Clock::now`] it goes on while the
-    /// machine is suspended, so the age of what was learnt before is told by it.
+    /// Time since the machine started. Unlike [`Clock::now`] it also advances while
+    /// the machine is suspended, so it gives the age of information that was
+    /// received before a suspension.
     fn since_boot(&self) -> time::Duration;
 }
 
@@ -45,8 +46,8 @@
         time::SystemTime::now()
     }
 
-    /// Falls back on the time of day where the kernel has no such clock; it goes on
-    /// while the machine is suspended as well.
+    /// Falls back to wall-clock time, which also advances while the machine is
+    /// suspended, where the kernel has no such clock.
     fn since_boot(&self) -> time::Duration {
         let read = nix::time::clock_gettime(nix::time::ClockId::CLOCK_BOOTTIME);
         let since_epoch = || self.wall().duration_since(time::UNIX_EPOCH);
@@ -54,7 +55,7 @@
     }
 }
 
-/// A clock that moves only when told to, for tests.
+/// A clock that advances only by [`ManualClock::advance`], for tests.
 #[derive(Debug)]
 pub struct ManualClock {
     start: time::Instant,
--- a/crates/figscale-types/src/error.rs
+++ b/crates/figscale-types/src/error.rs
@@ -3,10 +3,10 @@
 use std::error;
 use std::fmt;
 
-/// Longest part of a bad input that an error repeats, in bytes.
+/// Longest part of an invalid input that an error quotes, in characters.
 const MAX_QUOTED_LEN: usize = 60;
 
-/// A text that is not a value of the type asked for.
+/// A text that could not be parsed as a value of the requested type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError {
     kind: &'static str,
@@ -15,7 +15,8 @@
 }
 
 impl ParseError {
-    /// Makes an error for `input`, telling what was `expected` of a `kind`.
+    /// Makes an error for an `input` that is not a valid `kind`; `expected` describes
+    /// the valid form.
     pub fn new(kind: &'static str, input: &str, expected: &'static str) -> Self {
         let input = input.chars().take(MAX_QUOTED_LEN).collect();
         Self {
--- a/crates/figscale-types/src/fleet/customer.rs
+++ b/crates/figscale-types/src/fleet/customer.rs
@@ -1,10 +1,10 @@
-//! Customers of the fleet, their keys and what they may have running.
+//! Customers of the fleet, their keys and their limits.
 //!
-//! A key is a secret. It is turned into its digest where it is read, and nothing
-//! behind that place sees the key itself: tables, messages between instances and
-//! dumps hold digests, and a digest shows nothing of itself in a log. Looking a
-//! digest up takes a time that depends on the digest alone, from which the key
-//! cannot be told.
+//! A key is a secret. It is replaced by its digest where it is read, and no other
+//! code sees the key itself: tables, messages between instances and dumps hold
+//! digests only, and the `Debug` output of a digest shows none of its bytes. The
+//! time of looking up a digest depends only on the digest, from which the key
+//! cannot be derived.
 
 use std::fmt;
 use std::str;
@@ -72,9 +72,9 @@
 /// What a customer is entitled to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CustomerTerms {
-    /// Share when all is full, in thousandths; never 0.
+    /// Relative share under contention, in thousandths; never 0.
     pub weight_millis: u64,
-    /// What its tasks may have in use together; `u64::MAX` where there is no limit.
+    /// Resources that its running tasks may use together; `u64::MAX` means no limit.
     pub limit: job::Room,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl Customers {
-    /// Adds a customer; an error names what another one has already.
+    /// Adds a customer; an error says which name or key is already in use.
     pub fn add(
         &mut self,
         name: CustomerName,
@@ -94,7 +94,7 @@
         keys: impl IntoIterator<Item = KeyDigest>,
     ) -> Result<(), String> {
         if self.terms.contains_key(&name) {
-            return Err(format!("customer {name} is there twice"));
+            return Err(format!("customer {name} is defined twice"));
         }
         for key in keys {
             match self.keys.get(&key) {
@@ -108,12 +108,12 @@
         Ok(())
     }
 
-    /// Whose key this is.
+    /// The customer that a key belongs to.
     pub fn owner_of(&self, key: &KeyDigest) -> Option<&CustomerName> {
         self.keys.get(key)
     }
 
-    /// What a customer is entitled to; `None` for one that is not named.
+    /// What a customer is entitled to; `None` for an unknown customer.
     pub fn terms(&self, name: &CustomerName) -> Option<&CustomerTerms> {
         self.terms.get(name)
     }
--- a/crates/figscale-types/src/fleet/ids.rs
+++ b/crates/figscale-types/src/fleet/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers of jobs, tasks, workers and terms of leadership.
+//! Ids of jobs, tasks and workers, and the epoch of a leader.
 
 use std::fmt;
 use std::str;
@@ -96,7 +96,7 @@
     }
 }
 
-/// One life of a worker. A worker that restarts has another id.
+/// One incarnation of a worker. A worker that restarts has another id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub struct WorkerId(sync::Arc<str>);
@@ -141,7 +141,7 @@
     }
 }
 
-/// Number of a term of leadership; workers refuse orders of an earlier one.
+/// Number of a leader's term; workers refuse orders of an earlier term.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/figscale-types/src/fleet/job.rs
+++ b/crates/figscale-types/src/fleet/job.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a task needs of a worker, and what a worker has.
+/// Resources that a task requires, or that a worker has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
     /// Processors, in thousandths of a core.
@@ -15,14 +15,14 @@
 }
 
 impl Room {
-    /// Whether `need` fits into what is left here.
+    /// Whether `need` fits into these resources, in every kind.
     pub fn holds(&self, need: &Self) -> bool {
         self.cpu_millis >= need.cpu_millis
             && self.memory_mb >= need.memory_mb
             && self.accelerators >= need.accelerators
     }
 
-    /// Both together.
+    /// The sum, saturating in every kind.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_add(other.cpu_millis),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// What is left without `other`; nothing below zero.
+    /// The difference, zero where it would be negative.
     pub fn minus(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The smaller of both, kind by kind.
+    /// The smaller of the two in every kind.
     pub fn least(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.min(other.cpu_millis),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The larger of both, kind by kind.
+    /// The larger of the two in every kind.
     pub fn most(&self, other: &Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
@@ -58,77 +58,79 @@
         }
     }
 
-    /// How many of `need` fit side by side; bounded by `most`.
+    /// How many times `need` fits, at most `most`.
     pub fn times(&self, need: &Self, most: u64) -> u64 {
-        let each = |have: u64, want: u64| have.checked_div(want).unwrap_or(most);
-        each(self.cpu_millis, need.cpu_millis)
-            .min(each(self.memory_mb, need.memory_mb))
-            .min(each(self.accelerators, need.accelerators))
+        let fitting = |have: u64, need: u64| have.checked_div(need).unwrap_or(most);
+        fitting(self.cpu_millis, need.cpu_millis)
+            .min(fitting(self.memory_mb, need.memory_mb))
+            .min(fitting(self.accelerators, need.accelerators))
             .min(most)
     }
 }
 
-/// Tasks of a job that are alike and may run at the same time.
+/// Identical tasks of a job that may run at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepDescription {
     /// Number of tasks.
     pub count: u32,
-    /// What each task needs.
+    /// Resources that each task requires.
     pub room: Room,
-    /// Rough length of a task.
+    /// Estimated run time of a task.
     pub estimate_ms: u64,
-    /// Earlier steps that must have ended well first.
+    /// Numbers of earlier steps that must have completed first.
     pub after: Vec<u32>,
     /// Tasks can resume from a checkpoint.
     pub saves_progress: bool,
-    /// Tasks work only while all of them run.
+    /// Tasks make progress only while all of them run.
     pub gang: bool,
     /// Tasks are slower when spread over racks.
     pub same_rack: bool,
     /// Label that the worker must have.
     pub required_label: Option<String>,
-    /// Rack with the data; tasks are slower elsewhere.
+    /// Rack that holds the data; tasks are slower elsewhere.
     pub data_rack: Option<String>,
     /// Most tasks of the step on one worker.
     pub max_per_worker: Option<u32>,
     /// Tasks run until the job is cancelled.
     pub long_running: bool,
-    /// Tasks use what others leave, and their processors count for nothing.
+    /// Tasks use processor time that others leave unused; their own processor
+    /// requirement is not counted.
     pub filler: bool,
 }
 
 /// A job as its caller describes it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobDescription {
-    /// What to run; opaque.
+    /// What to run; opaque to the scheduler.
     pub spec: String,
     /// Steps in the order of their numbers.
     pub steps: Vec<StepDescription>,
-    /// Occurrences of a repeated job; 0 for a job that runs once, at once.
+    /// Number of occurrences of a repeated job; 0 for a job that runs once,
+    /// immediately.
     pub occurrences: u32,
-    /// When occurrence 0 is due, since 1970.
+    /// When occurrence 0 is due, in milliseconds since 1970.
     pub first_due_ms: u64,
     /// Time between occurrences.
     pub interval_ms: u64,
 }
 
-/// What a caller is told of a job.
+/// State of a job as reported to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// No task has started yet.
     Queued,
     /// Some task has started.
     Running,
-    /// All tasks ended well.
+    /// All tasks ended successfully.
     Completed,
-    /// A task failed as often as it may.
+    /// A task failed as often as its queue allows.
     Failed,
     /// Cancelled by a caller.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether nothing of the job runs any more or ever will.
+    /// Whether the state is final: no task of the job will run again.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
--- a/crates/figscale-types/src/fleet/mod.rs
+++ b/crates/figscale-types/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! What the scheduler of a fleet of workers and its adapters say to each other.
+//! Types that the scheduler of a fleet of workers exchanges with its adapters.
 //!
-//! A fleet is the set of workers that somebody else's platform runs. The types
-//! here are the ports of that platform: the adapter translates its messages to
-//! them, and the scheduler knows nothing else. All have plain fields and no
-//! behaviour beyond arithmetic and parsing.
+//! A fleet is a set of workers run by an external platform. An adapter
+//! translates the messages of that platform to the types here, and the scheduler
+//! depends on these types only. They have plain fields and no behaviour beyond
+//! arithmetic, look-ups and parsing.
 
 mod customer;
 mod ids;
--- a/crates/figscale-types/src/fleet/queue.rs
+++ b/crates/figscale-types/src/fleet/queue.rs
@@ -6,19 +6,19 @@
 
 use super::customer;
 
-/// How long the advisory service of a queue thinks.
+/// Response times of the advisory service of a queue, and the validity of its tickets.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdvicePolicy {
-    /// Time for any question.
+    /// Fixed part of the time for a query.
     pub base_ms: f64,
-    /// Further time for each worker asked about.
+    /// Additional time for each worker in the query.
     pub per_worker_ms: f64,
-    /// Life of a ticket.
+    /// Time for which a ticket is valid.
     pub valid_ms: u64,
 }
 
 impl AdvicePolicy {
-    /// Time of a question about so many workers.
+    /// Time of a query about this number of workers.
     pub fn duration_ms(&self, workers: usize) -> f64 {
         self.base_ms + self.per_worker_ms * workers as f64
     }
@@ -27,23 +27,23 @@
 /// A queue that callers submit jobs to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name, new with each life of the platform.
+    /// Its name; not stable across restarts of the platform.
     pub name: String,
     /// Host that callers address.
     pub host: String,
-    /// Path that job ids follow.
+    /// Path prefix, which is followed by a job id.
     pub prefix: String,
     /// Pool of workers that runs its tasks.
     pub service: String,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs of one task after which its job has failed.
+    /// Number of failed runs of one task after which its job fails.
     pub max_attempts: u32,
-    /// Factor on a job's own length in its latency objective.
+    /// Factor by which a job's own length is multiplied in its latency objective.
     pub stretch: f64,
     /// Constant part of the latency objective.
     pub target_latency_ms: u64,
-    /// Present where only some workers may run a step.
+    /// Advisory service that decides which workers may run a step; `None` if any may.
     pub advice: Option<AdvicePolicy>,
 }
 
@@ -57,16 +57,16 @@
 /// One version of the operators' configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueueTable {
-    /// Rises with each change, not always by one.
+    /// Increases with each change, not always by one.
     pub version: u64,
     /// Queues.
     pub queues: Vec<Queue>,
     /// Pools of workers.
     pub services: Vec<Service>,
-    /// Names of the queues that take calls without a key. They stand here since a
-    /// queue itself is part of job records.
+    /// Names of the queues that accept calls without a key. Not a field of [`Queue`],
+    /// because a queue is part of stored job records.
     pub public_queues: IndexSet<String>,
-    /// Customers; `None` where calls carry no keys.
+    /// Customers; `None` if calls carry no keys.
     pub customers: Option<customer::Customers>,
 }
 
@@ -89,7 +89,7 @@
     /// The queue of a host with the longest prefix of a path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
         let matches = |queue: &&Queue| queue.host == host && path.starts_with(&queue.prefix);
-        let fitting = self.queues.iter().filter(matches);
-        fitting.max_by_key(|queue| queue.prefix.len())
+        let matching = self.queues.iter().filter(matches);
+        matching.max_by_key(|queue| queue.prefix.len())
     }
 }
--- a/crates/figscale-types/src/fleet/view.rs
+++ b/crates/figscale-types/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! A job as its leader knows it, for operators.
+//! The leader's view of a job, for operators.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,31 +8,31 @@
 use super::TaskId;
 use super::WorkerId;
 
-/// Where a task stands.
+/// Progress of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskProgress {
-    /// It runs nowhere.
+    /// It is not placed on any worker.
     Waiting,
-    /// It was ordered to a worker and has not ended there.
+    /// A worker was ordered to start it and has not reported its end.
     Placed,
-    /// It ended well.
+    /// It ended successfully.
     Done,
 }
 
-/// A task.
+/// A task and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskView {
     /// The task.
     pub task: TaskId,
-    /// Where it stands.
+    /// Its progress.
     pub progress: TaskProgress,
-    /// Where it runs.
+    /// Worker that it is placed on.
     pub worker: Option<WorkerId>,
-    /// Runs begun, as far as known: those that failed and the present one.
+    /// Known number of runs started: failed ones and the current one.
     pub attempts: u32,
 }
 
-/// A job.
+/// A job and its tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
     /// The job.
@@ -41,8 +41,8 @@
     pub queue: String,
     /// Pool of workers that runs it.
     pub service: String,
-    /// How it stands.
+    /// Its state.
     pub state: JobState,
-    /// Tasks of the occurrences that are due; none of a job that has ended.
+    /// Tasks of the occurrences that are due; empty for a job that has ended.
     pub tasks: Vec<TaskView>,
 }
--- a/crates/figscale-types/src/fleet/worker.rs
+++ b/crates/figscale-types/src/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: what the platform lists of them, orders to them and their reports.
+//! Workers: their entries in the platform's list, orders to them and their reports.
 
 use std::net;
 use std::time;
@@ -12,141 +12,142 @@
 /// A worker as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// This life of it.
+    /// Id of this incarnation of the worker.
     pub id: ids::WorkerId,
     /// Pool that it belongs to.
     pub service: String,
-    /// Where it takes orders.
+    /// Address at which it accepts orders.
     pub address: net::SocketAddr,
-    /// It will leave and takes no new work.
+    /// It will leave and accepts no new work.
     pub draining: bool,
-    /// A draining worker goes on at least for so long after it wrote this.
+    /// Minimum time that a draining worker continues to run after it wrote the entry.
     pub leaves_in: Option<time::Duration>,
-    /// All that it has.
+    /// Its total resources.
     pub room: job::Room,
-    /// Kind, rack and whatever else steps may ask for.
+    /// Labels that steps may require, such as its kind and rack.
     pub labels: Vec<String>,
-    /// Which of the labels is its rack; empty for none.
+    /// The label that names its rack; empty if there is none.
     pub rack: String,
-    /// Failure domain that it stands in; empty if that is not told.
+    /// Failure domain that it is in; empty if unknown.
     pub failure_domain: String,
 }
 
 /// A task that runs on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningTask {
-    /// Which.
+    /// The task.
     pub task: ids::TaskId,
-    /// Which start of it.
+    /// Number of the start of the task.
     pub attempt: u32,
-    /// From where it could resume; empty for from the beginning.
+    /// Checkpoint that it could resume from; empty for a restart from the beginning.
     pub checkpoint: String,
-    /// Share of its speed that it was given, in percent.
+    /// Share of its full speed that the worker gives it, in percent.
     pub pace_percent: u32,
-    /// Processors in use over the last half second, in thousandths, if told.
+    /// Processor use over the last half second, in thousandths of a core, if reported.
     pub used_cpu_millis: Option<u64>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// Well.
+    /// It ended successfully.
     Done,
-    /// By the task's fault or the worker's.
+    /// It failed because of the task or the worker.
     Failed,
-    /// By order.
+    /// It was stopped by an order.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     LeaseExpired,
     /// Another member of its gang ended.
     GangBroken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start.
     GangIncomplete,
 }
 
 /// A run that ended on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishedRun {
-    /// Position in the worker's list, from 1, rising.
+    /// Sequence number in the worker's list, increasing from 1.
     pub number: u64,
-    /// Which task.
+    /// The task.
     pub task: ids::TaskId,
-    /// Which start of it.
+    /// Number of the start of the task.
     pub attempt: u32,
-    /// How.
+    /// How the run ended.
     pub end: End,
-    /// From where it could resume; empty for from the beginning.
+    /// Checkpoint that it could resume from; empty for a restart from the beginning.
     pub checkpoint: String,
 }
 
-/// A worker's account of itself.
+/// A worker's report on its runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerReport {
-    /// The worker's own steady clock.
+    /// Reading of the worker's own monotonic clock.
     pub clock_ms: u64,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<RunningTask>,
-    /// What ended and has not been acknowledged.
+    /// Finished runs that have not been acknowledged.
     pub finished: Vec<FinishedRun>,
 }
 
 /// Permission of the advisory service to run a step on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// Which worker.
+    /// The worker that it is valid for.
     pub worker: ids::WorkerId,
-    /// To be shown with each start.
+    /// Token to send with each start.
     pub token: String,
 }
 
 /// An order to start a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
-    /// Which task.
+    /// The task.
     pub task: ids::TaskId,
-    /// Higher than of any earlier start of it.
+    /// Number of the start; higher than that of any earlier start of the task.
     pub attempt: u32,
-    /// The job's own text.
+    /// What to run, as the job describes it.
     pub spec: String,
-    /// Reading of the worker's clock after which the order is refused.
+    /// Reading of the worker's clock after which the worker refuses the order.
     pub expires_clock_ms: u64,
     /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
-    /// Ticket of the advisory service, where the queue has one.
+    /// Ticket of the advisory service, if the queue uses one.
     pub ticket: Option<String>,
 }
 
 /// Why a worker refused a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartRefusal {
-    /// It has seen orders of a later epoch.
+    /// The worker has seen orders of a later epoch.
     StaleEpoch,
-    /// It has seen this attempt or a later one.
+    /// The worker has seen this attempt or a later one.
     OldAttempt,
-    /// The order came after its expiry.
+    /// The order arrived after its expiry.
     Expired,
-    /// No room.
+    /// The worker has too few free resources.
     NoRoom,
     /// The ticket is missing or has expired.
     Ticket,
-    /// It is unhealthy and did nothing.
+    /// The worker is unhealthy and did not execute the order.
     Unhealthy,
-    /// Another life of the worker is at that address.
+    /// Another incarnation of the worker listens at that address.
     OtherLife,
-    /// It does not understand the order.
+    /// The worker could not decode the order.
     Invalid,
 }
 
-/// What became of a start.
+/// Outcome of an order to start a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartOutcome {
-    /// It runs, or ran.
+    /// The task runs, or ran, by this order.
     Started {
-        /// The worker's clock.
+        /// Reading of the worker's clock.
         clock_ms: u64,
     },
-    /// It never ran by this order.
+    /// The task did not run by this order.
     Refused(StartRefusal),
-    /// No answer: it may run, or may still be started until it expires.
+    /// No usable response: the task may run, or may still be started until the order
+    /// expires.
     Unknown,
 }
--- a/crates/figscale-types/src/ids.rs
+++ b/crates/figscale-types/src/ids.rs
@@ -1,9 +1,9 @@
-//! Newtypes for everything that has a name or a number.
+//! Newtypes for ids, names and numbers.
 //!
 //! A name is at most [`MAX_NAME_LEN`] bytes of lower-case letters, digits and
-//! `-_./`, so that it can stand in a path, a header, a log line and a metric
-//! label without quoting. Parsing refuses anything else; the price is that
-//! names from outside are checked once more than strictly needed.
+//! `-_./`, so that it can be used in a path, a header, a log line and a metric
+//! label without quoting. Parsing rejects anything else; the cost is that names
+//! from outside are checked once more than strictly necessary.
 
 use std::fmt;
 use std::str;
@@ -79,7 +79,7 @@
     MemberId, "member id"
 );
 name_type!(
-    /// An instance of the platform: an entry instance, a runner or a worker.
+    /// An instance in the platform: an entry instance, a runner or a worker.
     InstanceId, "instance id"
 );
 name_type!(
@@ -148,11 +148,11 @@
 }
 
 number_type!(
-    /// One life of a process: a new number after every start.
+    /// Incarnation of a process: a new number after every start.
     Incarnation, "incarnation"
 );
 number_type!(
-    /// Count of the changes of a shard's holder; a higher one fences a lower.
+    /// Number of changes of a shard's holder; a higher epoch fences lower ones.
     Epoch, "epoch"
 );
 number_type!(
@@ -164,12 +164,12 @@
     LeaseId, "lease id"
 );
 
-/// A life of an entry instance: its name and incarnation.
+/// One incarnation of an entry instance: its name and incarnation number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberKey {
     /// The stable name.
     pub id: MemberId,
-    /// The life.
+    /// The incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -244,7 +244,7 @@
             }
         }
 
-        // As text in every codec, so that documents stay readable.
+        // Text in every codec, so that documents stay readable.
         impl Serialize for $name {
             fn serialize<S: serde::Serializer>(&self, out: S) -> Result<S::Ok, S::Error> {
                 out.collect_str(self)
@@ -265,6 +265,7 @@
     RequestId, "request id"
 );
 uuid_type!(
-    /// An operator's change; the same after a retry, so that it counts once.
+    /// An operator's change; a retry uses the same id, so that the change is applied
+    /// only once.
     ChangeId, "change id"
 );
--- a/crates/figscale-types/src/instances.rs
+++ b/crates/figscale-types/src/instances.rs
@@ -1,7 +1,7 @@
 //! The platform's list of instances.
 //!
-//! The list lags: an instance may be gone before the list says so, and may be
-//! new before it is listed. It is evidence among others, never a lock.
+//! The list lags: it may still contain an instance that is gone, and may not yet
+//! contain a new one. It is a hint that must not be used as a lock.
 
 use std::net;
 
@@ -11,7 +11,7 @@
 use crate::ids;
 use crate::sizes;
 
-/// What an instance is for.
+/// The role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
@@ -29,57 +29,57 @@
 pub enum Life {
     /// In use.
     Live,
-    /// About to go; gets no new work.
+    /// Shutting down; gets no new work.
     Leaving,
 }
 
-/// One line of the platform's list.
+/// One instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
     /// Name.
     pub id: ids::InstanceId,
-    /// What it is for.
+    /// Its role.
     pub role: Role,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: net::SocketAddr,
-    /// Where it stands.
+    /// Failure domain that it is in.
     pub failure_domain: ids::FailureDomain,
     /// Rack within the failure domain.
     pub rack: ids::RackName,
     /// Service of a runner; `None` for the others.
     pub service: Option<ids::ServiceName>,
-    /// What a worker holds; zero for the others.
+    /// Resources of a worker; zero for the others.
     pub capacity: sizes::Resources,
-    /// Requests that a runner takes at once; zero for the others.
+    /// Requests that a runner accepts at once; zero for the others.
     pub slots: u32,
-    /// Connections that a runner takes at once; zero for the others.
+    /// Connections that a runner accepts at once; zero for the others.
     pub connections: u32,
     /// Whether it may get new work.
     pub life: Life,
 }
 
-/// The platform's list with its age.
+/// The platform's list with its revision and lag.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceList {
     /// Version; grows with every change.
     pub revision: ids::Revision,
     /// How far the list is known to lag, in milliseconds.
     pub lag_ms: u64,
-    /// The lines.
+    /// The instances.
     pub instances: Vec<Instance>,
 }
 
-/// Path at which a runner tells [`RunnerUsage`], as JSON.
+/// Path at which a runner serves [`RunnerUsage`] as JSON.
 pub const RUNNER_USAGE_PATH: &str = "/usage";
 
-/// How busy a runner was at some moment.
+/// Usage of a runner at one point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerUsage {
-    /// Slots in use, by whoever.
+    /// Slots in use, whoever uses them.
     pub busy: u32,
-    /// Slots in all.
+    /// Total slots.
     pub slots: u32,
-    /// Time since the moment that this tells of, in milliseconds.
+    /// Age of this information, in milliseconds.
     pub age_ms: u64,
     /// Whether it is leaving.
     pub leaving: bool,
--- a/crates/figscale-types/src/jobs.rs
+++ b/crates/figscale-types/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs and their tasks, as submitted, as kept in the store and as reported.
+//! Jobs and their tasks: as submitted, as stored and as reported.
 
 use indexmap::IndexMap;
 use serde::Deserialize;
@@ -20,7 +20,7 @@
     /// Owner charged for it.
     pub owner: ids::OwnerName,
     /// Number of tasks. Default 1.
-    #[serde(default = "one")]
+    #[serde(default = "default_tasks")]
     pub tasks: u32,
     /// Size of each task.
     pub task: sizes::Resources,
@@ -30,18 +30,20 @@
     /// Time from acceptance by which it must be done. Default: none.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Whether a task may run again after an unknown end. Default false.
+    /// Whether a task may run again if the outcome of a run is unknown. Default
+    /// false.
     #[serde(default)]
     pub idempotent: bool,
-    /// Whether a task can save its state and go on elsewhere. Default false.
+    /// Whether a task can save its state and resume on another worker. Default
+    /// false.
     #[serde(default)]
     pub checkpointable: bool,
-    /// What the worker is to run; opaque here.
+    /// What the worker runs; opaque to the scheduler.
     #[serde(default)]
     pub command: String,
 }
 
-fn one() -> u32 {
+fn default_tasks() -> u32 {
     1
 }
 
@@ -53,17 +55,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobState {
-    /// Accepted and waiting.
+    /// Accepted; no task runs.
     Queued,
     /// At least one task runs.
     Running,
-    /// Ended well.
+    /// Ended successfully.
     Done,
-    /// Ended badly; the reason tells.
+    /// Failed; the reason is reported with it.
     Failed,
-    /// Ended by its owner's wish.
+    /// Cancelled by its owner.
     Cancelled,
-    /// A task started and its end is unknown; it is not run again.
+    /// A task started and its outcome is unknown; it is not run again.
     MayHaveRun,
 }
 
@@ -74,21 +76,21 @@
     }
 }
 
-/// What the store keeps of a task; absent while nothing needs keeping.
+/// Stored state of a task; absent while there is nothing to store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskRecord {
-    /// Attempts known to have begun.
+    /// Attempts known to have started.
     pub attempts: u32,
-    /// A start mark: a non-idempotent task may have begun.
+    /// Start mark: a non-idempotent task may have started.
     pub started: bool,
     /// The final state.
     pub ended: Option<JobState>,
-    /// Whether it goes on from a checkpoint.
+    /// Whether it resumes from a checkpoint.
     #[serde(default)]
     pub checkpointed: bool,
 }
 
-/// What the store keeps of a job.
+/// Stored state of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// As submitted.
@@ -101,20 +103,20 @@
     pub reason: Option<String>,
     /// The final state.
     pub ended: Option<JobState>,
-    /// Tasks of which something must be kept.
+    /// Tasks with stored state, by index.
     pub tasks: IndexMap<u32, TaskRecord>,
     /// Wall-clock time of the end, milliseconds since 1970; 0 before.
     #[serde(default)]
     pub ended_unix_ms: u64,
-    /// What its catalogue entry allowed when it was accepted.
+    /// Limits of its catalogue entry when it was accepted.
     #[serde(default)]
     pub terms: JobTerms,
 }
 
-/// What a catalogue entry allows a job, kept as it was at acceptance.
+/// Limits of a catalogue entry that apply to a job, as they were at its acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobTerms {
-    /// How the tasks belong together.
+    /// How the tasks run in relation to each other.
     pub class: catalogue::JobClass,
     /// Urgency.
     pub urgency: catalogue::Urgency,
@@ -155,21 +157,21 @@
 pub struct JobDocument {
     /// Epoch of the holder that wrote it.
     pub epoch: ids::Epoch,
-    /// Number of the write, by which its writer knows it again after a lost answer.
+    /// Number of the write, by which its writer recognizes it after a lost response.
     #[serde(default)]
     pub sequence: u64,
-    /// After a hand-over in order, the only tasks that may have a place; `None`
-    /// while the holder may place others.
+    /// After an orderly hand-over, the only tasks that may be placed on a worker;
+    /// `None` while the holder may place others.
     #[serde(default)]
     pub placed: Option<Vec<ids::TaskId>>,
     /// Jobs by id.
     pub jobs: IndexMap<ids::JobId, JobRecord>,
 }
 
-/// The job shard that keeps a job.
+/// The shard that is the home of a job.
 pub fn shard_of(job: &ids::JobId) -> Option<ids::ShardId> {
     let hash = hash::fnv1a(job.as_str().bytes());
-    // The low bits of short names differ little; the high ones are mixed in.
+    // The low bits of short names differ little, so the high bits are mixed in.
     let number = (hash ^ (hash >> 32)) % u64::from(claims::JOB_SHARDS);
     claims::job_shard(u32::try_from(number).unwrap_or(0))
 }
@@ -186,9 +188,9 @@
     pub index: u32,
     /// State.
     pub state: JobState,
-    /// Where it runs or ran last.
+    /// Worker that it runs on or ran on last.
     pub worker: Option<ids::InstanceId>,
-    /// Attempts begun.
+    /// Attempts started.
     pub attempts: u32,
 }
 
@@ -203,9 +205,9 @@
     pub entry: ids::EntryName,
     /// State.
     pub state: JobState,
-    /// Whether it ran.
+    /// Whether the job ran.
     pub verdict: verdict::Verdict,
-    /// Why it failed or still waits.
+    /// Why it failed or is still queued.
     pub reason: Option<String>,
     /// Tasks; empty in a listing.
     pub tasks: Vec<TaskStatus>,
--- a/crates/figscale-types/src/lib.rs
+++ b/crates/figscale-types/src/lib.rs
@@ -1,14 +1,14 @@
-//! The words that every figscale process shares.
+//! Types that all figscale processes share.
 //!
-//! This crate holds newtypes for ids, sizes and rates, the verdict that goes
-//! with every error, the schema of the catalogue, the documents kept in the
+//! This crate defines newtypes for ids, sizes and rates, the verdict that every
+//! error carries, the schema of the catalogue, the documents stored in the
 //! platform's key-value service, and the messages that entry instances,
-//! runners and workers exchange. It decides nothing: decisions are in
-//! `figscale-core`, sockets in `figscale`.
+//! runners and workers exchange. It contains no scheduling decisions, which are
+//! made in `figscale-core`, and no network code, which is in `figscale`.
 //!
-//! Messages between entry instances travel as `bincode`, which needs no field
-//! names, so the types used there avoid `serde` attributes that depend on a
-//! self-describing format (`flatten`, `untagged`, `skip_serializing_if`).
+//! Messages between entry instances are encoded with `bincode`, which omits
+//! field names. The types used there therefore avoid `serde` attributes that
+//! need a self-describing format (`flatten`, `untagged`, `skip_serializing_if`).
 
 pub mod catalogue;
 pub mod claims;
--- a/crates/figscale-types/src/operator.rs
+++ b/crates/figscale-types/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators send and get, as JSON over HTTP.
+//! Requests of operators and responses to them, as JSON over HTTP.
 
 use indexmap::IndexMap;
 use serde::Deserialize;
@@ -7,31 +7,32 @@
 use crate::catalogue;
 use crate::ids;
 
-/// Asks for a new catalogue.
+/// Request to replace the catalogue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ApplyRequest {
     /// Revision that the change was made against.
     pub base: ids::Revision,
-    /// Id of the change; the same on a repeat, so that it counts once.
+    /// Id of the change; a retry uses the same id, so that the change is applied only
+    /// once.
     pub change: ids::ChangeId,
-    /// Who asks.
+    /// Who made the change.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub note: String,
     /// The whole new catalogue.
     pub catalogue: catalogue::Catalogue,
 }
 
-/// Asks to go back to an earlier catalogue, by a new revision.
+/// Request to restore an earlier catalogue as a new revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RollbackRequest {
-    /// Revision whose catalogue is wanted.
+    /// Revision whose catalogue is to be restored.
     pub to: ids::Revision,
     /// Revision that the change was made against.
     pub base: ids::Revision,
     /// Id of the change.
     pub change: ids::ChangeId,
-    /// Who asks.
+    /// Who made the change.
     pub author: String,
 }
 
@@ -42,9 +43,9 @@
     pub revision: ids::Revision,
     /// Id.
     pub change: ids::ChangeId,
-    /// Who made it.
+    /// Who made the change.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub note: String,
     /// Wall-clock time of acceptance, milliseconds since 1970.
     pub accepted_unix_ms: u64,
@@ -55,48 +56,48 @@
 pub struct ApplyAnswer {
     /// Revision that the change made.
     pub revision: ids::Revision,
-    /// Whether the change had been accepted before this call.
+    /// Whether the change had already been accepted before this call.
     pub repeated: bool,
 }
 
 /// Revision in force at each entry instance.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CatalogueStatus {
-    /// Highest revision known to the entry instance that was asked.
+    /// Highest revision known to the entry instance that responds.
     pub revision: ids::Revision,
-    /// Revision in force by member; `None` where it did not answer.
+    /// Revision in force by member; `None` for one that did not respond.
     pub in_force: IndexMap<ids::MemberId, Option<ids::Revision>>,
 }
 
-/// Kind of an error towards an operator.
+/// Kind of an error returned to an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ErrorKind {
-    /// The input is wrong; the message names the place.
+    /// The input is invalid; the message names the place.
     Invalid,
-    /// Another change came first.
+    /// Another change was accepted first.
     Conflict,
-    /// There is no such thing.
+    /// The requested object does not exist.
     NotFound,
-    /// Not now: the store, or an entry instance that is needed, is away.
+    /// The store, or an entry instance that is needed, is unavailable.
     Unavailable,
-    /// It may have taken effect; ask again with the same change id.
+    /// The change may have taken effect; retry with the same change id.
     Unknown,
 }
 
-/// An error towards an operator.
+/// An error returned to an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OperatorError {
     /// Kind.
     pub kind: ErrorKind,
-    /// What is wrong and what to do, in a sentence.
+    /// What is wrong and what to do about it, in one sentence.
     pub message: String,
-    /// Time after which to ask again, where that helps.
+    /// Time after which to retry, if a retry may succeed.
     pub retry_after_ms: Option<u64>,
 }
 
 impl OperatorError {
-    /// An error of this kind, without a time to come back.
+    /// An error of this kind without a retry time.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self {
             kind,
--- a/crates/figscale-types/src/platform.rs
+++ b/crates/figscale-types/src/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's protocol: key-value service and instance list over HTTP.
 //!
-//! | call | answer |
+//! | call | response |
 //! | --- | --- |
 //! | `GET /v1/kv/KEY` | 200, value, `x-revision`; 404 when absent, with the revision of the deletion if there was one |
 //! | `PUT /v1/kv/KEY` with `x-if-revision` (0: must be absent), perhaps `x-lease` | 200, `x-revision`; 412 with the current `x-revision`; 410 when the lease is gone; 413 over [`MAX_VALUE_BYTES`] |
@@ -13,9 +13,9 @@
 //! | `GET /v1/instances`, perhaps with `if-none-match` | 200, [`crate::instances::InstanceList`], perhaps `etag`; 304 when the tag still holds |
 //!
 //! Revisions come from one counter of the whole service, so that a key that
-//! was deleted and made again never shows an old one. Any call may be answered
-//! 429 (over the rate) or 503 (outage), may be late, or may lose its answer
-//! after it has taken effect. A waiting watch counts as one call.
+//! was deleted and created again never has an earlier revision. Any call may get
+//! status 429 (rate limit exceeded) or 503 (outage), may be slow, or may take
+//! effect although its response is lost. A waiting watch counts as one call.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -28,10 +28,10 @@
 pub const REVISION: &str = "x-revision";
 /// Header with the revision that a write expects.
 pub const IF_REVISION: &str = "x-if-revision";
-/// Header with the lease that a key goes with.
+/// Header with the lease that a key is bound to.
 pub const LEASE: &str = "x-lease";
 
-/// Header with the name of the caller, by which a stand-in counts; optional.
+/// Header with the name of the caller, by which a stand-in counts calls; optional.
 pub const CLIENT: &str = "x-client";
 
 /// Kinds of call of the protocol.
@@ -59,7 +59,7 @@
 }
 
 impl CallKind {
-    /// Whether it counts against the rate of writes.
+    /// Whether the call counts against the rate limit of writes.
     pub fn is_write(self) -> bool {
         match self {
             Self::Put | Self::Delete | Self::Grant | Self::Renew | Self::Revoke => true,
@@ -68,10 +68,10 @@
     }
 }
 
-/// Asks for a lease.
+/// Request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Time that it lasts after each renewal.
+    /// Duration of the lease from its grant or last renewal.
     pub ttl_ms: u64,
 }
 
--- a/crates/figscale-types/src/sizes.rs
+++ b/crates/figscale-types/src/sizes.rs
@@ -1,7 +1,7 @@
 //! Newtypes for sizes and rates.
 //!
-//! Processor time is counted in thousandths of a core, so that every sum is
-//! exact; text forms carry their unit (`2500m`, `4096MiB`, `12.5/s`).
+//! Processor time is counted in thousandths of a core, so that sums are exact;
+//! text forms carry their unit (`2500m`, `4096MiB`, `12.5/s`).
 
 use std::fmt;
 use std::str;
@@ -68,7 +68,7 @@
     }
 }
 
-/// Events in a second.
+/// Events per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RatePerSecond(pub f64);
@@ -93,7 +93,7 @@
     }
 }
 
-/// What a worker holds or a task asks for.
+/// Resources of a worker, or required by a task.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -145,13 +145,13 @@
 
     /// The larger of the two in every dimension.
     ///
-    /// On a value, `max` means the lexicographic one of `Ord`; this one cannot
-    /// be mistaken.
+    /// Called as a method on a value, `max` is the lexicographic maximum of `Ord`;
+    /// this method is unambiguous.
     pub fn larger(&self, other: &Self) -> Self {
         Self::max(self, other)
     }
 
-    /// Largest share of `whole` that this takes in any dimension.
+    /// Largest fraction of `whole` that this uses in any dimension.
     pub fn dominant_share(&self, whole: &Self) -> f64 {
         let share = |part: u64, all: u64| match (part, all) {
             (0, _) => 0.0,
--- a/crates/figscale-types/src/verdict.rs
+++ b/crates/figscale-types/src/verdict.rs
@@ -1,8 +1,10 @@
 //! Whether a request may have run.
 //!
-//! Every error, hop and log event carries a [`Verdict`]. It is monotonic: once
-//! a byte of a request can have reached a runner, no later step may go back to
-//! [`Verdict::NotRun`], unless the runner itself refused the request.
+//! A caller needs to know whether a failed request can be retried without
+//! running twice, so every error, hop and log event carries a [`Verdict`]. It is
+//! monotonic: once a byte of a request may have reached a runner, no later step
+//! may return to [`Verdict::NotRun`], unless the runner itself refused the
+//! request.
 
 use std::fmt;
 use std::str;
@@ -16,16 +18,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// No byte of it can have reached a runner, or the runner refused it.
+    /// It did not run: no byte of it reached a runner, or the runner refused it.
     NotRun,
-    /// Nobody can tell.
+    /// It is unknown whether it ran.
     MayHaveRun,
-    /// It ran, and its answer is at hand.
+    /// It ran, and its response was received.
     Ran,
 }
 
 impl Verdict {
-    /// The verdict of two attempts taken together.
+    /// The combined verdict of two attempts.
     pub fn and(self, other: Self) -> Self {
         self.max(other)
     }
--- a/crates/figscale-types/src/worker.rs
+++ b/crates/figscale-types/src/worker.rs
@@ -4,9 +4,9 @@
 //! `POST /v1/renew` ([`Renew`] to [`WorkerReport`]), `POST /v1/act`
 //! ([`ActOnTask`] to [`WorkerReport`]) and `GET /v1/report`
 //! ([`WorkerReport`]). A worker remembers the highest epoch that it has seen
-//! and refuses every lower one, and it stops a task whose lease has lapsed by
-//! its own monotonic clock, counted from the receipt of the last renewal.
-//! A renewal never revives a task whose lease has lapsed.
+//! and refuses every lower one. It stops a task whose lease has expired by its
+//! own monotonic clock, measured from the receipt of the last renewal.
+//! A renewal never restores a task whose lease has expired.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -16,26 +16,27 @@
 
 /// A reading of a worker's own monotonic clock.
 ///
-/// A holder turns the moment until which it may dispatch into a reading of the
-/// worker's clock, so that a message that was delayed on its way, or was
-/// written by a holder that had been paused, is refused on receipt. The clock
-/// must go on while the worker is stopped.
+/// A holder converts the time until which it may dispatch into a reading of the
+/// worker's clock, so that a message that was delayed in transit, or was sent by
+/// a holder that had been paused, is refused on receipt. The clock must advance
+/// while the worker is stopped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerClock {
-    /// Number drawn at the worker's start; tasks of an earlier life are gone.
+    /// Random number chosen at the worker's start, which identifies this incarnation;
+    /// tasks of an earlier incarnation no longer run.
     pub life: u64,
-    /// Time since that start.
+    /// Time since the worker started.
     pub elapsed_ms: u64,
 }
 
 impl WorkerClock {
-    /// Whether a message bounded by `not_after` may still be obeyed at `self`.
+    /// Whether a message with the bound `not_after` may still be executed at `self`.
     pub fn is_within(&self, not_after: &Self) -> bool {
         self.life == not_after.life && self.elapsed_ms <= not_after.elapsed_ms
     }
 }
 
-/// Asks a worker to start a task.
+/// Request to a worker to start a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartTask {
     /// The task.
@@ -44,34 +45,35 @@
     pub attempt: u32,
     /// Epoch of the worker shard under which it is placed.
     pub epoch: ids::Epoch,
-    /// Epoch of the job's home that asked for it.
+    /// Epoch of the job's home that requested it.
     pub home_epoch: ids::Epoch,
-    /// Time that its lease lasts, from receipt.
+    /// Duration of its lease, measured from receipt.
     pub lease_ms: u64,
-    /// Room reserved for it.
+    /// Resources reserved for it.
     pub resources: sizes::Resources,
     /// Longest run.
     pub max_run_ms: u64,
-    /// Declared run time; a stand-in worker runs the task that long.
+    /// Declared run time; a stand-in worker runs the task for this time.
     pub run_ms: u64,
-    /// What to run; opaque here.
+    /// What to run; opaque to the scheduler.
     pub command: String,
-    /// Whether to go on from the last checkpoint.
+    /// Whether to resume from the last checkpoint.
     pub resume: bool,
-    /// Received later than this it is refused as [`StartRefusal::Late`]; `None`: never late.
+    /// Latest receipt; after it the request is refused as [`StartRefusal::Late`].
+    /// `None`: no limit.
     #[serde(default)]
     pub not_after: Option<WorkerClock>,
 }
 
-/// A worker's answer to [`StartTask`].
+/// A worker's response to [`StartTask`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StartAnswer {
-    /// It runs.
+    /// The task was started.
     Started,
-    /// It runs or ran already, by this very attempt.
+    /// The same attempt already runs or ran.
     Known,
-    /// It was not started.
+    /// The task was not started.
     Refused(StartRefusal),
 }
 
@@ -79,15 +81,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StartRefusal {
-    /// A higher epoch was seen.
+    /// The worker has seen a higher epoch.
     StaleEpoch,
-    /// Another attempt of the task runs here.
+    /// Another attempt of the task runs on the worker.
     RunsAlready,
-    /// It would hold more than it can.
+    /// The worker has too few free resources.
     Full,
-    /// It is leaving.
+    /// The worker is leaving.
     Leaving,
-    /// It was received after its `not_after`, or in another life of the worker.
+    /// The request was received after its `not_after`, or by another incarnation of
+    /// the worker.
     Late,
 }
 
@@ -96,37 +99,38 @@
 pub struct Renew {
     /// Epoch of the worker shard.
     pub epoch: ids::Epoch,
-    /// Time that the leases last, from receipt.
+    /// Duration of the leases, measured from receipt.
     pub lease_ms: u64,
-    /// Tasks to renew; others are left to lapse.
+    /// Tasks to renew; the leases of others are left to expire.
     pub tasks: Vec<ids::TaskId>,
-    /// Ended tasks whose reports have been dealt with and may be forgotten.
+    /// Ended tasks whose reports have been processed and may be discarded.
     pub forget: Vec<ids::TaskId>,
-    /// Received later than this it renews nothing, but is answered; `None`: never late.
+    /// Latest receipt; after it the request renews nothing, but still gets a
+    /// response. `None`: no limit.
     #[serde(default)]
     pub not_after: Option<WorkerClock>,
 }
 
-/// What to do with a running task.
+/// An action on a running task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskAction {
     /// Save its state, then stop it.
     Checkpoint,
-    /// Slow it down to its declared share.
+    /// Limit it to its declared processor share.
     Throttle,
     /// Stop it.
     Stop,
 }
 
-/// Asks a worker to act on a task.
+/// Request to a worker to perform an action on a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ActOnTask {
     /// Epoch of the worker shard.
     pub epoch: ids::Epoch,
     /// The task.
     pub task: ids::TaskId,
-    /// What to do.
+    /// The action.
     pub action: TaskAction,
 }
 
@@ -136,15 +140,15 @@
 pub enum TaskPhase {
     /// It runs.
     Running,
-    /// It ended well.
+    /// It ended successfully.
     Done,
-    /// It ended badly.
+    /// It failed.
     Failed,
     /// It was stopped by an action.
     Stopped,
     /// It saved its state and stopped.
     Checkpointed,
-    /// It was stopped because its lease lapsed.
+    /// It was stopped because its lease expired.
     Lapsed,
 }
 
@@ -157,30 +161,30 @@
     pub attempt: u32,
     /// State.
     pub phase: TaskPhase,
-    /// Room reserved for it.
+    /// Resources reserved for it.
     pub reserved: sizes::Resources,
-    /// What it was seen to use, with a lag.
+    /// Resources that it was measured to use, with a lag.
     pub used: sizes::Resources,
     /// Time since its start.
     pub ran_ms: u64,
-    /// Epoch of the job's home that asked for it.
+    /// Epoch of the job's home that requested it.
     pub home_epoch: ids::Epoch,
 }
 
-/// What a worker holds and runs.
+/// Capacity and tasks of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerReport {
     /// The worker.
     pub worker: ids::InstanceId,
     /// Highest epoch that it has seen.
     pub epoch: ids::Epoch,
-    /// Whether the request for this report was refused for its epoch.
+    /// Whether the request for this report was refused because of its epoch.
     pub stale: bool,
-    /// What it holds.
+    /// Its total resources.
     pub capacity: sizes::Resources,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Tasks running, and ended ones not yet forgotten.
+    /// Running tasks, and ended ones not yet discarded.
     pub tasks: Vec<TaskReport>,
     /// The worker's clock when it made the report.
     #[serde(default)]
--- a/crates/figscale-types/tests/hash.rs
+++ b/crates/figscale-types/tests/hash.rs
@@ -1,4 +1,5 @@
-//! The hash that decides homes: a change of it would lose what is kept there.
+//! Guards against a change of the hash that assigns homes: data stored at a home
+//! would no longer be found.
 
 use figscale_types::hash;
 use rstest::rstest;
--- a/crates/figscale-types/tests/names.rs
+++ b/crates/figscale-types/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names, numbers and sizes go through their text forms unchanged.
+//! Parsing and formatting of names, ids, sizes and rates.
 
 use figscale_types::ids;
 use figscale_types::sizes;
@@ -12,7 +12,7 @@
 #[case("Upper", false)]
 #[case("two words", false)]
 #[case("new\nline", false)]
-fn names_are_checked(#[case] text: &str, #[case] legal: bool) {
+fn invalid_names_are_rejected(#[case] text: &str, #[case] legal: bool) {
     assert_eq!(text.parse::<ids::ShardId>().is_ok(), legal);
 }
 
@@ -20,7 +20,7 @@
 #[case("job-1:0", true)]
 #[case("job-1", false)]
 #[case("job-1:-1", false)]
-fn task_ids_are_checked(#[case] text: &str, #[case] legal: bool) {
+fn invalid_task_ids_are_rejected(#[case] text: &str, #[case] legal: bool) {
     let parsed = text.parse::<ids::TaskId>();
     assert_eq!(parsed.is_ok(), legal);
     if let Ok(task) = parsed {
@@ -41,12 +41,12 @@
 #[case("-1/s")]
 #[case("NaN/s")]
 #[case("5")]
-fn wrong_rates_are_refused(#[case] text: &str) {
+fn invalid_rates_are_rejected(#[case] text: &str) {
     assert!(text.parse::<sizes::RatePerSecond>().is_err());
 }
 
 #[test]
-fn verdicts_only_grow() {
+fn a_verdict_never_returns_to_not_run() {
     use verdict::Verdict::MayHaveRun;
     use verdict::Verdict::NotRun;
     assert_eq!(NotRun.and(MayHaveRun), MayHaveRun);
