--- a/crates/figscale/src/cli/args.rs
+++ b/crates/figscale/src/cli/args.rs
@@ -1,21 +1,23 @@
-//! The commands and their arguments, by `argh`.
+//! The commands and their arguments, parsed with `argh`.
+//!
+//! Doc comments of the types and fields are the help texts that users see.
 
 use std::path;
 
 use argh::FromArgs;
 use figscale_types::ids;
 
-/// Cluster scheduler: entry instance and operators' commands.
+/// Cluster scheduler: entry instance and operator commands.
 #[derive(FromArgs)]
 pub(crate) struct Args {
-    /// operator addresses of entry instances, IP:PORT, several with commas;
-    /// the environment variable FIGSCALE_ENTRY when absent
+    /// operator addresses of entry instances, IP:PORT, separated by commas;
+    /// default: the environment variable FIGSCALE_ENTRY
     #[argh(option)]
     pub(crate) entry: Option<String>,
-    /// print JSON for a script
+    /// print JSON, for scripts
     #[argh(switch)]
     pub(crate) json: bool,
-    /// longest time for the whole command in milliseconds, default 15000
+    /// time limit of the whole command in milliseconds, default 15000
     #[argh(option, default = "15_000")]
     pub(crate) timeout_ms: u64,
     #[argh(subcommand)]
@@ -33,7 +35,7 @@
     Events(Events),
 }
 
-/// Run an entry instance until SIGTERM or SIGINT, then stop in order.
+/// Run an entry instance until SIGTERM or SIGINT, then stop it gracefully.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub(crate) struct Serve {
@@ -42,7 +44,7 @@
     pub(crate) settings: path::PathBuf,
 }
 
-/// Work on settings files.
+/// Check settings files.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "settings")]
 pub(crate) struct Settings {
@@ -56,7 +58,7 @@
     Check(SettingsCheck),
 }
 
-/// Check a settings file as `serve` does.
+/// Check a settings file in the same way as `serve`.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct SettingsCheck {
@@ -85,11 +87,11 @@
     Status(CatalogueStatus),
 }
 
-/// Check a catalogue file, without asking anybody.
+/// Check a catalogue file locally, without contacting an entry instance.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct CatalogueCheck {
-    /// the file, JSON with comments
+    /// catalogue file, JSON with comments
     #[argh(positional)]
     pub(crate) file: path::PathBuf,
 }
@@ -98,12 +100,12 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 pub(crate) struct CatalogueShow {
-    /// revision; the one in force when absent
+    /// revision, default: the one in force
     #[argh(option)]
     pub(crate) at: Option<ids::Revision>,
 }
 
-/// Print what a file would change, and the revision to give to apply.
+/// Print what a file would change, and the base revision for `apply`.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub(crate) struct CatalogueDiff {
@@ -112,28 +114,29 @@
     pub(crate) file: path::PathBuf,
 }
 
-/// Bring a file into force in the whole cell.
+/// Bring a catalogue file into force in the whole cell.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub(crate) struct CatalogueApply {
     /// the file
     #[argh(positional)]
     pub(crate) file: path::PathBuf,
-    /// revision that the change was made against, as diff prints it; 0 for the first
+    /// revision that the change is based on, as printed by `diff`; 0 for the first
+    /// catalogue
     #[argh(option)]
     pub(crate) base: ids::Revision,
-    /// who makes the change; the environment variable USER when absent
+    /// author of the change, default: the environment variable USER
     #[argh(option)]
     pub(crate) author: Option<String>,
-    /// why
+    /// reason for the change
     #[argh(option, default = "String::new()")]
     pub(crate) note: String,
-    /// id of the change, to repeat one whose result is not known
+    /// id of the change, to retry one whose result is unknown
     #[argh(option)]
     pub(crate) change: Option<ids::ChangeId>,
 }
 
-/// Print the changes, newest first.
+/// List the changes of the catalogue, newest first.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 pub(crate) struct CatalogueHistory {}
@@ -142,16 +145,16 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
 pub(crate) struct CatalogueRollback {
-    /// revision whose catalogue is wanted
+    /// revision of the catalogue to restore
     #[argh(positional)]
     pub(crate) to: ids::Revision,
-    /// revision in force when the decision was made; 0 for none
+    /// revision in force when the rollback was decided; 0 for none
     #[argh(option)]
     pub(crate) base: ids::Revision,
-    /// who makes the change; the environment variable USER when absent
+    /// author of the change, default: the environment variable USER
     #[argh(option)]
     pub(crate) author: Option<String>,
-    /// id of the change, to repeat one whose result is not known
+    /// id of the change, to retry one whose result is unknown
     #[argh(option)]
     pub(crate) change: Option<ids::ChangeId>,
 }
@@ -161,7 +164,7 @@
 #[argh(subcommand, name = "status")]
 pub(crate) struct CatalogueStatus {}
 
-/// Submit jobs and see how they stand.
+/// Submit, inspect and cancel jobs.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "job")]
 pub(crate) struct Job {
@@ -182,19 +185,19 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "submit")]
 pub(crate) struct JobSubmit {
-    /// the job, JSON with comments
+    /// job file, JSON with comments
     #[argh(positional)]
     pub(crate) file: path::PathBuf,
-    /// id, to repeat a submission whose result is not known; made when absent
+    /// job id, to retry a submission whose result is unknown; generated by default
     #[argh(option)]
     pub(crate) id: Option<ids::JobId>,
 }
 
-/// Print how a job and its tasks stand.
+/// Print the state of a job and of its tasks.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(crate) struct JobStatus {
-    /// the job
+    /// job id
     #[argh(positional)]
     pub(crate) id: ids::JobId,
 }
@@ -203,7 +206,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cancel")]
 pub(crate) struct JobCancel {
-    /// the job
+    /// job id
     #[argh(positional)]
     pub(crate) id: ids::JobId,
 }
@@ -212,7 +215,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub(crate) struct JobList {
-    /// only those of this owner
+    /// list only jobs of this owner
     #[argh(option)]
     pub(crate) owner: Option<ids::OwnerName>,
 }
--- a/crates/figscale/src/cli/catalogue.rs
+++ b/crates/figscale/src/cli/catalogue.rs
@@ -1,8 +1,8 @@
 //! `figscale catalogue`: check, show, diff, apply, history, rollback, status.
 //!
-//! `apply` asks for the revision that the change was made against and never
-//! fetches it by itself: fetched at the last moment it would hide a change
-//! that somebody made while the file was being edited.
+//! `apply` requires the base revision of the change as an argument and never
+//! fetches it: a revision fetched at that moment would hide a conflicting change
+//! made by somebody else while the file was being edited.
 
 use std::env;
 use std::fmt::Write as _;
@@ -20,12 +20,12 @@
 use super::client;
 use crate::settings::document;
 
-/// What `diff --json` prints.
+/// Output of `diff --json`.
 #[derive(Serialize)]
 struct Difference {
-    /// Revision to give to `apply`.
+    /// Base revision for `apply`.
     base: ids::Revision,
-    /// One line for each field that differs.
+    /// One line per field that differs.
     changes: Vec<String>,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads a catalogue file, refusing what can be known to be wrong without the cell.
+/// Reads a catalogue file and performs all checks that do not need the cell.
 fn read(file: &path::Path) -> Result<catalogue::Catalogue, Failure> {
     let document = document::Document::read(file).map_err(Failure::usage)?;
     let catalogue = document.parse().map_err(Failure::usage)?;
@@ -142,7 +142,7 @@
     }
 }
 
-/// Adds the id that a repeat needs.
+/// Adds the id of the change, which a retry needs, if the result is unknown.
 fn with_change(change: ids::ChangeId, failure: Failure) -> Failure {
     if failure.code != super::EXIT_UNKNOWN {
         return failure;
--- a/crates/figscale/src/cli/jobs.rs
+++ b/crates/figscale/src/cli/jobs.rs
@@ -29,7 +29,7 @@
     };
     let path = format!("/v1/jobs?id={id}");
     let accepted: jobs::JobStatus = client.post(&path, &spec).map_err(|failure| {
-        // The id is what a repeat needs.
+        // A retry needs the id.
         let message = format!("job {id}: {}", failure.message);
         Failure::new(failure.code, message)
     })?;
@@ -45,7 +45,8 @@
         .map_err(Failure::usage)
 }
 
-/// A slash is the one character of an id that a path would split at.
+/// Returns the path of a job. Of the characters allowed in an id, only the slash
+/// has to be escaped.
 fn path_of(id: &ids::JobId) -> String {
     format!("/v1/jobs/{}", id.as_str().replace('/', "%2F"))
 }
@@ -83,7 +84,7 @@
             text,
             "  task {} {} on {} (attempts: {})",
             task.index,
-            word(task.state),
+            state_name(task.state),
             worker,
             task.attempts
         );
@@ -99,7 +100,7 @@
     format!(
         "{} {} {} of {} ({}){}\n",
         status.id,
-        word(status.state),
+        state_name(status.state),
         status.entry,
         status.owner,
         status.verdict,
@@ -107,8 +108,8 @@
     )
 }
 
-/// The word that JSON uses for a state.
-fn word(state: jobs::JobState) -> &'static str {
+/// The name of a state, as in JSON.
+fn state_name(state: jobs::JobState) -> &'static str {
     match state {
         jobs::JobState::Queued => "queued",
         jobs::JobState::Running => "running",
--- a/crates/figscale/src/cli/local.rs
+++ b/crates/figscale/src/cli/local.rs
@@ -1,4 +1,4 @@
-//! Commands that ask nobody: check of settings, list of events.
+//! Commands that contact no entry instance: checking settings, listing events.
 
 use std::fmt::Write as _;
 use std::path;
--- a/crates/figscale/src/cli/mod.rs
+++ b/crates/figscale/src/cli/mod.rs
@@ -1,9 +1,9 @@
 //! The command line.
 //!
-//! `serve` runs an entry instance; the other commands work on local files or
-//! ask an entry instance by its operator address. A command returns its text
-//! for standard output or a failure, which is one sentence for standard
-//! error and an exit code that scripts may rely on (docs/API.md).
+//! `serve` runs an entry instance; the other commands read local files or call
+//! the operator address of an entry instance. A command returns its text for
+//! standard output, or a failure: a message for standard error and an exit code
+//! that scripts may rely on (docs/API.md).
 
 mod args;
 mod catalogue;
@@ -19,17 +19,17 @@
 
 use argh::FromArgs as _;
 
-/// Done.
+/// Success.
 pub const EXIT_OK: i32 = 0;
 /// Refused or failed.
 pub const EXIT_FAILED: i32 = 1;
 /// Wrong usage or bad input.
 pub const EXIT_USAGE: i32 = 2;
-/// Another change came first.
+/// Conflict with a change that was made before.
 pub const EXIT_CONFLICT: i32 = 3;
-/// Not now; nothing took effect.
+/// Unavailable at present; nothing took effect.
 pub const EXIT_UNAVAILABLE: i32 = 4;
-/// It may have taken effect.
+/// Result unknown: the change may have taken effect.
 pub const EXIT_UNKNOWN: i32 = 5;
 
 /// A command that did not succeed.
@@ -52,7 +52,7 @@
     }
 }
 
-/// What a command prints, or why it failed.
+/// Output of a command, or why it failed.
 pub(crate) type Outcome = Result<String, Failure>;
 
 /// Runs the command line and returns the exit code.
@@ -62,12 +62,12 @@
     let arguments = words.get(1..).unwrap_or_default();
     match args::Args::from_args(&["figscale"], arguments) {
         Ok(args) => finish(dispatch(args)),
-        Err(early) => stop_early(&early),
+        Err(early) => report_early_exit(&early),
     }
 }
 
-/// Help that was asked for, or usage that is wrong.
-fn stop_early(early: &argh::EarlyExit) -> i32 {
+/// Prints help if it was requested, or an error of usage; returns the exit code.
+fn report_early_exit(early: &argh::EarlyExit) -> i32 {
     if early.status.is_ok() {
         print_text(&early.output);
         return EXIT_OK;
@@ -93,7 +93,8 @@
     }
 }
 
-/// Prints to standard output; whoever stops reading, like `head`, wants no more.
+/// Prints to standard output. Errors are ignored: a reader such as `head` may
+/// close the pipe early.
 fn print_text(text: &str) {
     let _ = writeln!(io::stdout(), "{}", text.trim_end());
 }
@@ -118,7 +119,8 @@
     }
 }
 
-/// The state of one process, pretty in every case: it is JSON and nothing else.
+/// Prints the state of one process. The output is always indented JSON, with or
+/// without `--json`.
 fn dump(client: &client::Client) -> Outcome {
     let dump: serde_json::Value = client.get("/v1/dump")?;
     Ok(pretty(&dump))
--- a/crates/figscale/src/cli/serve.rs
+++ b/crates/figscale/src/cli/serve.rs
@@ -1,4 +1,4 @@
-//! `figscale serve`: an entry instance until a signal asks for a planned stop.
+//! `figscale serve`: runs an entry instance until a signal requests a planned stop.
 
 use std::path;
 use std::sync;
@@ -29,7 +29,7 @@
     let signals = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    // Before the start, so that an early signal is a planned stop as well.
+    // Installed before the start, so that an early signal also causes a planned stop.
     let (mut terminate, mut interrupt) = signals.block_on(async {
         let terminate = unix::signal(unix::SignalKind::terminate())?;
         let interrupt = unix::signal(unix::SignalKind::interrupt())?;
--- a/crates/figscale/src/kernel.rs
+++ b/crates/figscale/src/kernel.rs
@@ -1,13 +1,13 @@
-//! The micro-kernel: services that find each other by name.
+//! The micro-kernel: a registry through which services find each other by name.
 //!
 //! A service registers a mailbox under its name and gets the receiving end.
-//! Whoever wants something of it looks the name up and posts a typed message,
-//! with a [`Reply`] where an answer is wanted. The kernel also keeps what every
-//! service offers to the outside: a dump of its state, a handler of peers'
-//! calls, and a way to give up a shard in order.
+//! A client looks the name up and posts a typed message, with a [`Reply`] if it
+//! expects an answer. The kernel also holds the callbacks that services
+//! register: to dump their state, to update their gauges and to release a shard
+//! gracefully.
 //!
-//! Mailboxes are bounded. A full one refuses at once, so that an overloaded
-//! service shows as an error at its callers rather than as growing memory.
+//! Mailboxes are bounded. A full mailbox refuses messages at once, so that an
+//! overloaded service causes errors at its clients rather than growing memory.
 
 use std::any;
 use std::error;
@@ -22,32 +22,32 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// Messages that a mailbox holds before it refuses.
+/// Capacity of a mailbox, in messages.
 pub const MAILBOX_LEN: usize = 4_096;
 
-/// A boxed future that may cross threads.
+/// A boxed future that can be sent between threads.
 pub type BoxFuture<T> = pin::Pin<Box<dyn future::Future<Output = T> + Send>>;
 type DumpFn = sync::Arc<dyn Fn() -> BoxFuture<serde_json::Value> + Send + Sync>;
 type ReportFn = sync::Arc<dyn Fn() -> BoxFuture<()> + Send + Sync>;
 type DrainFn = sync::Arc<dyn Fn(ids::ShardId) -> BoxFuture<Drained> + Send + Sync>;
 
-/// How a shard was given up.
+/// Result of draining a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Drained {
-    /// Nothing of it is in progress any more.
+    /// Nothing is in progress on it any more.
     Clean,
     /// Something may still be in progress.
     Unclean,
 }
 
-/// Why a service could not be asked.
+/// Why a service could not be called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
-    /// Nothing is registered under the name.
+    /// No service is registered under the name.
     Unknown(&'static str),
     /// Its mailbox is full.
     Full(&'static str),
-    /// It ended before it answered.
+    /// It ended before it replied.
     Gone(&'static str),
 }
 
@@ -63,12 +63,13 @@
 
 impl error::Error for Unavailable {}
 
-/// Where an answer goes. Dropping it tells the asker that none will come.
+/// Sends the answer to a call. Dropping it ends the call with
+/// [`Unavailable::Gone`].
 #[derive(Debug)]
 pub struct Reply<T>(oneshot::Sender<T>);
 
 impl<T> Reply<T> {
-    /// Answers; an asker that has gone away is no error.
+    /// Sends the answer. It is no error if the client no longer waits for it.
     pub fn send(self, answer: T) {
         let _ = self.0.send(answer);
     }
@@ -91,7 +92,7 @@
 }
 
 impl<M> Address<M> {
-    /// Posts a message, without waiting.
+    /// Posts a message without waiting for capacity.
     pub fn post(&self, message: M) -> Result<(), Unavailable> {
         self.sender.try_send(message).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => Unavailable::Full(self.name),
@@ -99,7 +100,7 @@
         })
     }
 
-    /// Posts the message that `make` builds around a reply, and waits for it.
+    /// Posts the message that `make` builds with a reply, and waits for the answer.
     pub async fn call<R>(&self, make: impl FnOnce(Reply<R>) -> M) -> Result<R, Unavailable> {
         let (sender, receiver) = oneshot::channel();
         self.post(make(Reply(sender)))?;
@@ -110,7 +111,7 @@
 /// The receiving end of a service's mailbox.
 pub type Inbox<M> = mpsc::Receiver<M>;
 
-/// The registry of a process.
+/// The service registry of a process.
 #[derive(Default)]
 pub struct Kernel {
     addresses: sync::Mutex<IndexMap<&'static str, Box<dyn any::Any + Send>>>,
@@ -137,7 +138,7 @@
             .ok_or(Unavailable::Unknown(name))
     }
 
-    /// Offers a dump of a service's state under its name.
+    /// Registers the callback that dumps the state of a service.
     pub fn offer_dump(
         &self,
         name: &'static str,
@@ -146,7 +147,7 @@
         mutex::lock(&self.dumps).insert(name, sync::Arc::new(dump));
     }
 
-    /// Dumps every service that offers it.
+    /// Dumps the state of every service that has registered a dump.
     pub async fn dump(&self) -> serde_json::Value {
         let dumps = mutex::lock(&self.dumps).clone();
         let mut all = serde_json::Map::new();
@@ -156,10 +157,10 @@
         serde_json::Value::Object(all)
     }
 
-    /// Offers to bring a service's gauges up to date under its name.
+    /// Registers the callback that updates the gauges of a service.
     ///
-    /// Gauges are read rarely and change all the time, so they are set when
-    /// somebody reads them rather than at every change.
+    /// Gauges change much more often than they are read, so they are set when
+    /// metrics are rendered rather than at every change.
     pub fn offer_report(
         &self,
         name: &'static str,
@@ -168,7 +169,7 @@
         mutex::lock(&self.reports).insert(name, sync::Arc::new(report));
     }
 
-    /// Brings the gauges of every service up to date.
+    /// Updates the gauges of every service.
     pub async fn report(&self) {
         let reports = mutex::lock(&self.reports).clone();
         for report in reports.values() {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Offers to give up shards whose id begins with `prefix`.
+    /// Registers the callback that drains shards whose id begins with `prefix`.
     pub fn offer_drain(
         &self,
         prefix: &'static str,
@@ -185,9 +186,9 @@
         mutex::lock(&self.drains).insert(prefix, sync::Arc::new(drain));
     }
 
-    /// Stops the use of a shard and waits until nothing of it is in progress.
+    /// Stops the use of a shard and waits until nothing is in progress on it.
     ///
-    /// A shard that nobody uses is clean.
+    /// A shard for which no callback is registered is clean.
     pub async fn drain(&self, shard: ids::ShardId) -> Drained {
         let drain = mutex::lock(&self.drains)
             .iter()
--- a/crates/figscale/src/lib.rs
+++ b/crates/figscale/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry instance: kernel, named services and the adapters around them.
+//! The entry instance: the kernel, the named services and their I/O adapters.
 //!
 //! A process has one control thread and some traffic threads. Services on the
 //! control thread own the shared state (claims, catalogue, jobs), receive
@@ -6,8 +6,8 @@
 //! ([`state`]). Traffic threads read the snapshots and own the connections;
 //! no request waits for the control thread.
 //!
-//! The decisions themselves are in `figscale-core`, which knows no socket and
-//! no clock. This crate gives them time, messages and randomness.
+//! The decisions are made in `figscale-core`, which does no I/O and reads no
+//! clock. This crate supplies time, messages and randomness.
 
 pub mod catalogue;
 pub mod claims;
--- a/crates/figscale/src/logs.rs
+++ b/crates/figscale/src/logs.rs
@@ -1,13 +1,13 @@
-//! The log: one JSON object a line, by `flexi_logger`.
+//! The log: one JSON object per line, written through `flexi_logger`.
 //!
 //! Every line has `time` (UTC), `level` and `target`. A numbered event adds
-//! `event`, `name` and its fields, as docs/EVENTS.md lists them; a line of a
-//! library, of which only warnings and errors are written, adds `message`.
+//! `event`, `name` and its fields, as docs/EVENTS.md lists them. A record of
+//! a library has `message` instead; only its warnings and errors are written.
 //!
-//! The log never holds up the work. Lines go through a bounded queue to a
-//! thread that writes them; a reader that stalls costs lines and no time. Their
-//! number is bounded as well, since in an overload every request has a line.
-//! What was left out is counted, and the count is a line of its own.
+//! Logging never blocks the caller. Lines pass through a bounded queue to a
+//! writer thread; if the reader of the output stalls, lines are dropped. The
+//! rate of lines is limited as well, since under overload every request logs a
+//! line. Dropped lines are counted, and the count is logged as an event.
 
 use std::io;
 use std::io::Write as _;
@@ -34,15 +34,16 @@
 
 /// Target of every numbered event.
 const EVENT_TARGET: &str = "figscale";
-/// Lines written in any one second at most. A leader wrote 597 lines of 118 KB
-/// together in the busiest second of a day with a burst and a slow store.
+/// Maximum number of lines per second. In the busiest second of a day with a
+/// burst of load and a slow store, a leader wrote 597 lines, 118 KB in total.
 pub const MAX_LINES_PER_S: u32 = 1_000;
-/// Lines that wait for the writing thread at most, about two seconds of them.
-const MAX_WAITING_LINES: usize = 2_000;
-/// Longest wait for the last lines when the process ends.
+/// Maximum number of lines queued for the writer thread, about two seconds of
+/// output.
+const MAX_QUEUED_LINES: usize = 2_000;
+/// Maximum time to wait for queued lines to be written, also at process exit.
 const FLUSH_LIMIT: time::Duration = time::Duration::from_millis(300);
 
-/// Starts the log; it ends when the handle is dropped.
+/// Starts logging, which ends when the handle is dropped.
 pub fn start(settings: &settings::LogSettings) -> Result<LoggerHandle, FlexiLoggerError> {
     let level = settings.level.filter();
     let specification = LogSpecification::builder()
@@ -61,17 +62,17 @@
 
 enum Line {
     Text(Vec<u8>),
-    /// Everything before it is written once this is answered.
+    /// Signalled once all lines queued before it have been written.
     Flush(mpsc::SyncSender<()>),
 }
 
-/// Lines of the current second.
+/// Count of the lines in the current second.
 struct Second {
     begun: time::Instant,
     lines: u32,
 }
 
-/// A writer that drops lines rather than wait.
+/// A log writer that drops lines rather than block.
 pub struct BoundedWriter {
     queue: mpsc::SyncSender<Line>,
     second: sync::Mutex<Second>,
@@ -79,10 +80,10 @@
 }
 
 impl BoundedWriter {
-    /// Writes to `out` on a thread of its own.
+    /// Starts a thread that writes to `out`.
     pub fn new(out: Box<dyn io::Write + Send>) -> Self {
-        let (queue, lines) = mpsc::sync_channel(MAX_WAITING_LINES);
-        // Without the thread the queue is closed, and every line is dropped.
+        let (queue, lines) = mpsc::sync_channel(MAX_QUEUED_LINES);
+        // If the thread cannot be started, the queue is closed and every line is dropped.
         let _ = thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(out, &lines));
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Whether another line fits into this second; tells what was left out
-    /// when a new one begins.
+    /// Whether another line is allowed in this second. Logs the number of dropped
+    /// lines when a new second begins.
     fn admit(&self, now: &mut DeferredNow) -> bool {
         let mut second = mutex::lock(&self.second);
         if second.begun.elapsed() >= time::Duration::from_secs(1) {
@@ -106,13 +107,13 @@
                 begun: time::Instant::now(),
                 lines: 0,
             };
-            self.tell_dropped(now);
+            self.log_dropped(now);
         }
         second.lines += 1;
         second.lines <= MAX_LINES_PER_S
     }
 
-    fn tell_dropped(&self, now: &mut DeferredNow) {
+    fn log_dropped(&self, now: &mut DeferredNow) {
         let dropped = self.dropped.swap(0, atomic::Ordering::Relaxed);
         if dropped == 0 {
             return;
@@ -135,7 +136,7 @@
 fn write_lines(mut out: Box<dyn io::Write + Send>, lines: &mpsc::Receiver<Line>) {
     while let Ok(line) = lines.recv() {
         match line {
-            // A reader that has gone away is no reason to stop working.
+            // Write errors are ignored: the process continues without its log.
             Line::Text(text) => {
                 let _ = out.write_all(&text);
             }
@@ -173,7 +174,7 @@
     }
 }
 
-/// Writes one record as one JSON object, without the line end.
+/// Writes one record as a JSON object, without a line terminator.
 pub fn write_line(
     out: &mut dyn io::Write,
     now: &mut DeferredNow,
@@ -195,7 +196,7 @@
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
     fn visit_pair(&mut self, key: kv::Key<'kvs>, value: kv::Value<'kvs>) -> Result<(), kv::Error> {
         let value = serde_json::to_value(&value).unwrap_or(Value::Null);
-        // A field never hides the line's own.
+        // A field of the record never replaces a field of the line.
         self.0.entry(key.as_str()).or_insert(value);
         Ok(())
     }
--- a/crates/figscale/src/metrics.rs
+++ b/crates/figscale/src/metrics.rs
@@ -1,10 +1,11 @@
-//! Counters, gauges and histograms of a process, by opentelemetry.
+//! Counters, gauges and histograms of a process, through `opentelemetry`.
 //!
-//! Read in the Prometheus text form on the operator address. Services call the
-//! method named by what happened and need know nothing of instruments. Labels
-//! are bounded by the catalogue and the platform's list: no request id, job id
-//! or caller's text becomes one. The library's own process collector adds
-//! processor time, resident memory, threads and open files.
+//! They are served in the Prometheus text format on the operator address.
+//! Services call one method per kind of occurrence and do not deal with
+//! instruments. The cardinality of labels is bounded by the catalogue and the
+//! platform's instance list: request ids, job ids and texts of callers are never
+//! labels. The process collector of the `prometheus` crate adds CPU time,
+//! resident memory, threads and open files.
 
 use std::fmt;
 use std::sync;
@@ -24,27 +25,27 @@
 
 /// Scope of the instruments.
 const SCOPE: &str = "figscale";
-/// Bounds of the histogram of waits, in seconds.
+/// Bucket bounds of the histograms of waiting and response times, in seconds.
 const WAIT_BOUNDS_S: [f64; 12] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 3.3, 10.0,
 ];
 
-/// Bounds of the histogram of jobs' times, in seconds.
+/// Bucket bounds of the histogram of job times, in seconds.
 const JOB_BOUNDS_S: [f64; 9] = [0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0, 32.0, 64.0];
 
-/// Slots of a service's runners that this process hands out.
+/// Slots of the runners of a service that this process allocates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Slots {
-    /// May be given to a request now.
+    /// Available for a request.
     pub free: u32,
-    /// Run a request, or are kept back because they may.
+    /// Running a request, or withheld because they may be running one.
     pub taken: u32,
 }
 
 /// The meters of a process.
 pub struct Metrics {
     registry: prometheus::Registry,
-    // Instruments are dead once their provider is dropped.
+    // Instruments stop recording once their provider is dropped.
     provider: SdkMeterProvider,
     requests: metrics::Counter<u64>,
     request_wait: metrics::Histogram<f64>,
@@ -125,14 +126,16 @@
     }
 }
 
-/// A provider that is read through the registry.
+/// Creates a meter provider that exports to the registry.
 ///
-/// Where one part cannot be registered the process goes on without it: it has
-/// work to do that does not depend on being measured.
+/// If a collector or the exporter cannot be registered, the process continues
+/// without it, since its work does not depend on metrics.
 fn provider(registry: &prometheus::Registry) -> SdkMeterProvider {
     let process = process_collector::ProcessCollector::for_self();
     if let Err(error) = registry.register(Box::new(process)) {
-        log::warn!("no process metrics: {error}");
+        log::warn!(
+            "cannot register the process collector; continuing without process metrics: {error}"
+        );
     }
     let exporter = opentelemetry_prometheus::exporter()
         .with_registry(registry.clone())
@@ -142,7 +145,9 @@
     match exporter {
         Ok(exporter) => SdkMeterProvider::builder().with_reader(exporter).build(),
         Err(error) => {
-            log::warn!("no metrics: {error}");
+            log::warn!(
+                "cannot create the Prometheus exporter; continuing without metrics: {error}"
+            );
             SdkMeterProvider::default()
         }
     }
@@ -158,7 +163,7 @@
 }
 
 impl Metrics {
-    /// All instruments in the Prometheus text form.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let encoder = prometheus::TextEncoder::new();
         encoder
@@ -166,7 +171,7 @@
             .unwrap_or_else(|error| format!("# {error}\n"))
     }
 
-    /// A request got its final answer.
+    /// Records the final answer to a request.
     pub fn request_answered(
         &self,
         entry: &ids::EntryName,
@@ -181,7 +186,7 @@
         self.requests.add(1, &labels);
     }
 
-    /// A request was dispatched after it had waited this long.
+    /// Records the dispatch of a request and the time that it waited.
     pub fn request_dispatched(
         &self,
         entry: &ids::EntryName,
@@ -195,12 +200,12 @@
         self.request_wait.record(waited.as_secs_f64(), &labels);
     }
 
-    /// So many requests wait now.
+    /// Sets the number of waiting requests.
     pub fn queue_changed(&self, len: usize) {
         self.queue_len.record(count(len), &[]);
     }
 
-    /// The slots of a service are in these states now.
+    /// Sets the number of slots of a service by state.
     pub fn slots_changed(&self, service: &ids::ServiceName, slots: Slots) {
         let record = |state, number: u32| {
             let labels = [
@@ -213,7 +218,7 @@
         record("taken", slots.taken);
     }
 
-    /// Has the use of the store read from its client's own counts.
+    /// Exports the use of the store from the counts of its client.
     pub fn observe_store(&self, counts: impl Fn() -> store::Counts + Send + Sync + 'static) {
         let counts = sync::Arc::new(counts);
         let meter = self.provider.meter(SCOPE);
@@ -246,24 +251,24 @@
             .build();
     }
 
-    /// So many shards are held now.
+    /// Sets the number of shards held.
     pub fn claims_changed(&self, held: usize) {
         self.claims_held.record(count(held), &[]);
     }
 
-    /// So many tasks run and wait now.
+    /// Sets the number of running and queued tasks.
     pub fn tasks_changed(&self, running: usize, queued: usize) {
         let state = |state| [KeyValue::new("state", state)];
         self.tasks.record(count(running), &state("running"));
         self.tasks.record(count(queued), &state("queued"));
     }
 
-    /// The start of a task was sent to a worker.
+    /// Counts the start of a task sent to a worker.
     pub fn task_start_sent(&self) {
         self.task_starts.add(1, &[]);
     }
 
-    /// A caller of the fleet got its answer.
+    /// Records the answer to a call of a fleet's caller.
     pub fn fleet_call_answered(&self, method: &str, status: u16, took: time::Duration) {
         let labels = [
             KeyValue::new("method", method.to_owned()),
@@ -274,7 +279,7 @@
             .record(took.as_secs_f64(), &labels[..1]);
     }
 
-    /// A job of the fleet reached its end, after its submission so long ago.
+    /// Records the end of a fleet's job, with the time since its submission.
     pub fn fleet_job_ended(&self, state: &'static str, late: bool, after: time::Duration) {
         let labels = [KeyValue::new("state", state), KeyValue::new("late", late)];
         self.fleet_jobs.add(1, &labels);
@@ -282,18 +287,18 @@
             .record(after.as_secs_f64(), &labels[..1]);
     }
 
-    /// The leader of the fleet knows of so many things of a kind now.
+    /// Sets the number of objects of a kind (jobs, runs, workers) known to the leader.
     pub fn fleet_knows(&self, kind: &'static str, number: usize) {
         self.fleet_state
             .record(count(number), &[KeyValue::new("kind", kind)]);
     }
 
-    /// The platform's store answered a call of this instance.
+    /// Records the response time of a call to the platform's store.
     pub fn fleet_store_answered(&self, took: time::Duration) {
         self.fleet_store_time.record(took.as_secs_f64(), &[]);
     }
 
-    /// Has calls to the users' platform read from its client's own counts.
+    /// Exports the calls to the users' platform from the counts of its client.
     pub fn observe_platform(
         &self,
         counts: impl Fn() -> [(&'static str, u64); 3] + Send + Sync + 'static,
@@ -310,7 +315,7 @@
             .build();
     }
 
-    /// A catalogue came into force here.
+    /// Sets the revision of the catalogue in force in this process.
     pub fn catalogue_adopted(&self, revision: ids::Revision) {
         self.catalogue_revision.record(revision.0, &[]);
     }
--- a/crates/figscale/src/operator/answer.rs
+++ b/crates/figscale/src/operator/answer.rs
@@ -1,4 +1,4 @@
-//! Bodies, statuses and `Retry-After` of operators' answers.
+//! Bodies, statuses and `Retry-After` headers of the operator API.
 
 use axum::Json;
 use axum::extract::rejection;
@@ -12,13 +12,13 @@
 use crate::kernel;
 use crate::settings::document;
 
-/// Time after which to come back when a service names none.
+/// Time after which to retry if the service gives none.
 pub const RETRY_AFTER_MS: u64 = 1_000;
 
-/// What a handler gives back.
+/// Result of a handler.
 pub(crate) type Answer<T> = Result<Json<T>, Refusal>;
 
-/// An error as an HTTP answer.
+/// An error that is sent as an HTTP response.
 pub(crate) struct Refusal(operator::OperatorError);
 
 impl From<operator::OperatorError> for Refusal {
@@ -29,7 +29,7 @@
 
 impl From<kernel::Unavailable> for Refusal {
     fn from(error: kernel::Unavailable) -> Self {
-        // A service that ended with the message may have acted on it.
+        // A service that ended after it received the message may have executed it.
         let kind = match error {
             kernel::Unavailable::Unknown(_) | kernel::Unavailable::Full(_) => {
                 operator::ErrorKind::Unavailable
@@ -50,14 +50,14 @@
     }
 }
 
-/// The answer of a service as the answer over HTTP.
-pub(crate) fn settle<T: Serialize>(
-    asked: Result<Result<T, operator::OperatorError>, kernel::Unavailable>,
+/// Converts the result of a call of a service to an HTTP response.
+pub(crate) fn into_answer<T: Serialize>(
+    result: Result<Result<T, operator::OperatorError>, kernel::Unavailable>,
 ) -> Answer<T> {
-    Ok(Json(asked??))
+    Ok(Json(result??))
 }
 
-/// An error of kind "not now", with the time to come back.
+/// An error of kind `Unavailable`, with the default time until a retry.
 pub(crate) fn unavailable(text: &str) -> operator::OperatorError {
     operator::OperatorError {
         kind: operator::ErrorKind::Unavailable,
@@ -66,7 +66,7 @@
     }
 }
 
-/// An error of wrong input.
+/// An error of kind `Invalid`.
 pub(crate) fn invalid(text: impl Into<String>) -> operator::OperatorError {
     operator::OperatorError::new(operator::ErrorKind::Invalid, text)
 }
@@ -82,7 +82,8 @@
     }
 }
 
-/// An error as an HTTP answer, with `Retry-After` in whole seconds, rounded up.
+/// Converts an error to an HTTP response, with `Retry-After` in whole seconds,
+/// rounded up.
 pub(crate) fn refuse(error: operator::OperatorError) -> response::Response {
     let status = status(error.kind);
     let retry_after_s = error.retry_after_ms.map(|wait| wait.div_ceil(1_000));
@@ -95,7 +96,7 @@
     answer
 }
 
-/// Takes a body; one that is too large or broke off is refused.
+/// Returns the body, or an error if it is too large or incomplete.
 pub(crate) fn body(body: Result<Bytes, rejection::BytesRejection>) -> Result<Bytes, BodyRefusal> {
     body.map_err(|rejection| BodyRefusal {
         status: rejection.status(),
@@ -109,7 +110,7 @@
     })
 }
 
-/// Parses a body; an error names line, column and field.
+/// Parses a body. Errors name the line, column and field.
 pub(crate) fn parse<T: de::DeserializeOwned>(body: &[u8]) -> Result<T, operator::OperatorError> {
     let text = std::str::from_utf8(body).map_err(|_| invalid("body: expected UTF-8"))?;
     document::Document::from_text("body", text)
@@ -117,7 +118,7 @@
         .map_err(|error| invalid(error.to_string()))
 }
 
-/// A body that could not be read, with the status of its own.
+/// A body that could not be read, with the status given by the HTTP library.
 pub(crate) struct BodyRefusal {
     status: http::StatusCode,
     error: operator::OperatorError,
--- a/crates/figscale/src/operator/catalogue.rs
+++ b/crates/figscale/src/operator/catalogue.rs
@@ -1,4 +1,4 @@
-//! Catalogue: `/v1/catalogue` and below.
+//! Handlers of the catalogue: `/v1/catalogue` and the paths below it.
 
 use axum::Json;
 use axum::Router;
@@ -35,8 +35,10 @@
 async fn in_force(
     extract::State(context): extract::State<state::Context>,
 ) -> answer::Answer<schema::Accepted> {
-    let asked = service(&context)?.call(catalogue::Message::InForce).await;
-    answer::settle(asked.map(|known| known.map(|accepted| schema::Accepted::clone(&accepted))))
+    let result = service(&context)?.call(catalogue::Message::InForce).await;
+    answer::into_answer(
+        result.map(|known| known.map(|accepted| schema::Accepted::clone(&accepted))),
+    )
 }
 
 async fn apply(
@@ -51,10 +53,10 @@
 
 async fn accept(context: state::Context, body: Bytes) -> answer::Answer<operator::ApplyAnswer> {
     let request: operator::ApplyRequest = answer::parse(&body)?;
-    let asked = service(&context)?
+    let result = service(&context)?
         .call(|reply| catalogue::Message::Apply(Box::new(request), reply))
         .await;
-    answer::settle(asked)
+    answer::into_answer(result)
 }
 
 async fn rollback(
@@ -72,17 +74,17 @@
     body: Bytes,
 ) -> answer::Answer<operator::ApplyAnswer> {
     let request: operator::RollbackRequest = answer::parse(&body)?;
-    let asked = service(&context)?
+    let result = service(&context)?
         .call(|reply| catalogue::Message::Rollback(request, reply))
         .await;
-    answer::settle(asked)
+    answer::into_answer(result)
 }
 
 async fn history(
     extract::State(context): extract::State<state::Context>,
 ) -> answer::Answer<Vec<operator::HistoryLine>> {
-    let asked = service(&context)?.call(catalogue::Message::History).await;
-    answer::settle(asked)
+    let result = service(&context)?.call(catalogue::Message::History).await;
+    answer::into_answer(result)
 }
 
 async fn status(
@@ -99,8 +101,8 @@
     let revision: ids::Revision = revision
         .parse()
         .map_err(|error: figscale_types::error::ParseError| answer::invalid(error.to_string()))?;
-    let asked = service(&context)?
+    let result = service(&context)?
         .call(|reply| catalogue::Message::At(revision, reply))
         .await;
-    answer::settle(asked)
+    answer::into_answer(result)
 }
--- a/crates/figscale/src/operator/jobs.rs
+++ b/crates/figscale/src/operator/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs: `/v1/jobs` and below.
+//! Handlers of jobs: `/v1/jobs` and the paths below it.
 
 use axum::Router;
 use axum::extract;
@@ -31,27 +31,27 @@
 
 async fn submit(
     extract::State(context): extract::State<state::Context>,
-    extract::Query(asked): extract::Query<query::Submission>,
+    extract::Query(parameters): extract::Query<query::Submission>,
     body: Result<Bytes, rejection::BytesRejection>,
 ) -> response::Response {
     match answer::body(body) {
-        Ok(body) => accept(context, asked, body).await.into_response(),
+        Ok(body) => accept(context, parameters, body).await.into_response(),
         Err(refusal) => refusal.into_response(),
     }
 }
 
 async fn accept(
     context: state::Context,
-    asked: query::Submission,
+    parameters: query::Submission,
     body: Bytes,
 ) -> answer::Answer<schema::JobStatus> {
-    let id = asked.id()?;
+    let id = parameters.id()?;
     let id: ids::JobId = query::parse(&id)?;
     let spec: schema::JobSpec = answer::parse(&body)?;
-    let asked = service(&context)?
+    let result = service(&context)?
         .call(|reply| jobs::Message::Submit(id, spec, reply))
         .await;
-    answer::settle(asked)
+    answer::into_answer(result)
 }
 
 async fn status(
@@ -59,10 +59,10 @@
     extract::Path(id): extract::Path<String>,
 ) -> answer::Answer<schema::JobStatus> {
     let id: ids::JobId = query::parse(&id)?;
-    let asked = service(&context)?
+    let result = service(&context)?
         .call(|reply| jobs::Message::Status(id, reply))
         .await;
-    answer::settle(asked)
+    answer::into_answer(result)
 }
 
 async fn cancel(
@@ -70,19 +70,20 @@
     extract::Path(id): extract::Path<String>,
 ) -> answer::Answer<schema::JobStatus> {
     let id: ids::JobId = query::parse(&id)?;
-    let asked = service(&context)?
+    let result = service(&context)?
         .call(|reply| jobs::Message::Cancel(id, reply))
         .await;
-    answer::settle(asked)
+    answer::into_answer(result)
 }
 
 async fn list(
     extract::State(context): extract::State<state::Context>,
-    extract::Query(asked): extract::Query<query::Listing>,
+    extract::Query(parameters): extract::Query<query::Listing>,
 ) -> answer::Answer<Vec<schema::JobStatus>> {
-    let owner: Option<ids::OwnerName> = asked.owner.as_deref().map(query::parse).transpose()?;
-    let asked = service(&context)?
+    let owner: Option<ids::OwnerName> =
+        parameters.owner.as_deref().map(query::parse).transpose()?;
+    let result = service(&context)?
         .call(|reply| jobs::Message::List(owner, reply))
         .await;
-    answer::settle(asked)
+    answer::into_answer(result)
 }
--- a/crates/figscale/src/operator/mod.rs
+++ b/crates/figscale/src/operator/mod.rs
@@ -1,9 +1,10 @@
-//! The operators' address: catalogue, jobs, dump, metrics and readiness.
+//! The HTTP API of the operator address: catalogue, jobs, dump, metrics and
+//! readiness.
 //!
-//! Runs on the traffic threads and asks the services on the control thread by
-//! name. A service that is away, or a process that is leaving, answers 503
-//! with the time to come back; a change that is in progress when a planned
-//! stop begins still gets its answer.
+//! It runs on the traffic threads and calls the services on the control thread
+//! by name. If a service is unavailable or the process is shutting down, the
+//! response is 503 with the time after which to retry. A change that is in
+//! progress when a planned stop begins is still answered.
 
 pub(crate) mod answer;
 mod catalogue;
@@ -28,24 +29,24 @@
 
 pub use answer::RETRY_AFTER_MS;
 
-/// Largest body, in bytes.
+/// Maximum size of a body, in bytes.
 pub const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// The operators' address of a running process.
+/// The server of the operator address.
 pub struct Server {
     stop: watch::Sender<bool>,
     served: task::JoinHandle<()>,
 }
 
 impl Server {
-    /// Takes no more connections and waits for the answers in progress.
+    /// Stops accepting connections and waits for calls in progress.
     pub async fn end(self) {
         self.stop.send_replace(true);
         let _ = self.served.await;
     }
 }
 
-/// Serves operators on the traffic threads.
+/// Starts serving the operator address on the traffic threads.
 pub fn start(context: &state::Context, listener: TcpListener) -> Server {
     process::offer_dump(context);
     let app = router(context);
@@ -96,7 +97,8 @@
     (status, axum::Json(error)).into_response()
 }
 
-/// Reads go on while the process is leaving; changes are for the others.
+/// Refuses changes during shutdown; reads are still served. Other entry instances
+/// accept the changes.
 async fn refuse_changes_when_leaving(
     extract::State(context): extract::State<state::Context>,
     request: extract::Request,
@@ -109,8 +111,8 @@
     next.run(request).await
 }
 
-/// A service that does not answer holds nobody; what became of a change that
-/// it was given is then not known.
+/// Limits the time that a call waits for a service. If the limit is reached, the
+/// result of a change is unknown.
 async fn limit_time(
     extract::State(context): extract::State<state::Context>,
     request: extract::Request,
--- a/crates/figscale/src/operator/process.rs
+++ b/crates/figscale/src/operator/process.rs
@@ -1,4 +1,4 @@
-//! The process itself: dump, metrics, liveness and readiness.
+//! Handlers about the process: dump, metrics, liveness and readiness.
 
 use axum::Json;
 use axum::Router;
@@ -13,7 +13,7 @@
 use super::answer;
 use crate::state;
 
-/// Media type of the Prometheus text form.
+/// Media type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
 pub(super) fn routes() -> Router<state::Context> {
@@ -24,7 +24,7 @@
         .route("/readyz", routing::get(ready))
 }
 
-/// Offers the section on the process itself.
+/// Registers the section of the dump about the process itself.
 pub(super) fn offer_dump(context: &state::Context) {
     let shared = context.shared.clone();
     let settings = context.settings.clone();
--- a/crates/figscale/src/operator/query.rs
+++ b/crates/figscale/src/operator/query.rs
@@ -1,4 +1,4 @@
-//! What operators say in the path and the query of a call.
+//! Path and query parameters of the operator API.
 
 use std::str;
 
@@ -8,14 +8,15 @@
 
 use super::answer;
 
-/// Query of a submission.
+/// Query parameters of the submission of a job.
 #[derive(Deserialize)]
 pub(crate) struct Submission {
     id: Option<String>,
 }
 
 impl Submission {
-    /// The id, without which a repeated submission would count twice.
+    /// The job id. It is required, since without one a retried submission would
+    /// create a second job.
     pub(crate) fn id(self) -> Result<String, operator::OperatorError> {
         let text = "id: expected a job id of your own in the query, \
                     so that a repeated submission counts once";
@@ -23,14 +24,14 @@
     }
 }
 
-/// Query of a listing.
+/// Query parameters of the list of jobs.
 #[derive(Deserialize)]
 pub(crate) struct Listing {
-    /// Only this owner's jobs.
+    /// List only the jobs of this owner.
     pub(crate) owner: Option<String>,
 }
 
-/// Reads a name or id; an error says what it should look like.
+/// Parses a name or id. The error describes the expected form.
 pub(crate) fn parse<T>(text: &str) -> Result<T, operator::OperatorError>
 where
     T: str::FromStr<Err = error::ParseError>,
--- a/crates/figscale/src/serve.rs
+++ b/crates/figscale/src/serve.rs
@@ -1,9 +1,9 @@
-//! Starts the services of one entry instance and ends them in order.
+//! Starts the services of one entry instance and shuts them down gracefully.
 //!
-//! The control thread is an ordinary thread with a single-threaded runtime, on
-//! which services spawn themselves as local tasks. Listeners are bound before
-//! anything else, so that a wrong address fails the start and not the first
-//! request.
+//! The control thread is an OS thread with a single-threaded runtime, on which
+//! the services run as local tasks. Listeners are bound before
+//! anything else, so that a wrong address makes the start fail rather than
+//! the first request.
 
 use std::io;
 use std::net;
@@ -31,8 +31,9 @@
 use crate::store;
 use crate::traffic;
 
-/// Longest time that a leaving process takes for passing on what it remembers.
-const PASS_ON_LIMIT: time::Duration = time::Duration::from_secs(2);
+/// Maximum time that a process spends during shutdown on handing over the
+/// request ids that it remembers.
+const HANDOVER_LIMIT: time::Duration = time::Duration::from_secs(2);
 
 /// A running entry instance.
 pub struct EntryInstance {
@@ -42,7 +43,7 @@
 }
 
 struct Listeners {
-    /// Bound, and listened on once there is something to say.
+    /// Only bound at first; listened on once the claims and a catalogue are known.
     caller: TcpSocket,
     peer: TcpListener,
     operator: TcpListener,
@@ -62,7 +63,7 @@
         let control = thread::Builder::new()
             .name("control".to_owned())
             .spawn(move || {
-                // Dropped at the end of the thread, also by a panic.
+                // Dropped when the thread ends, also by a panic.
                 let _running = running;
                 control_thread(settings, clock, traffic, listeners, stopped)
             })?;
@@ -73,17 +74,17 @@
         })
     }
 
-    /// Begins a planned stop; a repeat changes nothing.
+    /// Begins a planned stop. Idempotent.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
 
-    /// Completes once the control thread has ended, in order or not.
+    /// Completes once the control thread has ended, gracefully or not.
     pub async fn ended(&mut self) {
         while self.ended.changed().await.is_ok() {}
     }
 
-    /// Waits for the end.
+    /// Waits for the control thread to end and returns its result.
     pub fn join(mut self) -> eyre::Result<()> {
         match self.control.take().map(thread::JoinHandle::join) {
             Some(Ok(result)) => result,
@@ -109,13 +110,13 @@
     })
 }
 
-/// Keeps an address without listening on it yet.
+/// Binds a socket to an address without listening on it.
 fn bind_only(address: net::SocketAddr) -> io::Result<TcpSocket> {
     let socket = match address {
         net::SocketAddr::V4(_) => TcpSocket::new_v4()?,
         net::SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // As listeners have it, so that a new process can follow at once.
+    // `TcpListener::bind` sets it too: a new process can bind the address at once.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     Ok(socket)
@@ -138,15 +139,16 @@
     Ok(())
 }
 
-/// A number for this life: later starts get larger ones, unless the wall clock
-/// went back, which the claims service notices.
+/// Returns the incarnation number of this process, from the wall clock: a later
+/// start gets a larger number unless the clock was set back, which the claims
+/// service detects.
 pub(crate) fn new_incarnation(clock: &clock::SharedClock) -> ids::Incarnation {
     let since_epoch = clock.wall().duration_since(time::UNIX_EPOCH);
     let micros = since_epoch.unwrap_or_default().as_micros();
     ids::Incarnation(u64::try_from(micros).unwrap_or(u64::MAX))
 }
 
-/// What the services of a process are given; starts none of them.
+/// Creates the context that the services of a process share; starts no service.
 pub fn context(
     settings: settings::Settings,
     clock: clock::SharedClock,
@@ -189,15 +191,16 @@
         .spawn(peer::listen(listeners.peer, token, handlers));
     crate::event!(events::process::PROCESS_STARTED, member = context.me());
 
-    // A dropped handle is a stop as well.
+    // A dropped handle also requests a stop.
     let _ = stopped.wait_for(|stop| *stop).await;
     leave(&context, operators).await;
     crate::event!(events::process::PROCESS_ENDED, member = context.me());
 }
 
-/// Not ready, no new work, requests in progress finish, claims handed over.
+/// Shuts down: reports not ready, accepts no new work, lets requests in progress
+/// finish and releases the claims.
 ///
-/// Operators are answered to the last, so that the stop itself can be watched.
+/// The operator address is served until the end, so that the stop can be observed.
 async fn leave(context: &state::Context, operators: operator::Server) {
     crate::event!(events::process::PROCESS_LEAVING, member = context.me());
     context.shared.leaving.send_replace(true);
@@ -206,7 +209,7 @@
         traffic::drain(context).await;
         claims::leave(context).await;
         let passed_on = traffic::pass_on(context);
-        let _ = tokio::time::timeout(PASS_ON_LIMIT, passed_on).await;
+        let _ = tokio::time::timeout(HANDOVER_LIMIT, passed_on).await;
         operators.end().await;
     };
     let _ = tokio::time::timeout(limit, in_order).await;
--- a/crates/figscale/src/settings/claims.rs
+++ b/crates/figscale/src/settings/claims.rs
@@ -8,13 +8,13 @@
 
 use super::Problems;
 
-/// Use of the platform's key-value service.
+/// Client of the platform's key-value service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Time to wait for one answer. Default 2,000, 10 to 60,000.
+    /// Timeout of a call. Default 2,000, 10 to 60,000.
     pub timeout_ms: u64,
-    /// Calls a second of all entry instances together. Default 200, 1 to 2,000.
+    /// Maximum calls per second of all entry instances together. Default 200, 1 to 2,000.
     pub budget_calls_per_s: u64,
 }
 
@@ -43,16 +43,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClaimsSettings {
-    /// Life of a member's lease after each renewal. Default 6,000, 500 to 60,000.
+    /// Duration of a member's lease after each renewal. Default 6,000, 500 to 60,000.
     pub lease_ms: u64,
     /// Time between heartbeats. Default 1,500, 100 to 20,000; a third of the lease at most.
     pub heartbeat_ms: u64,
     /// Time between reads of the instance list. Default 1,000, 100 to 10,000.
     pub instances_ms: u64,
-    /// Part of each lease left unused, for clock rates and scheduling. Default 500, 10 to 5,000.
+    /// Safety margin at the end of each lease, for clock drift and scheduling delays.
+    /// Default 500, 10 to 5,000.
     pub margin_ms: u64,
-    /// Where to connect instead, by published peer address, in a network that
-    /// maps addresses. Default: nowhere else.
+    /// Addresses to connect to instead of published peer addresses, in a network
+    /// that maps addresses. Default: none.
     pub peer_routes: IndexMap<net::SocketAddr, net::SocketAddr>,
 }
 
@@ -93,9 +94,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CatalogueSettings {
-    /// Time that one watch waits. Default 10,000, 100 to 60,000.
+    /// Duration of one watch. Default 10,000, 100 to 60,000.
     pub watch_ms: u64,
-    /// Time between polls, the last resort. Default 2,000, 100 to 60,000.
+    /// Time between polls, the fallback if watches fail. Default 2,000, 100 to 60,000.
     pub poll_ms: u64,
 }
 
--- a/crates/figscale/src/settings/document.rs
+++ b/crates/figscale/src/settings/document.rs
@@ -1,10 +1,10 @@
-//! Reading of JSON documents with comments.
+//! Parser of JSON documents with comments.
 //!
-//! Settings, catalogues and jobs are read the same way, so that every refusal
-//! has one form: `FILE:LINE:COLUMN: FIELD: what was expected`. Comments are
-//! blanked out by a library before parsing, which keeps lines and columns. A
-//! document is parsed a second time when a place within it is asked for; that
-//! happens only on the way to an error.
+//! Settings, catalogues and jobs are parsed in the same way, so that all errors
+//! have the form `FILE:LINE:COLUMN: FIELD: what was expected`. A library replaces
+//! comments by blanks before parsing, which preserves lines and columns. To find
+//! the position of a field, the document is parsed again; this happens only for
+//! error messages.
 
 use std::error;
 use std::fmt;
@@ -19,22 +19,23 @@
 
 use super::duplicates;
 
-/// Largest document that is read, in bytes.
+/// Maximum size of a document, in bytes.
 pub const MAX_DOCUMENT_BYTES: u64 = 1 << 20;
 
-/// Most faults that one error shows; each costs a look through the document.
+/// Maximum number of faults shown in an error; the position of each is found by
+/// a search of the document.
 const MAX_FAULTS_SHOWN: usize = 20;
 
-/// A place in a document, both counted from 1, columns in bytes.
+/// A position in a document. Line and column are counted from 1, columns in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Position {
     /// Line.
     pub line: usize,
     /// Column.
     pub column: usize,
 }
 
-impl Place {
+impl Position {
     const START: Self = Self { line: 1, column: 1 };
 
     fn at_offset(text: &str, offset: usize) -> Self {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Why a document is refused.
+/// Error of a document that is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DocumentError {
     name: String,
@@ -56,14 +57,17 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Fault {
-    place: Option<Place>,
+    position: Option<Position>,
     text: String,
 }
 
 impl DocumentError {
-    /// A document that cannot be read at all.
+    /// The error of a document that cannot be read.
     fn unreadable(name: &str, text: String) -> Self {
-        let fault = Fault { place: None, text };
+        let fault = Fault {
+            position: None,
+            text,
+        };
         Self {
             name: name.to_owned(),
             faults: vec![fault],
@@ -78,8 +82,8 @@
                 writeln!(f)?;
             }
             f.write_str(&self.name)?;
-            if let Some(place) = fault.place {
-                write!(f, ":{}:{}", place.line, place.column)?;
+            if let Some(position) = fault.position {
+                write!(f, ":{}:{}", position.line, position.column)?;
             }
             write!(f, ": {}", fault.text)?;
         }
@@ -89,7 +93,7 @@
 
 impl error::Error for DocumentError {}
 
-/// A document whose comments are blanked out.
+/// A document whose comments are replaced by blanks.
 #[derive(Clone, Debug)]
 pub struct Document {
     name: String,
@@ -110,13 +114,13 @@
         Self::from_text(&name, &text)
     }
 
-    /// Takes a text, with the name that errors give it.
+    /// Creates a document from a text. `name` stands for the file in errors.
     pub fn from_text(name: &str, text: &str) -> Result<Self, DocumentError> {
         let mut blanked = String::with_capacity(text.len());
         let stripped = StripComments::new(text.as_bytes()).read_to_string(&mut blanked);
         if stripped.is_err() {
             let fault = Fault {
-                place: Some(place_of_bad_comment(text)),
+                position: Some(position_of_bad_comment(text)),
                 text: "expected a comment, `// ...` or `/* ... */`, that is closed".to_owned(),
             };
             return Err(DocumentError {
@@ -142,23 +146,24 @@
         Ok(parsed)
     }
 
-    /// Refuses a name that stands twice in one object, of which a map would
-    /// quietly keep the last.
+    /// Rejects an object that contains a name twice; a map would silently keep the
+    /// last value.
     fn refuse_duplicates(&self) -> Result<(), DocumentError> {
         let mut json = serde_json::Deserializer::from_str(&self.text);
-        let walked: Result<duplicates::Unique, _> = serde_path_to_error::deserialize(&mut json);
-        walked.map(|_| ()).map_err(|error| {
+        let checked: Result<duplicates::UniqueNames, _> =
+            serde_path_to_error::deserialize(&mut json);
+        checked.map(|_| ()).map_err(|error| {
             let path = error.path().to_string();
             self.malformed(Some(&path), error.inner())
         })
     }
 
     fn malformed(&self, path: Option<&str>, error: &serde_json::Error) -> DocumentError {
-        let place = Place {
+        let position = Position {
             line: error.line().max(1),
             column: error.column().max(1),
         };
-        let message = without_place(error);
+        let message = message_without_position(error);
         let text = match path {
             Some(path) if path != "." && path != "?" => format!("{path}: {message}"),
             _ => message,
@@ -166,27 +171,27 @@
         DocumentError {
             name: self.name.clone(),
             faults: vec![Fault {
-                place: Some(place),
+                position: Some(position),
                 text,
             }],
         }
     }
 
-    /// Refuses a document that was parsed but is wrong in itself.
+    /// Returns the error for a document that parsed but whose content is invalid.
     ///
-    /// A line names fields by their paths with dots and is placed at the first
-    /// of them that stands in the document. Where none does, because a default
-    /// is wrong beside what was set, it is placed at the innermost object
-    /// around the first.
+    /// Each line names fields by their dotted paths and gets the position of the
+    /// first of them that is present in the document. If none is present, because
+    /// a default conflicts with a value that was set, it gets the position of the
+    /// innermost object around the first field.
     pub fn refuse(&self, lines: &[String]) -> DocumentError {
         let fault = |line: &String| Fault {
-            place: Some(self.place_of_line(line)),
+            position: Some(self.position_of_line(line)),
             text: line.clone(),
         };
         let mut faults: Vec<Fault> = lines.iter().take(MAX_FAULTS_SHOWN).map(fault).collect();
         if lines.len() > MAX_FAULTS_SHOWN {
             faults.push(Fault {
-                place: None,
+                position: None,
                 text: format!("and {} more", lines.len() - MAX_FAULTS_SHOWN),
             });
         }
@@ -196,44 +201,44 @@
         }
     }
 
-    fn place_of_line(&self, line: &str) -> Place {
-        let found: Vec<Found<'_>> = line
+    fn position_of_line(&self, line: &str) -> Position {
+        let found: Vec<PathMatch<'_>> = line
             .split_whitespace()
             .map(|word| word.trim_matches([':', ',', ';', '`', '"', '(', ')']))
             .filter_map(|word| find(&self.text, word))
             .collect();
-        let best = found.iter().find(|f| f.whole).or(found.first());
-        best.map_or(Place::START, |found| self.place(found.part))
+        let best = found.iter().find(|f| f.exact).or(found.first());
+        best.map_or(Position::START, |found| self.position(found.part))
     }
 
-    /// The place of a part of the text, which the library borrowed from it.
-    fn place(&self, part: &str) -> Place {
+    /// The position of `part`, which must be a slice of the text.
+    fn position(&self, part: &str) -> Position {
         let offset = (part.as_ptr() as usize).saturating_sub(self.text.as_ptr() as usize);
-        Place::at_offset(&self.text, offset)
+        Position::at_offset(&self.text, offset)
     }
 }
 
-/// The value that a path leads to, or the innermost one on the way.
-struct Found<'a> {
+/// The value at a path, or the innermost value that contains it.
+struct PathMatch<'a> {
     part: &'a str,
-    whole: bool,
+    exact: bool,
 }
 
-/// Follows a path whose names are joined by dots and may hold dots themselves;
-/// `None` when not even its first name is there.
-fn find<'a>(text: &'a str, path: &str) -> Option<Found<'a>> {
+/// Finds the value at a dotted path, whose names may contain dots themselves.
+/// Returns `None` if not even the first name is present.
+fn find<'a>(text: &'a str, path: &str) -> Option<PathMatch<'a>> {
     let fields: IndexMap<String, &'a value::RawValue> = serde_json::from_str(text).ok()?;
     let mut best = None;
     for (name, value) in fields {
         let part = value.get();
         let found = match path.strip_prefix(name.as_str()) {
-            Some("") => Found { part, whole: true },
+            Some("") => PathMatch { part, exact: true },
             Some(rest) if rest.starts_with('.') => {
-                find(part, &rest[1..]).unwrap_or(Found { part, whole: false })
+                find(part, &rest[1..]).unwrap_or(PathMatch { part, exact: false })
             }
             _ => continue,
         };
-        if found.whole {
+        if found.exact {
             return Some(found);
         }
         best = Some(found);
@@ -241,13 +246,13 @@
     best
 }
 
-/// Where the library gave up: after the last good byte, or, when it read to
-/// the end for the end of a comment, where that comment begins.
-fn place_of_bad_comment(text: &str) -> Place {
+/// The position at which the library failed: after the last valid byte or, if
+/// the text ends inside a block comment, at the start of that comment.
+fn position_of_bad_comment(text: &str) -> Position {
     let mut stripper = StripComments::new(text.as_bytes());
     let mut byte = [0];
     let mut good = 0;
-    // One byte at a time, since a longer read fails as a whole.
+    // One byte at a time, since a longer read that fails returns no bytes.
     while stripper.read(&mut byte).is_ok_and(|length| length > 0) {
         good += 1;
     }
@@ -256,17 +261,18 @@
     } else {
         good
     };
-    Place::at_offset(text, offset)
+    Position::at_offset(text, offset)
 }
 
-/// What the standard library says of an address, which names no form.
+/// Message of the standard library for an invalid address; it does not give the
+/// expected form.
 const BAD_ADDRESS: &str = "invalid socket address syntax";
 
-/// The message of a JSON error without the place, which is shown in front.
-fn without_place(error: &serde_json::Error) -> String {
+/// The message of a JSON error without the position, which is shown before it.
+fn message_without_position(error: &serde_json::Error) -> String {
     let message = error.to_string();
-    let place = format!(" at line {} column {}", error.line(), error.column());
-    match message.strip_suffix(&place) {
+    let position = format!(" at line {} column {}", error.line(), error.column());
+    match message.strip_suffix(&position) {
         Some(BAD_ADDRESS) => format!("{BAD_ADDRESS}, expected IP:PORT like 127.0.0.1:7101"),
         Some(message) => message.to_owned(),
         None => message,
--- a/crates/figscale/src/settings/fleet.rs
+++ b/crates/figscale/src/settings/fleet.rs
@@ -8,41 +8,41 @@
 
 use super::Problems;
 
-/// Scheduling on the workers of the users' platform.
+/// Scheduling of the workers of the users' platform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
-    /// Where the platform's balancer asks whether to send new connections.
+    /// Address on which the platform's balancer checks whether to send new connections.
     pub ready_address: net::SocketAddr,
-    /// Where the advisory service is, for queues that have one.
+    /// Address of the advisory service, for queues that use it.
     #[serde(default)]
     pub advice_address: Option<net::SocketAddr>,
-    /// Longest lease that workers grant. Default 6,000, 1,000 to 600,000.
+    /// Maximum lease that workers grant. Default 6,000, 1,000 to 600,000.
     #[serde(default = "default_max_worker_lease_ms")]
     pub max_worker_lease_ms: u64,
-    /// Longest time that a worker takes to end a task. Default 400, 1 to 60,000.
+    /// Maximum time that a worker takes to end a task. Default 400, 1 to 60,000.
     #[serde(default = "default_stop_limit_ms")]
     pub stop_limit_ms: u64,
-    /// How old the last reading of a worker's entry may be for new work there.
+    /// Maximum age of the last reading of a worker's entry for new work on it.
     /// Default 3,000, 1,000 to 600,000.
     #[serde(default = "default_max_entry_age_ms")]
     pub max_entry_age_ms: u64,
-    /// How old the proof may be that a configuration is the newest, for whatever
-    /// depends on customers' keys and limits. Default none: any age. 1,000 to
-    /// 600,000.
+    /// Maximum age of the proof that the configuration is the newest, for all
+    /// decisions that depend on customers' keys and limits. Default none: any age.
+    /// 1,000 to 600,000.
     #[serde(default)]
     pub max_config_age_ms: Option<u64>,
-    /// Life of the leader's lease after each renewal. Default 1,500, 1,000 to 60,000.
+    /// Duration of the leader's lease after each renewal. Default 1,500, 1,000 to 60,000.
     #[serde(default = "default_leader_lease_ms")]
     pub leader_lease_ms: u64,
-    /// Workers whose calls a leader makes itself; with more, the other instances
-    /// make them for it. Default 64, 0 to 100,000.
+    /// Maximum number of workers that a leader calls itself; with more workers, the
+    /// other instances relay the calls. Default 64, 0 to 100,000.
     #[serde(default = "default_own_workers")]
     pub own_workers: u64,
-    /// Part of a core that this instance may use. Default 1.0, 0.01 to 1.0.
+    /// Share of each core that this instance may use. Default 1.0, 0.01 to 1.0.
     #[serde(default = "default_cpu_share")]
     pub cpu_share: f64,
-    /// Cores that it may use in that part. Default 1, 1 to 1,024.
+    /// Number of cores that it may use to that share. Default 1, 1 to 1,024.
     #[serde(default = "default_cores")]
     pub cores: u64,
 }
@@ -76,12 +76,12 @@
 }
 
 impl FleetSettings {
-    /// Processor that this instance has, in thousandths of a core.
+    /// Processor capacity of this instance, in thousandths of a core.
     pub fn cpu_millis(&self) -> u64 {
         (self.cpu_share * 1_000.0) as u64 * self.cores
     }
 
-    /// How old the proof of a configuration may be.
+    /// Maximum age of the proof that the configuration is the newest.
     pub fn max_config_age(&self) -> Option<time::Duration> {
         self.max_config_age_ms.map(time::Duration::from_millis)
     }
--- a/crates/figscale/src/settings/jobs.rs
+++ b/crates/figscale/src/settings/jobs.rs
@@ -9,18 +9,18 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct JobSettings {
-    /// Life of a task's lease after each renewal, longer than a takeover takes, so
-    /// that tasks outlive their holder. Default 20,000, 500 to 60,000.
+    /// Duration of a task's lease after each renewal; longer than a takeover, so
+    /// that tasks survive the loss of their holder. Default 20,000, 500 to 60,000.
     pub lease_ms: u64,
-    /// Time between renewals. Default 1,500, 50 to 20,000; a third of the lease at most.
+    /// Time between renewals of a lease. Default 1,500, 50 to 20,000; a third of the lease at most.
     pub renew_ms: u64,
-    /// Longest time from writing to a worker to its receipt. Default 1,000, 50 to 10,000.
+    /// Maximum time between sending to a worker and its receipt. Default 1,000, 50 to 10,000.
     pub window_ms: u64,
-    /// Allowance for clock rates and scheduling. Default 500, 10 to 5,000.
+    /// Safety margin for clock drift and scheduling delays. Default 500, 10 to 5,000.
     pub margin_ms: u64,
-    /// Shortest time between two writes of one job shard. Default 200, 10 to 10,000.
+    /// Minimum time between two writes of a job shard. Default 200, 10 to 10,000.
     pub write_every_ms: u64,
-    /// Time for which ended jobs are kept. Default 3,600,000, 1,000 to 604,800,000.
+    /// Retention time of ended jobs. Default 3,600,000, 1,000 to 604,800,000.
     pub keep_ended_ms: u64,
 }
 
--- a/crates/figscale/src/settings/log.rs
+++ b/crates/figscale/src/settings/log.rs
@@ -7,28 +7,28 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// Least severe level that is written. Default `info`.
+    /// Minimum severity of the lines that are written. Default `info`.
     pub level: LogLevel,
-    /// Where lines go. Default `stderr`.
+    /// Output of the log. Default `stderr`.
     pub target: LogTarget,
 }
 
-/// Severity of a line.
+/// Minimum severity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Only what needs a person.
+    /// Only errors, which need the attention of an operator.
     Error,
-    /// Also what may need one.
+    /// Also warnings, which may need attention.
     Warn,
-    /// Also what changes.
+    /// Also changes of state.
     #[default]
     Info,
-    /// Also what helps to find a fault.
+    /// Also details for debugging.
     Debug,
 }
 
-/// Where lines go. Instances have no disks, so there is no file.
+/// Output of the log. Instances have no disks, so there is no file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogTarget {
--- a/crates/figscale/src/settings/mod.rs
+++ b/crates/figscale/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! Settings of a process: JSON with comments, checked before anything starts.
+//! Settings of a process: JSON with comments, validated before anything starts.
 //!
-//! Each section is a struct with documented defaults and bounds. A section
-//! checks itself and adds what is wrong to [`Problems`], so that `settings
-//! check` and `serve` give the same verdict and name every problem at once.
+//! Each section is a struct with documented defaults and bounds. Its `check`
+//! method adds invalid values to [`Problems`], so that `settings check` and
+//! `serve` give the same result and report all problems at once.
 
 mod claims;
 pub mod document;
@@ -37,22 +37,22 @@
 pub struct Settings {
     /// Stable name of this entry instance.
     pub member: ids::MemberId,
-    /// Failure domain that it stands in.
+    /// Failure domain of this instance.
     pub failure_domain: ids::FailureDomain,
-    /// Where callers reach it.
+    /// Address that callers connect to.
     pub caller_address: net::SocketAddr,
-    /// Where other entry instances reach it.
+    /// Address that other entry instances connect to.
     pub peer_address: net::SocketAddr,
-    /// Where operators reach it.
+    /// Address of the operator API.
     pub operator_address: net::SocketAddr,
-    /// Where the platform's key-value service and instance list are.
+    /// Address of the platform's key-value service and instance list.
     pub platform_address: net::SocketAddr,
-    /// Secret that entry instances show each other; 16 bytes or more.
+    /// Shared secret by which entry instances authenticate each other; 16 bytes or more.
     pub peer_token: String,
-    /// Threads for traffic. Default 2, 1 to 64.
+    /// Number of traffic threads. Default 2, 1 to 64.
     #[serde(default = "default_traffic_threads")]
     pub traffic_threads: usize,
-    /// Longest planned stop. Default 30,000, 100 to 600,000.
+    /// Maximum duration of a planned stop. Default 30,000, 100 to 600,000.
     #[serde(default = "default_shutdown_ms")]
     pub shutdown_ms: u64,
     /// Use of the store.
@@ -70,10 +70,10 @@
     /// Jobs and tasks.
     #[serde(default)]
     pub jobs: JobSettings,
-    /// Operators' calls.
+    /// Calls of operators.
     #[serde(default)]
     pub operator: OperatorSettings,
-    /// Present where the instance schedules the workers of the users' platform.
+    /// Present if the instance schedules the workers of the users' platform.
     #[serde(default)]
     pub fleet: Option<FleetSettings>,
     /// The log.
@@ -81,7 +81,7 @@
     pub log: LogSettings,
 }
 
-/// Shortest peer token, in bytes.
+/// Minimum length of the peer token, in bytes.
 const MIN_PEER_TOKEN_LEN: usize = 16;
 
 fn default_traffic_threads() -> usize {
@@ -92,14 +92,14 @@
     30_000
 }
 
-/// What is wrong with settings, in the order found.
+/// Problems found in the settings, in the order of the checks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Problems {
     lines: Vec<String>,
 }
 
 impl Problems {
-    /// Notes that a field is out of its bounds.
+    /// Adds a problem if the value of a field is out of its bounds.
     pub fn bound<T>(&mut self, field: &str, value: T, low: T, high: T)
     where
         T: PartialOrd + std::fmt::Display,
@@ -109,24 +109,24 @@
         }
     }
 
-    /// Notes a problem in a sentence that names the fields.
+    /// Adds a problem: a sentence that names the fields.
     pub fn add(&mut self, line: String) {
         self.lines.push(line);
     }
 
-    /// The problems, one a line.
+    /// The problems, one per line.
     pub fn lines(&self) -> &[String] {
         &self.lines
     }
 }
 
 impl Settings {
-    /// Reads and checks a file; `settings check` and `serve` both do just this.
+    /// Reads and validates a file. Both `settings check` and `serve` use this.
     pub fn load(file: &path::Path) -> Result<Self, document::DocumentError> {
         Self::from_document(&document::Document::read(file)?)
     }
 
-    /// Parses and checks a document.
+    /// Parses and validates a document.
     pub fn from_document(document: &document::Document) -> Result<Self, document::DocumentError> {
         let settings: Self = document.parse()?;
         let problems = settings.check();
@@ -136,7 +136,7 @@
         Err(document.refuse(problems.lines()))
     }
 
-    /// Every problem beyond what parsing finds.
+    /// Returns all problems that parsing does not detect.
     pub fn check(&self) -> Problems {
         let mut problems = Problems::default();
         problems.bound("traffic_threads", self.traffic_threads, 1, 64);
@@ -155,7 +155,7 @@
         problems
     }
 
-    /// The token goes into a header; the message never repeats it.
+    /// The token is sent in a header, hence visible ASCII. Messages never contain it.
     fn check_token(&self, problems: &mut Problems) {
         let length = self.peer_token.len();
         if length < MIN_PEER_TOKEN_LEN {
@@ -187,7 +187,7 @@
                 ));
             }
         }
-        // Peers connect to this very address, so it cannot stand for any.
+        // This address is published to the peers, so it must not be a wildcard address.
         if self.peer_address.ip().is_unspecified() {
             problems.add(format!(
                 "peer_address is {}: expected the address that peers connect to",
@@ -196,7 +196,7 @@
         }
     }
 
-    /// The settings as a dump shows them, without the secret.
+    /// The settings as shown in a dump, without the secret.
     pub fn without_secrets(&self) -> Self {
         Self {
             peer_token: "(not shown)".to_owned(),
--- a/crates/figscale/src/settings/operator.rs
+++ b/crates/figscale/src/settings/operator.rs
@@ -1,15 +1,15 @@
-//! Settings of operators' calls.
+//! Settings of the operator API.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use super::Problems;
 
-/// Operators' calls.
+/// Calls of operators.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// Longest time that a call waits for a service. Default 10,000, 100 to 60,000.
+    /// Maximum time that a call waits for a service. Default 10,000, 100 to 60,000.
     pub timeout_ms: u64,
 }
 
--- a/crates/figscale/src/settings/traffic.rs
+++ b/crates/figscale/src/settings/traffic.rs
@@ -9,41 +9,41 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TrafficSettings {
-    /// Longest head of a caller's request. Default 32,768 bytes, 8,192 to 1,048,576.
+    /// Maximum size of the head of a request. Default 32,768 bytes, 8,192 to 1,048,576.
     pub max_head_bytes: usize,
-    /// Most headers of a caller's request. Default 64, 16 to 1,000.
+    /// Maximum number of headers of a request. Default 64, 16 to 1,000.
     pub max_headers: usize,
-    /// Time for the head of a request to arrive. Default 5,000, 50 to 60,000.
+    /// Timeout for receiving the head of a request. Default 5,000, 50 to 60,000.
     pub head_timeout_ms: u64,
-    /// Time for the body of a request to arrive. Default 15,000, 50 to 600,000.
+    /// Timeout for receiving the body of a request. Default 15,000, 50 to 600,000.
     pub body_timeout_ms: u64,
-    /// Request bodies held at once. Default 134,217,728 bytes, 1 MiB to 16 GiB.
+    /// Maximum total size of the request bodies in memory. Default 134,217,728 bytes, 1 MiB to 16 GiB.
     pub body_memory_bytes: u64,
-    /// Connections of callers at once. Default 4,096, 1 to 1,000,000.
+    /// Maximum number of connections of callers. Default 4,096, 1 to 1,000,000.
     pub max_connections: usize,
-    /// Answers up to this size are held until they are whole. Default 262,144
+    /// Answers up to this size are buffered until they are complete. Default 262,144
     /// bytes, 0 to 16,777,216.
     pub hold_bytes: usize,
-    /// Time to connect to a runner. Default 1,000, 10 to 60,000.
+    /// Timeout for connecting to a runner. Default 1,000, 10 to 60,000.
     pub connect_timeout_ms: u64,
-    /// Time that a request waits for a shard to get a holder. Default 3,000, 0 to 60,000.
+    /// Maximum time that a request waits for a shard to get a holder. Default 3,000, 0 to 60,000.
     pub holder_wait_ms: u64,
-    /// Shortest time between two pushes of slot counts. Default 20, 1 to 1,000.
+    /// Minimum time between two pushes of slot counts. Default 20, 1 to 1,000.
     pub push_ms: u64,
-    /// Longest time between two pushes of slot counts. Default 500, 10 to 10,000.
+    /// Maximum time between two pushes of slot counts. Default 500, 10 to 10,000.
     pub refresh_ms: u64,
-    /// Time between reports asked of a runner. Default 500, 10 to 60,000.
+    /// Time between requests for a report of a runner. Default 500, 10 to 60,000.
     pub report_ms: u64,
-    /// Time after which what was sent has arrived or never will. Default 1,000, 10 to 60,000.
+    /// Time after which a message has either arrived or will never arrive. Default 1,000, 10 to 60,000.
     pub settle_ms: u64,
     /// Tolerated difference of clocks in request ids. Default 1,000, 1 to 60,000.
     pub clock_tolerance_ms: u64,
-    /// Request ids remembered by each home. Default 200,000, 100 to 10,000,000.
+    /// Maximum number of request ids remembered by each home. Default 200,000, 100 to 10,000,000.
     pub ids_per_home: usize,
-    /// Share of slots that best-effort work leaves free while interactive requests
-    /// are about. Default 0.1, 0 to 0.9.
+    /// Share of the slots that best-effort work leaves free while there are
+    /// interactive requests. Default 0.1, 0 to 0.9.
     pub reserve_share: f64,
-    /// Retries earned by each first attempt. Default 0.1, 0 to 1.
+    /// Retries added to the retry budget by each first attempt. Default 0.1, 0 to 1.
     pub retry_ratio: f64,
 }
 
--- a/crates/figscale/src/state.rs
+++ b/crates/figscale/src/state.rs
@@ -1,9 +1,9 @@
 //! Snapshots that control services publish and traffic threads read.
 //!
-//! A snapshot is immutable and replaced whole, so a reader never sees half of
-//! a change and never waits. What must be true at the very moment of a
-//! dispatch, the [`Authority`], is not part of a snapshot but an atomic that
-//! is read immediately before and after each dispatch.
+//! A snapshot is immutable and replaced as a whole, so a reader never sees a
+//! partial change and never blocks. The [`Authority`] must hold at the moment of
+//! a dispatch; it is therefore not part of a snapshot but an atomic that is read
+//! immediately before and after each dispatch.
 
 use std::sync;
 use std::sync::atomic;
@@ -17,11 +17,10 @@
 use indexmap::IndexMap;
 use tokio::sync::watch;
 
-/// Until when this process may use the shards that it holds.
+/// The time until which this process may use the shards that it holds.
 ///
-/// Written by the claims service, read before and after every dispatch. Time
-/// is counted in nanoseconds from an instant fixed at the start; zero stands
-/// for no authority.
+/// Written by the claims service, read before and after every dispatch. Stored
+/// as nanoseconds since the start of the process; zero means no authority.
 #[derive(Debug)]
 pub struct Authority {
     base: time::Instant,
@@ -29,7 +28,7 @@
 }
 
 impl Authority {
-    /// No authority yet; `base` is the process's start.
+    /// Creates it without authority; `base` is the start of the process.
     pub fn new(base: time::Instant) -> Self {
         Self {
             base,
@@ -61,7 +60,7 @@
     }
 }
 
-/// What the claims service knows.
+/// Snapshot published by the claims service.
 #[derive(Clone, Debug)]
 pub struct ClaimsView {
     /// This process.
@@ -72,14 +71,14 @@
     pub claims: claims::Claims,
     /// Shards that this process holds and may use while it has authority.
     pub held: IndexMap<ids::ShardId, Held>,
-    /// The platform's list, as last read.
+    /// The platform's instance list, as last read.
     pub instances: sync::Arc<instances::InstanceList>,
     /// Runners and workers by shard, leaving ones included.
     pub by_shard: IndexMap<ids::ShardId, Vec<instances::Instance>>,
 }
 
 impl ClaimsView {
-    /// What is known before anything was read.
+    /// The view before the first read.
     pub fn empty(me: ids::MemberKey) -> Self {
         Self {
             me,
@@ -99,7 +98,7 @@
     }
 }
 
-/// All that traffic threads read.
+/// State shared with the traffic threads.
 #[derive(Debug)]
 pub struct Shared {
     /// Right to use held shards.
@@ -108,12 +107,12 @@
     pub claims: watch::Sender<sync::Arc<ClaimsView>>,
     /// The catalogue in force.
     pub catalogue: watch::Sender<sync::Arc<catalogue::Accepted>>,
-    /// Set once the process is about to end: not ready, no new work.
+    /// Set when shutdown begins: not ready, no new work.
     pub leaving: watch::Sender<bool>,
 }
 
 impl Shared {
-    /// Nothing is known yet.
+    /// Creates empty snapshots without authority.
     pub fn new(me: ids::MemberKey, now: time::Instant) -> Self {
         let view = sync::Arc::new(ClaimsView::empty(me));
         Self {
@@ -135,14 +134,14 @@
     }
 }
 
-/// What every service of a process is given at its start.
+/// Resources that every service of a process receives at its start.
 #[derive(Clone)]
 pub struct Context {
     /// The registry of services.
     pub kernel: sync::Arc<crate::kernel::Kernel>,
     /// Snapshots and authority.
     pub shared: sync::Arc<Shared>,
-    /// The checked settings.
+    /// The validated settings.
     pub settings: sync::Arc<crate::settings::Settings>,
     /// The clock.
     pub clock: figscale_types::clock::SharedClock,
@@ -152,7 +151,7 @@
     pub store: sync::Arc<crate::store::Store>,
     /// Counters, gauges and histograms.
     pub metrics: sync::Arc<crate::metrics::Metrics>,
-    /// Where connections and request work run.
+    /// The runtime on which connections and requests are handled.
     pub traffic: tokio::runtime::Handle,
 }
 
