--- a/crates/figscale/tests/cli_exit.rs
+++ b/crates/figscale/tests/cli_exit.rs
@@ -1,7 +1,7 @@
-//! Exit codes of the operators' commands, and what a lost answer leads to.
+//! Exit codes of the operator commands, and retries after lost responses.
 //!
-//! The entry instance is a script: it answers each connection as told and
-//! keeps what it was sent.
+//! The entry instance is replaced by a scripted server, which handles each
+//! connection as its script says and records the requests.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -16,26 +16,27 @@
 
 use rstest::rstest;
 
-/// What the script does with one connection.
+/// What the scripted server does with one connection.
 #[derive(Clone, Copy)]
 enum Step {
-    /// Answers with this status and body.
+    /// Responds with this status and body.
     Answer(u16, &'static str),
-    /// Reads the request, then closes without an answer.
-    Lose,
+    /// Reads the request, then closes the connection without a response.
+    CloseUnanswered,
 }
 
-/// A port at which nothing listens. One that was just closed will not do: it
-/// may still take a connection and break it, which is a lost answer.
-const NOBODY: &str = "127.0.0.1:1";
+/// An address that refuses connections. A port that was just closed cannot be
+/// used: it may still accept a connection and break it, which is a lost response.
+const REFUSING_ADDRESS: &str = "127.0.0.1:1";
 
-struct Script {
+struct ScriptedServer {
     address: net::SocketAddr,
     requests: mpsc::Receiver<String>,
 }
 
-/// Plays the steps, one for each request, then takes no more connections.
-fn play(steps: Vec<Step>) -> Script {
+/// Starts a server that performs the steps, one per connection, and then accepts no
+/// more connections.
+fn serve_script(steps: Vec<Step>) -> ScriptedServer {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (sender, requests) = mpsc::channel();
@@ -48,7 +49,7 @@
             }
         }
     });
-    Script { address, requests }
+    ScriptedServer { address, requests }
 }
 
 fn read_request(socket: &mut net::TcpStream) -> String {
@@ -110,7 +111,7 @@
     409,
     r#"{"kind":"conflict","message":"revision 3 came first","retry_after_ms":null}"#,
 );
-const AWAY: Step = Step::Answer(
+const UNAVAILABLE: Step = Step::Answer(
     503,
     r#"{"kind":"unavailable","message":"the store is away","retry_after_ms":700}"#,
 );
@@ -124,31 +125,31 @@
 #[case::accepted(vec![ACCEPTED], 0, "accepted as revision 2\n", "")]
 #[case::invalid(vec![INVALID], 2, "", "no\n")]
 #[case::conflict(vec![CONFLICT], 3, "", "revision 3 came first\n")]
-#[case::away(vec![AWAY], 4, "", "the store is away (ask again after 700 ms)\n")]
+#[case::away(vec![UNAVAILABLE], 4, "", "the store is away (ask again after 700 ms)\n")]
 #[case::broken(vec![BROKEN], 1, "", "500 Internal Server Error: oops\n")]
 #[case::unknown_then_known(vec![UNKNOWN, REPEATED], 0, "accepted before as revision 2\n", "")]
-#[case::lost_then_known(vec![Step::Lose, REPEATED], 0, "accepted before as revision 2\n", "")]
-#[case::lost_then_conflict(vec![Step::Lose, CONFLICT], 3, "", "revision 3 came first\n")]
+#[case::lost_then_known(vec![Step::CloseUnanswered, REPEATED], 0, "accepted before as revision 2\n", "")]
+#[case::lost_then_conflict(vec![Step::CloseUnanswered, CONFLICT], 3, "", "revision 3 came first\n")]
 fn apply(#[case] steps: Vec<Step>, #[case] code: i32, #[case] stdout: &str, #[case] stderr: &str) {
-    let script = play(steps);
+    let server = serve_script(steps);
     let file = data("catalogue/good.json");
     let arguments = ["catalogue", "apply", &file, "--base", "1"];
-    let output = figscale(&script.address.to_string(), &arguments);
+    let output = figscale(&server.address.to_string(), &arguments);
     assert_eq!(text(&output.stderr), stderr);
     assert_eq!(text(&output.stdout), stdout);
     assert_eq!(output.status.code(), Some(code));
 }
 
-/// Repeats carry the same change id, or a change could count twice.
+/// Retries carry the same change id; otherwise a change could be applied twice.
 #[test]
 fn repeats_are_the_same_change() {
-    let script = play(vec![Step::Lose, UNKNOWN, REPEATED]);
+    let server = serve_script(vec![Step::CloseUnanswered, UNKNOWN, REPEATED]);
     let file = data("catalogue/good.json");
     let arguments = ["catalogue", "apply", &file, "--base", "1"];
-    let output = figscale(&script.address.to_string(), &arguments);
+    let output = figscale(&server.address.to_string(), &arguments);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
 
-    let bodies: Vec<String> = script.requests.iter().map(|r| body(&r)).collect();
+    let bodies: Vec<String> = server.requests.iter().map(|r| body(&r)).collect();
     assert_eq!(bodies.len(), 3);
     assert!(bodies[0].contains("\"change\":\""), "{}", bodies[0]);
     assert_eq!(bodies[0], bodies[1]);
@@ -159,19 +160,20 @@
     request.split_once("\r\n\r\n").unwrap().1.to_owned()
 }
 
-/// Repeats of a submission carry the same job id.
+/// Retries of a submission carry the same job id; otherwise a second job could be
+/// created.
 #[test]
 fn repeats_are_the_same_job() {
     let status = r#"{"id":"j","owner":"o","entry":"e","state":"queued",
         "verdict":"not-run","reason":null,"tasks":[]}"#;
-    let script = play(vec![Step::Lose, Step::Answer(200, status)]);
+    let server = serve_script(vec![Step::CloseUnanswered, Step::Answer(200, status)]);
     let output = figscale(
-        &script.address.to_string(),
+        &server.address.to_string(),
         &["job", "submit", &data("job.json")],
     );
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
 
-    let lines: Vec<String> = script
+    let lines: Vec<String> = server
         .requests
         .iter()
         .map(|r| r.lines().next().unwrap().to_owned())
@@ -184,47 +186,52 @@
     assert_eq!(lines[0], lines[1]);
 }
 
-/// A change that was sent and never answered is code 5, with the id to repeat.
+/// A change that was sent but not answered ends with exit code 5 and names the id
+/// for a retry.
 #[test]
 fn lost_change_may_have_taken_effect() {
-    let script = play(vec![Step::Lose]);
+    let server = serve_script(vec![Step::CloseUnanswered]);
     let file = data("catalogue/good.json");
     let arguments = ["catalogue", "apply", &file, "--base", "1"];
-    let output = figscale(&script.address.to_string(), &arguments);
+    let output = figscale(&server.address.to_string(), &arguments);
     let stderr = text(&output.stderr);
     assert_eq!(output.status.code(), Some(5), "{stderr}");
     assert!(stderr.starts_with("it may have taken effect"), "{stderr}");
 
     let sent: serde_json::Value =
-        serde_json::from_str(&body(&script.requests.recv().unwrap())).unwrap();
+        serde_json::from_str(&body(&server.requests.recv().unwrap())).unwrap();
     let repeat = format!("repeat with --change {}", sent["change"].as_str().unwrap());
     assert!(stderr.contains(&repeat), "{stderr}");
 }
 
-/// Nothing was sent, so nothing can have taken effect.
+/// If no connection was accepted, nothing was sent and nothing can have taken
+/// effect.
 #[test]
 fn nobody_there_is_unavailable() {
     let file = data("catalogue/good.json");
-    let output = figscale(NOBODY, &["catalogue", "apply", &file, "--base", "1"]);
+    let output = figscale(
+        REFUSING_ADDRESS,
+        &["catalogue", "apply", &file, "--base", "1"],
+    );
     assert_eq!(output.status.code(), Some(4), "{}", text(&output.stderr));
 }
 
-/// The next address is asked when the first takes no connection.
+/// The next address is tried if the first refuses connections.
 #[test]
 fn second_address_is_asked() {
-    let script = play(vec![ACCEPTED]);
-    let entries = format!("{NOBODY},{}", script.address);
+    let server = serve_script(vec![ACCEPTED]);
+    let entries = format!("{REFUSING_ADDRESS},{}", server.address);
     let file = data("catalogue/good.json");
     let output = figscale(&entries, &["catalogue", "apply", &file, "--base", "1"]);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
 }
 
 #[rstest]
-#[case::lost(vec![Step::Lose])]
+#[case::lost(vec![Step::CloseUnanswered])]
 #[case::unknown(vec![UNKNOWN])]
 fn lost_read_is_unavailable(#[case] steps: Vec<Step>) {
-    let script = play(steps);
-    let output = figscale(&script.address.to_string(), &["job", "list"]);
+    let server = serve_script(steps);
+    let output = figscale(&server.address.to_string(), &["job", "list"]);
     assert_eq!(output.status.code(), Some(4), "{}", text(&output.stderr));
 }
 
@@ -259,9 +266,9 @@
 
 #[test]
 fn address_from_the_environment() {
-    let script = play(vec![Step::Answer(200, "[]")]);
+    let server = serve_script(vec![Step::Answer(200, "[]")]);
     let output = process::Command::new(env!("CARGO_BIN_EXE_figscale"))
-        .env("FIGSCALE_ENTRY", script.address.to_string())
+        .env("FIGSCALE_ENTRY", server.address.to_string())
         .args(["--json", "job", "list"])
         .output()
         .unwrap();
@@ -288,19 +295,19 @@
     }
 }
 
-/// A job id may hold a slash, which is not one of the path.
+/// A slash in a job id is escaped, so that it does not split the path.
 #[rstest]
 #[case("status", "GET /v1/jobs/firth%2Fjob-1 ")]
 #[case("cancel", "POST /v1/jobs/firth%2Fjob-1/cancel ")]
 fn slash_in_a_job_id(#[case] command: &str, #[case] expected: &str) {
-    let script = play(vec![INVALID]);
+    let server = serve_script(vec![INVALID]);
     let arguments = ["job", command, "firth/job-1"];
-    figscale(&script.address.to_string(), &arguments);
-    let request = script.requests.recv().unwrap();
+    figscale(&server.address.to_string(), &arguments);
+    let request = server.requests.recv().unwrap();
     assert!(request.starts_with(expected), "{request}");
 }
 
-/// As in `figscale dump | head`.
+/// Output to a closed pipe, as in `figscale dump | head`, is no failure.
 #[test]
 fn output_that_nobody_reads_is_no_failure() {
     let (reader, writer) = io::pipe().unwrap();
--- a/crates/figscale/tests/cli_serve.rs
+++ b/crates/figscale/tests/cli_serve.rs
@@ -1,6 +1,7 @@
 //! `figscale serve` as a process: signals, exit codes and the log.
 //!
-//! The platform is absent throughout, which is an outage and no reason to fail.
+//! No platform is running in these tests: an outage of the platform must not make
+//! the process fail.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -16,10 +17,10 @@
 use figscale_standin::ports;
 use rstest::rstest;
 
-/// Longest wait for anything.
+/// Maximum time to wait for the process to end.
 const LIMIT: time::Duration = time::Duration::from_secs(60);
 
-/// A running process, ended with the test.
+/// A running process, killed when dropped.
 struct Serve {
     child: process::Child,
     log: BufReader<process::ChildStderr>,
@@ -78,7 +79,7 @@
 }
 
 impl Serve {
-    /// Reads the log up to an event, whose line it returns.
+    /// Reads the log up to the event of this name and returns its line.
     fn read_until(&mut self, name: &str) -> serde_json::Value {
         let mut line = String::new();
         while self.log.read_line(&mut line).unwrap() > 0 {
@@ -111,7 +112,7 @@
     }
 }
 
-/// A signal is a planned stop: in order, and with code 0.
+/// A signal causes a planned stop: graceful, and with exit code 0.
 #[rstest]
 #[case("TERM")]
 #[case("INT")]
@@ -126,7 +127,7 @@
     assert_eq!(serve.exit_code(), Some(0));
 }
 
-/// An address that is taken fails the start, and the message names the field.
+/// If an address is in use, the start fails and the message names the field.
 #[test]
 fn taken_address_fails_the_start() {
     let addresses = free_addresses();
--- a/crates/figscale/tests/dependencies_page.rs
+++ b/crates/figscale/tests/dependencies_page.rs
@@ -1,4 +1,4 @@
-//! docs/DEPENDENCIES.md names every library that a crate asks for.
+//! docs/DEPENDENCIES.md lists every library that a crate depends on.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,7 +8,8 @@
     path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Names in the dependency sections of a manifest, our own crates left out.
+/// Names in the dependency sections of a manifest, without the crates of this
+/// workspace.
 fn asked_for(manifest: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     let mut within = false;
--- a/crates/figscale/tests/events_page.rs
+++ b/crates/figscale/tests/events_page.rs
@@ -1,4 +1,4 @@
-//! docs/EVENTS.md against the code, and the form of a log line.
+//! Compares docs/EVENTS.md with the events in the code; checks the form of log lines.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -54,7 +54,8 @@
     );
 }
 
-/// A number means one thing, lies in the range of its area, and helps.
+/// Event numbers and names are unique, numbers are in the range of their area, and
+/// every event has a help text.
 #[test]
 fn numbers_are_unique_and_in_their_area() {
     let areas = [
@@ -110,7 +111,7 @@
     assert!(line["time"].as_str().unwrap().ends_with("+00:00"));
 }
 
-/// A line of a library stays one line whatever it says.
+/// The message of a library stays on one line even if it contains line breaks.
 #[test]
 fn library_line_is_a_message() {
     let line = written(
--- a/crates/figscale/tests/harness/layout.rs
+++ b/crates/figscale/tests/harness/layout.rs
@@ -1,4 +1,4 @@
-//! What a cell is laid out of: instances, paths between them, settings files.
+//! Parts of a test cell: instances, the network paths between them, settings files.
 
 use std::fs;
 
@@ -55,8 +55,9 @@
         self.workers.push(worker);
     }
 
-    /// Chooses the addresses of an entry instance and lays its paths.
-    pub(super) async fn lay_paths(&mut self, index: usize) {
+    /// Chooses the addresses of an entry instance and starts the proxies of its
+    /// paths to the platform and to and from the other entry instances.
+    pub(super) async fn create_paths(&mut self, index: usize) {
         let to_store = proxy::Config::to(self.platform.address());
         let to_store = proxy::start(to_store).await.unwrap();
         let entry = process::Entry::new(index, to_store.address(), self.folder.path());
@@ -89,7 +90,8 @@
     }
 }
 
-/// Lays `overlay` over `settings`: values of sections one by one, others whole.
+/// Merges `overlay` into `settings`: sections value by value, other fields as a
+/// whole.
 pub(super) fn overlay_sections(settings: &mut serde_json::Value, overlay: &serde_json::Value) {
     let Some(overlay) = overlay.as_object() else {
         return;
--- a/crates/figscale/tests/harness/mod.rs
+++ b/crates/figscale/tests/harness/mod.rs
@@ -1,12 +1,12 @@
-//! A cell of real entry instances for tests: processes, faults and judges.
+//! A test cell of real entry instances, with fault injection and invariant checkers.
 //!
 //! A [`Cell`] has one stand-in platform, runners and workers inside the test
 //! process, and entry instances that are real `figscale serve` processes with
-//! settings files in a folder of the cell. Between an entry instance and the
-//! platform, and between any two entry instances, stands a fault-injecting
-//! proxy of its own, one for each direction in which connections are made, so
-//! that a test can cut, delay or freeze exactly one path, in one direction or
-//! in both. All children are killed when the cell is dropped.
+//! settings files in a folder of the cell. Every connection between an entry
+//! instance and the platform, and between two entry instances, passes through a
+//! fault-injecting proxy of its own, one for each direction in which connections
+//! are made. A test can thus cut, delay or freeze exactly one path, in one
+//! direction or in both. All children are killed when the cell is dropped.
 //!
 //! ```ignore
 //! mod harness;
@@ -26,10 +26,10 @@
 //! ```
 //!
 //! Entry instances have indexes from 0 and names `entry-0`, `entry-1`, ...;
-//! paths are laid for all in the plan, started or not, so one that joins later
-//! or comes back keeps its addresses. Conditions are waited for with
-//! [`wait_until`], which polls and never asserts a speed. On a failure the
-//! test prints the logs of all processes ([`Cell::logs`]).
+//! paths are created for all in the plan, started or not, so that one that joins
+//! later or restarts keeps its addresses. Tests wait for conditions with
+//! [`wait_until`], which polls and asserts no speed beyond its long timeout. On a
+//! failure the test prints the logs of all processes ([`Cell::logs`]).
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 #![expect(dead_code, reason = "Each test binary uses a part.")]
@@ -55,32 +55,32 @@
 use nix::sys::signal;
 use serde_json::json;
 
-/// Longest wait for a condition.
+/// Maximum time to wait for a condition.
 pub(crate) const PATIENCE: time::Duration = time::Duration::from_secs(45);
-/// Starts of a cell of which some address was taken by somebody else.
+/// Maximum attempts to start a cell, when addresses turn out to be in use.
 const STARTS: usize = 5;
-/// Failure domains over which instances are spread.
+/// Failure domains, to which instances are assigned in turn.
 pub(crate) const DOMAINS: [&str; 2] = ["lm-1", "lm-2"];
 /// Service of all runners.
 pub(crate) const SERVICE: &str = "hullrate";
 
-/// What a cell consists of at its start.
+/// Initial configuration of a cell.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     /// Entry instances started at once.
     pub(crate) entries: usize,
-    /// Further ones that can be launched later.
+    /// Further entry instances that can be launched later.
     pub(crate) spare_entries: usize,
     /// Runners of 8 slots of [`SERVICE`].
     pub(crate) runners: usize,
     /// Workers of 64 cores.
     pub(crate) workers: usize,
-    /// Laid over the settings of every entry instance, section by section.
+    /// Merged into the settings of every entry instance, section by section.
     pub(crate) settings: serde_json::Value,
-    /// Time by which the platform's instance list lags.
+    /// Delay of the platform's instance list.
     pub(crate) instance_lag: time::Duration,
-    /// Callers' address of the first entry instance; `None` for one that is
-    /// free. Given up when somebody else listens there.
+    /// Callers' address of the first entry instance; `None` for any free address.
+    /// Replaced by a free address if it is in use.
     pub(crate) caller_address: Option<net::SocketAddr>,
 }
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// Polls until `done` is true; panics with `what` when it takes too long.
+/// Polls until `done` is true; panics with `what` after [`PATIENCE`].
 pub(crate) async fn wait_until<F>(what: &str, mut done: impl FnMut() -> F)
 where
     F: future::Future<Output = bool>,
@@ -110,19 +110,19 @@
     }
 }
 
-/// The cell.
+/// A running test cell.
 pub(crate) struct Cell {
     /// The platform.
     pub(crate) platform: platform::Handle,
     /// Runners, by index.
     pub(crate) runners: Vec<runner::Handle>,
-    /// Judge of what all runners saw.
+    /// Invariant checker of the requests that all runners received.
     pub(crate) requests: runner::Ledger,
     /// Workers, by index.
     pub(crate) workers: Vec<worker::Handle>,
-    /// Judge of where tasks ran.
+    /// Invariant checker of the runs of all tasks.
     pub(crate) tasks: worker::TaskLedger,
-    /// HTTP client for anything.
+    /// HTTP client for any request.
     pub(crate) client: client::Client,
     entries: Vec<process::Entry>,
     store_paths: Vec<proxy::Handle>,
@@ -131,8 +131,8 @@
 }
 
 impl Cell {
-    /// Starts the platform, runners, workers and entry instances; when an
-    /// address is taken by somebody else, all anew with other addresses.
+    /// Starts the platform, runners, workers and entry instances. If an address
+    /// turns out to be in use, starts everything again with other addresses.
     pub(crate) async fn start(mut plan: Plan) -> Self {
         for _ in 0..STARTS {
             match Self::try_start(&plan).await {
@@ -168,7 +168,7 @@
             cell.add_worker(index).await;
         }
         for index in 0..plan.entries + plan.spare_entries {
-            cell.lay_paths(index).await;
+            cell.create_paths(index).await;
         }
         if let (Some(address), Some(first)) = (plan.caller_address, cell.entries.first_mut()) {
             first.caller_address = address;
@@ -183,8 +183,8 @@
         Ok(cell)
     }
 
-    /// Lays these settings over those of one entry instance; they are in force
-    /// after its next launch.
+    /// Merges settings into those of one entry instance; they take effect at its
+    /// next launch.
     pub(crate) fn change_settings(&self, index: usize, overlay: &serde_json::Value) {
         let file = &self.entries[index].settings_file;
         let mut settings = serde_json::from_str(&fs::read_to_string(file).unwrap()).unwrap();
@@ -192,7 +192,7 @@
         fs::write(file, settings.to_string()).unwrap();
     }
 
-    /// Starts an entry instance, for the first time or again, and lists it.
+    /// Starts or restarts an entry instance and adds it to the platform's list.
     pub(crate) fn launch(&mut self, index: usize) {
         let entry = &mut self.entries[index];
         entry.launch();
@@ -204,19 +204,19 @@
         });
     }
 
-    /// Takes an entry instance off the platform's list.
+    /// Removes an entry instance from the platform's list.
     pub(crate) fn unlist(&self, index: usize) {
         let name = &self.entries[index].name;
         self.platform
             .change_instances(|list| list.retain(|known| known.id.as_str() != name));
     }
 
-    /// Waits until an entry instance answers operators, or ends because an
-    /// address of it is taken; panics when it ends for another reason.
+    /// Waits until an entry instance responds on its operator address, or ends
+    /// because an address is in use; panics if it ends for another reason.
     async fn wait_until_started(&mut self, index: usize) -> Result<(), process::AddressTaken> {
         let began = time::Instant::now();
         while !self.is_live(index).await {
-            self.entries[index].look_for_early_end()?;
+            self.entries[index].check_early_exit()?;
             assert!(began.elapsed() < PATIENCE, "entry-{index} does not answer");
             tokio::time::sleep(time::Duration::from_millis(10)).await;
         }
@@ -229,13 +229,13 @@
         self.client.send_within(limit, call).await.is_ok()
     }
 
-    /// Waits until an entry instance answers operators.
+    /// Waits until an entry instance responds on its operator address.
     pub(crate) async fn wait_until_live(&self, index: usize) {
         wait_until(&format!("answer of entry-{index}"), || self.is_live(index)).await;
     }
 
-    /// Waits until these entry instances have this revision of the catalogue
-    /// in force, by their own word.
+    /// Waits until these entry instances report this or a later revision of the
+    /// catalogue as in force.
     pub(crate) async fn wait_for_revision(&self, indexes: &[usize], revision: u64) {
         for index in indexes {
             let operator = self.operator(*index);
@@ -247,8 +247,8 @@
         }
     }
 
-    /// Waits until these entry instances, and no others, are members of the
-    /// claims by the word of each.
+    /// Waits until each of these entry instances reports these, and no others, as
+    /// members of the claims.
     pub(crate) async fn wait_for_members(&self, indexes: &[usize]) {
         for index in indexes {
             let operator = self.operator(*index);
@@ -276,22 +276,22 @@
         &self.entries[index].name
     }
 
-    /// Whether an entry instance was launched and its end was not yet seen.
+    /// Whether an entry instance was launched and has not been observed to end.
     pub(crate) fn is_running(&self, index: usize) -> bool {
         self.entries[index].is_running()
     }
 
-    /// Calls of an operator to an entry instance.
+    /// A client of the operator address of an entry instance.
     pub(crate) fn operator(&self, index: usize) -> operator::Operator {
         operator::Operator::new(self.client.clone(), self.entries[index].operator_address)
     }
 
-    /// Where operators reach an entry instance.
+    /// Operator address of an entry instance.
     pub(crate) fn operator_address(&self, index: usize) -> net::SocketAddr {
         self.entries[index].operator_address
     }
 
-    /// Where callers reach an entry instance.
+    /// Callers' address of an entry instance.
     pub(crate) fn caller_address(&self, index: usize) -> net::SocketAddr {
         self.entries[index].caller_address
     }
@@ -301,19 +301,19 @@
         &self.store_paths[index]
     }
 
-    /// The path on which an entry instance connects to another one.
+    /// The path on which one entry instance connects to another.
     pub(crate) fn peer_path(&self, from: usize, to: usize) -> &proxy::Handle {
         &self.peer_paths[&(from, to)]
     }
 
-    /// Cuts both paths between two entry instances, or mends them.
+    /// Cuts or restores both paths between two entry instances.
     pub(crate) fn cut_peers(&self, one: usize, other: usize, cut: bool) {
         for key in [(one, other), (other, one)] {
             self.peer_paths[&key].change_faults(|faults| faults.cut_both(cut));
         }
     }
 
-    /// Cuts an entry instance from the platform, or mends the path.
+    /// Cuts or restores the path between an entry instance and the platform.
     pub(crate) fn cut_store(&self, index: usize, cut: bool) {
         self.store_path(index)
             .change_faults(|faults| faults.cut_both(cut));
@@ -324,20 +324,20 @@
         self.entries[index].signal(signal);
     }
 
-    /// Kills an entry instance at once and waits for its end.
+    /// Kills an entry instance and waits for its end.
     pub(crate) async fn kill(&mut self, index: usize) {
         self.entries[index].signal(signal::Signal::SIGKILL);
         self.wait_for_exit(index).await;
     }
 
-    /// Asks an entry instance for a planned stop and waits for its end.
+    /// Requests a planned stop of an entry instance and waits for its end.
     pub(crate) async fn stop(&mut self, index: usize) -> Option<i32> {
         self.entries[index].signal(signal::Signal::SIGTERM);
         self.wait_for_exit(index).await
     }
 
     /// Waits for an entry instance to end and returns its exit code; `None`
-    /// after a signal.
+    /// if a signal ended it.
     pub(crate) async fn wait_for_exit(&mut self, index: usize) -> Option<i32> {
         let began = time::Instant::now();
         loop {
@@ -349,19 +349,19 @@
         }
     }
 
-    /// The log of an entry instance, over all its lives.
+    /// The log of an entry instance, over all its incarnations.
     pub(crate) fn log(&self, index: usize) -> String {
         fs::read_to_string(&self.entries[index].log_file).unwrap_or_default()
     }
 
-    /// The logs of all entry instances, for a failure's message.
+    /// The logs of all entry instances, for failure messages.
     pub(crate) fn logs(&self) -> String {
         let logs = self.entries.iter().enumerate();
         logs.map(|(index, entry)| format!("--- {}\n{}", entry.name, self.log(index)))
             .collect()
     }
 
-    /// The folder of the cell, for a test's own files.
+    /// The folder of the cell, for files of the test.
     pub(crate) fn folder(&self) -> &std::path::Path {
         self.folder.path()
     }
--- a/crates/figscale/tests/harness/operator.rs
+++ b/crates/figscale/tests/harness/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's calls to one entry instance.
+//! Client of the operator API of one entry instance.
 
 use std::net;
 use std::time;
@@ -12,19 +12,19 @@
 use serde::Serialize;
 use serde::de;
 
-/// Longest wait for an answer.
+/// Maximum time to wait for a response.
 const LIMIT: time::Duration = time::Duration::from_secs(15);
 
-/// The catalogue of the tests.
+/// Text of the catalogue that the tests use.
 const CATALOGUE: &str = include_str!("../../../../examples/fraser-reach.jsonc");
 
-/// The catalogue of the tests, Fraser Reach's example.
+/// The catalogue that the tests use, from the Fraser Reach example.
 pub(crate) fn catalogue() -> catalogue::Catalogue {
     let document = document::Document::from_text("example", CATALOGUE).unwrap();
     document.parse().unwrap()
 }
 
-/// A new change against `base` that sets the first owner's weight to `number`.
+/// A new change, based on revision `base`, that sets the first owner's weight to `number`.
 pub(crate) fn change(base: u64, number: u32) -> operator::ApplyRequest {
     let mut catalogue = catalogue();
     catalogue.owners[0].weight = number;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Calls to one entry instance; clones may run side by side.
+/// Client of one entry instance; clones can be used concurrently.
 #[derive(Clone, Debug)]
 pub(crate) struct Operator {
     client: client::Client,
@@ -45,17 +45,17 @@
 }
 
 impl Operator {
-    /// Calls to this operator address.
+    /// Creates a client of this operator address.
     pub(crate) fn new(client: client::Client, address: net::SocketAddr) -> Self {
         Self { client, address }
     }
 
-    /// Where it calls, for the command line.
+    /// The operator address, for the command line.
     pub(crate) fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Asks for a new catalogue.
+    /// Submits a new catalogue.
     pub(crate) async fn apply(
         &self,
         request: &operator::ApplyRequest,
@@ -63,7 +63,7 @@
         self.post("/v1/catalogue", request).await
     }
 
-    /// As [`Operator::apply`], by an operator who waits only this long.
+    /// Like [`Operator::apply`], with this timeout.
     pub(crate) async fn apply_within(
         &self,
         limit: time::Duration,
@@ -74,7 +74,7 @@
         answer.unwrap_or_else(|_| Err(operator::OperatorError::new(unknown, "gave up")))
     }
 
-    /// Asks to go back to an earlier catalogue.
+    /// Requests a rollback to an earlier catalogue.
     pub(crate) async fn rollback(
         &self,
         request: &operator::RollbackRequest,
@@ -82,7 +82,7 @@
         self.post("/v1/catalogue/rollback", request).await
     }
 
-    /// Revision in force at this entry instance.
+    /// The revision in force at this entry instance.
     pub(crate) async fn in_force(&self) -> Result<ids::Revision, operator::OperatorError> {
         let accepted: catalogue::Accepted = self.get("/v1/catalogue").await?;
         Ok(accepted.revision)
@@ -95,14 +95,14 @@
         self.get("/v1/catalogue/history").await
     }
 
-    /// Revision in force at each entry instance.
+    /// The revision in force at each entry instance.
     pub(crate) async fn status(
         &self,
     ) -> Result<operator::CatalogueStatus, operator::OperatorError> {
         self.get("/v1/catalogue/status").await
     }
 
-    /// Submits a job under an id of one's own.
+    /// Submits a job under a given id.
     pub(crate) async fn submit(
         &self,
         id: &ids::JobId,
@@ -111,7 +111,7 @@
         self.post(&format!("/v1/jobs?id={id}"), job).await
     }
 
-    /// How a job stands.
+    /// The status of a job.
     pub(crate) async fn job(
         &self,
         id: &ids::JobId,
@@ -119,12 +119,12 @@
         self.get(&format!("/v1/jobs/{id}")).await
     }
 
-    /// The state of the process.
+    /// The dump of the state of the process.
     pub(crate) async fn dump(&self) -> Result<serde_json::Value, operator::OperatorError> {
         self.get("/v1/dump").await
     }
 
-    /// Reads anything.
+    /// Gets the resource at a path.
     pub(crate) async fn get<A: de::DeserializeOwned>(
         &self,
         path: &str,
@@ -141,7 +141,7 @@
         self.send(call).await
     }
 
-    /// No answer at all is an error of kind "unknown", as for a real operator.
+    /// A missing response is an error of kind `Unknown`, as for a real operator.
     async fn send<A: de::DeserializeOwned>(
         &self,
         call: client::Call,
--- a/crates/figscale/tests/harness/process.rs
+++ b/crates/figscale/tests/harness/process.rs
@@ -10,13 +10,13 @@
 use nix::unistd;
 use serde_json::json;
 
-/// What the system says when somebody else listens on an address.
+/// Message of the operating system for an address that is in use.
 const TAKEN: &str = "Address already in use";
 
-/// An entry instance ended because somebody else listens on its address.
+/// An entry instance ended because one of its addresses is in use.
 #[derive(Debug)]
 pub(crate) struct AddressTaken {
-    /// What the process said.
+    /// Log of the process.
     pub(crate) log: String,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl Entry {
-    /// One that is not yet running.
+    /// Creates an entry instance that is not running yet.
     pub(crate) fn new(
         index: usize,
         platform_address: net::SocketAddr,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Its settings without those of the test.
+    /// Its settings, without those that the test overrides.
     pub(crate) fn settings(&self, failure_domain: &str) -> serde_json::Value {
         json!({
             "member": self.name,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Starts the process; its log is added to the file.
+    /// Starts the process; its log is appended to the log file.
     pub(crate) fn launch(&mut self) {
         assert!(self.child.is_none(), "{} runs already", self.name);
         let log = fs::OpenOptions::new()
@@ -85,7 +85,7 @@
         self.child = Some(child);
     }
 
-    /// Whether it was launched and its end was not yet seen.
+    /// Whether it was launched and has not been observed to end.
     pub(crate) fn is_running(&self) -> bool {
         self.child.is_some()
     }
@@ -97,9 +97,9 @@
         signal::kill(pid, signal).unwrap();
     }
 
-    /// Fails when the process has ended because an address is taken; panics
-    /// when it has ended for any other reason.
-    pub(crate) fn look_for_early_end(&mut self) -> Result<(), AddressTaken> {
+    /// Returns an error if the process has ended because an address is in use;
+    /// panics if it has ended for any other reason.
+    pub(crate) fn check_early_exit(&mut self) -> Result<(), AddressTaken> {
         let Some(status) = self.try_wait() else {
             return Ok(());
         };
@@ -108,7 +108,7 @@
         Err(AddressTaken { log })
     }
 
-    /// The process's end, if it has ended.
+    /// The exit status, if the process has ended.
     pub(crate) fn try_wait(&mut self) -> Option<process::ExitStatus> {
         let child = self.child.as_mut().expect("a process");
         let status = child.try_wait().unwrap()?;
--- a/crates/figscale/tests/harness_ports.rs
+++ b/crates/figscale/tests/harness_ports.rs
@@ -1,4 +1,5 @@
-//! The harness itself: an address that somebody else took is no failure.
+//! The test harness itself: if an address of a cell is in use, the start is
+//! repeated with other addresses.
 
 mod harness;
 
--- a/crates/figscale/tests/logs_bound.rs
+++ b/crates/figscale/tests/logs_bound.rs
@@ -1,4 +1,4 @@
-//! The log is bounded, and nobody waits for it.
+//! The log is bounded, and logging never blocks.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -11,7 +11,7 @@
 use flexi_logger::DeferredNow;
 use flexi_logger::writers::LogWriter as _;
 
-/// An output that takes lines only while it is let.
+/// An output that blocks while `stalled` is locked.
 #[derive(Clone, Default)]
 struct Output {
     written: sync::Arc<sync::Mutex<Vec<u8>>>,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Whoever reads the log may stall; work goes on.
+/// A reader of the log that stalls must not block the threads that log.
 #[test]
 fn a_stalled_reader_holds_nobody_up() {
     let output = Output::default();
@@ -91,5 +91,9 @@
         .iter()
         .filter(|line| line["message"] == "SOMETHING")
         .count();
-    assert_eq!(written + dropped, many + 1, "lines are lost without a word");
+    assert_eq!(
+        written + dropped,
+        many + 1,
+        "lines were lost without being counted"
+    );
 }
--- a/crates/figscale/tests/operator_api.rs
+++ b/crates/figscale/tests/operator_api.rs
@@ -1,7 +1,8 @@
-//! The operators' address: statuses, bodies and `Retry-After`, as a golden file.
+//! The operator API: statuses, bodies and `Retry-After`, compared with a golden
+//! file.
 //!
-//! The services behind it are scripts registered under the names of the real
-//! ones, so that each answer is known.
+//! Scripted services are registered under the names of the real ones, so that
+//! each response is known.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -24,7 +25,7 @@
     format!(r#"{{"base":0,"change":"{CHANGE}","author":"a","note":"","catalogue":{OWNERS}}}"#)
 }
 
-/// A catalogue service that knows one answer to a change.
+/// Registers a catalogue service that gives the same answer to every change.
 fn script_catalogue(
     context: &state::Context,
     answer: Result<operator::ApplyAnswer, operator::OperatorError>,
@@ -80,12 +81,12 @@
     assert_eq!(got.status, status);
     assert_eq!(got.header("retry-after"), retry_after);
     if let Err(error) = answer {
-        let told: operator::OperatorError = serde_json::from_str(&got.body).unwrap();
-        assert_eq!(told, error);
+        let error_body: operator::OperatorError = serde_json::from_str(&got.body).unwrap();
+        assert_eq!(error_body, error);
     }
 }
 
-/// Everything that is refused before a service is asked, word for word.
+/// All requests that are refused before a service is called, with the exact text.
 #[test]
 fn refused_before_any_service() {
     let entry = entry::Entry::start();
@@ -139,7 +140,7 @@
     assert!(got.body.contains("expected UTF-8"), "{}", got.body);
 }
 
-/// A service that drops the question may have acted on it.
+/// A service that drops a call may have executed it, so the result is unknown.
 #[test]
 fn dropped_question_is_unknown() {
     let entry = entry::Entry::start();
@@ -149,11 +150,11 @@
     });
     let got = entry.post("/v1/jobs/j/cancel", String::new());
     assert_eq!(got.status, 503);
-    let told: operator::OperatorError = serde_json::from_str(&got.body).unwrap();
-    assert_eq!(told.kind, operator::ErrorKind::Unknown);
+    let error_body: operator::OperatorError = serde_json::from_str(&got.body).unwrap();
+    assert_eq!(error_body.kind, operator::ErrorKind::Unknown);
 }
 
-/// Once leaving: not ready, changes refused, reads answered.
+/// During shutdown the process is not ready and refuses changes, but serves reads.
 #[test]
 fn leaving_refuses_changes() {
     let entry = entry::Entry::start();
@@ -162,13 +163,13 @@
     let refused = entry.post("/v1/catalogue", apply_body());
     assert_eq!(refused.status, 503);
     assert_eq!(refused.header("retry-after"), Some("1"));
-    let told: operator::OperatorError = serde_json::from_str(&refused.body).unwrap();
-    assert_eq!(told.kind, operator::ErrorKind::Unavailable);
+    let error_body: operator::OperatorError = serde_json::from_str(&refused.body).unwrap();
+    assert_eq!(error_body.kind, operator::ErrorKind::Unavailable);
     assert_eq!(entry.get("/readyz").status, 503);
     assert_eq!(entry.get("/v1/catalogue").status, 200);
 }
 
-/// A change in progress when the stop begins still gets its answer.
+/// A change in progress when the stop begins is still answered.
 #[test]
 fn stop_answers_what_is_in_progress() {
     let mut entry = entry::Entry::start();
@@ -179,7 +180,7 @@
     let asked = entry.post_later("/v1/catalogue", apply_body());
     let message = entry.block_on(inbox.recv());
     let Some(catalogue::Message::Apply(_, reply)) = message else {
-        panic!("another message");
+        panic!("unexpected message");
     };
     let ended = entry.end_later();
     entry.wait_until_refused();
@@ -189,7 +190,7 @@
     entry.block_on(ended).unwrap();
 }
 
-/// The dump names every section and shows no secret.
+/// The dump shows the state of the process and no secret.
 #[test]
 fn dump_shows_the_process() {
     let entry = entry::Entry::start();
@@ -202,7 +203,7 @@
     assert!(!dump.to_string().contains("0123456789abcdef"));
 }
 
-/// What services report is read in the Prometheus text form.
+/// Metrics of the services are rendered in the Prometheus text format.
 #[test]
 fn metrics_are_rendered() {
     let entry = entry::Entry::start();
@@ -230,7 +231,7 @@
     }
 }
 
-/// A service that is asked too much refuses at once.
+/// An overloaded service, whose mailbox is full, refuses calls at once.
 #[test]
 fn full_mailbox_is_unavailable() {
     let entry = entry::Entry::start();
@@ -241,7 +242,7 @@
         .find::<jobs::Message>(jobs::NAME)
         .unwrap();
     for _ in 0..kernel::MAILBOX_LEN {
-        // Posted and abandoned: the reply's receiver is dropped at once.
+        // The call is posted and its future dropped without waiting for the reply.
         let call = address.call(|reply| jobs::Message::List(None, reply));
         assert!(call.now_or_never().is_none());
     }
@@ -250,7 +251,7 @@
     assert!(got.body.contains("overloaded"), "{}", got.body);
 }
 
-/// A job id may hold a slash, written `%2F` in a path.
+/// A job id may contain a slash, escaped as `%2F` in a path.
 #[test]
 fn slash_in_a_job_id() {
     let entry = entry::Entry::start();
@@ -258,7 +259,7 @@
     let asked = entry.post_later("/v1/jobs/firth%2Fjob-1/cancel", String::new());
     let message = entry.block_on(inbox.recv());
     let Some(jobs::Message::Cancel(id, reply)) = message else {
-        panic!("another message");
+        panic!("unexpected message");
     };
     assert_eq!(id.as_str(), "firth/job-1");
     let error = operator::OperatorError::new(operator::ErrorKind::NotFound, "no such job");
@@ -266,7 +267,8 @@
     assert_eq!(entry.block_on(asked).unwrap().status, 404);
 }
 
-/// A service that does not answer holds nobody for longer than the limit.
+/// A call of an unresponsive service ends at the time limit; the result of a change
+/// is then unknown.
 #[rstest]
 #[case::read("GET", "/v1/jobs/j", operator::ErrorKind::Unavailable)]
 #[case::change("POST", "/v1/jobs/j/cancel", operator::ErrorKind::Unknown)]
@@ -280,6 +282,6 @@
     let got = entry.ask(method, path, String::new());
     assert_eq!(got.status, 503);
     assert_eq!(got.header("retry-after"), Some("1"));
-    let told: operator::OperatorError = serde_json::from_str(&got.body).unwrap();
-    assert_eq!(told.kind, kind);
+    let error_body: operator::OperatorError = serde_json::from_str(&got.body).unwrap();
+    assert_eq!(error_body.kind, kind);
 }
--- a/crates/figscale/tests/replace_all.rs
+++ b/crates/figscale/tests/replace_all.rs
@@ -1,8 +1,9 @@
-//! Every entry instance is replaced under callers' load: one by one in order,
-//! then all at once by force. Judged at the runners and at the workers' ledger.
+//! All entry instances are replaced under load: one by one by planned stops, and
+//! all at once by SIGKILL. The ledgers of the runners and workers check the
+//! invariants.
 //!
-//! Callers behave as a balancer does: they go to the next address only when a
-//! connection is refused.
+//! Callers behave like a balancer: they try the next address only if a connection
+//! is refused.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -29,15 +30,15 @@
         replace_support::submit(&cell, 0, name, idempotent).await;
     }
     wait_until("running tasks", || async {
-        replace_support::going_on(&cell, JOB_ONCE) == TASKS
-            && replace_support::going_on(&cell, JOB_REPEATABLE) == TASKS
+        replace_support::running_tasks(&cell, JOB_ONCE) == TASKS
+            && replace_support::running_tasks(&cell, JOB_REPEATABLE) == TASKS
     })
     .await;
     cell
 }
 
-/// Stops one in order, and puts a new process in its place: `new` is its own
-/// index, for the same name, or another's.
+/// Stops one entry instance gracefully and starts a new process in its place:
+/// `new` is the same index, for the same name, or another one.
 async fn replace(cell: &mut harness::Cell, old: usize, new: usize, after: &[usize]) {
     assert_eq!(cell.stop(old).await, Some(0), "{}", cell.log(old));
     cell.unlist(old);
@@ -56,18 +57,18 @@
     replace(&mut cell, 1, 1, &[1, 2, 3]).await;
     replace(&mut cell, 2, 0, &[0, 1, 3]).await;
     callers.wait_for_answers(200).await;
-    let told = callers.stop().await;
-    told.judge(&cell);
-    assert_eq!(told.cut_off, Vec::<String>::new());
+    let results = callers.stop().await;
+    results.check_invariants(&cell);
+    assert_eq!(results.cut_off, Vec::<String>::new());
     assert_eq!(cell.tasks.violations(), []);
     for name in [JOB_ONCE, JOB_REPEATABLE] {
         assert_eq!(replace_support::starts(&cell, name), [1; TASKS], "{name}");
-        assert_eq!(replace_support::going_on(&cell, name), TASKS, "{name}");
+        assert_eq!(replace_support::running_tasks(&cell, name), TASKS, "{name}");
     }
 }
 
-/// All die at once; new processes come under the old names, or some under new
-/// ones.
+/// All are killed at once; new processes start under the same names, or one under a
+/// new name.
 #[rstest]
 #[case::same_names([0, 1, 2])]
 #[case::a_new_name([3, 1, 2])]
@@ -91,10 +92,10 @@
         replace_support::wait_until_served(&cell, entry).await;
     }
     callers.wait_for_answers(200).await;
-    // Repeats of what ran before run nothing.
-    let told = callers.stop().await;
-    told.judge(&cell);
-    for id in told.once_answered.iter().take(20) {
+    // Retries of requests that already ran must not run again.
+    let results = callers.stop().await;
+    results.check_invariants(&cell);
+    for id in results.once_answered.iter().take(20) {
         let call = replace_support::call(cell.caller_address(new[1]), *id, false);
         let answer = cell.client.send_within(replace_support::LIMIT, call).await;
         let verdict: Verdict = answer.unwrap().header(headers::VERDICT).parse().unwrap();
@@ -103,11 +104,11 @@
     }
     replace_support::submit(&cell, new[0], "afterwards", true).await;
     wait_until("a new job's tasks", || async {
-        replace_support::going_on(&cell, "afterwards") == TASKS
+        replace_support::running_tasks(&cell, "afterwards") == TASKS
     })
     .await;
     wait_until("the repeatable tasks", || async {
-        replace_support::going_on(&cell, JOB_REPEATABLE) == TASKS
+        replace_support::running_tasks(&cell, JOB_REPEATABLE) == TASKS
     })
     .await;
     assert_eq!(cell.tasks.violations(), []);
--- a/crates/figscale/tests/replace_support/mod.rs
+++ b/crates/figscale/tests/replace_support/mod.rs
@@ -1,4 +1,4 @@
-//! Callers that behave as a balancer, long tasks, and what is judged of both.
+//! Callers that behave like a balancer, long tasks, and the invariants of both.
 
 use std::net;
 use std::sync;
@@ -21,18 +21,18 @@
 
 use crate::harness;
 
-/// Longest wait of a caller.
+/// Maximum time that a caller waits for a response.
 pub(crate) const LIMIT: time::Duration = time::Duration::from_secs(30);
-/// A job whose tasks may start once only.
+/// A job whose tasks must start at most once.
 pub(crate) const JOB_ONCE: &str = "once";
-/// A job whose tasks may start again.
+/// A job whose tasks may be restarted.
 pub(crate) const JOB_REPEATABLE: &str = "repeatable";
 /// Tasks of each job.
 pub(crate) const TASKS: usize = 4;
-/// Callers at a time.
+/// Number of concurrent callers.
 const CALLERS: u64 = 20;
 
-/// Leases short enough for a test, in the proportions of the defaults.
+/// A plan with leases short enough for a test, in the proportions of the defaults.
 pub(crate) fn plan(entries: usize, spare_entries: usize, runners: usize) -> harness::Plan {
     harness::Plan {
         entries,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Applies the catalogue and waits until each serves.
+/// Applies the catalogue and waits until each entry instance serves requests.
 pub(crate) async fn make_ready(cell: &harness::Cell, entries: &[usize]) {
     let mut catalogue = harness::operator::catalogue();
     for entry in catalogue.entries.values_mut() {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Waits until an entry instance answers requests of both kinds.
+/// Waits until an entry instance serves idempotent and non-idempotent requests.
 pub(crate) async fn wait_until_served(cell: &harness::Cell, entry: usize) {
     for idempotent in [true, false] {
         harness::wait_until("an answer", || async {
@@ -95,7 +95,7 @@
         .body(id.to_string())
 }
 
-/// Submits a job whose tasks outlast the test.
+/// Submits a job whose tasks run longer than the test.
 pub(crate) async fn submit(cell: &harness::Cell, entry: usize, name: &str, idempotent: bool) {
     let spec: jobs::JobSpec = serde_json::from_value(json!({
         "entry": "fleet-repricing",
@@ -113,7 +113,7 @@
     .await;
 }
 
-/// How often each task of a job was started.
+/// Number of starts of each task of a job.
 pub(crate) fn starts(cell: &harness::Cell, name: &str) -> Vec<u32> {
     let job: ids::JobId = name.parse().unwrap();
     let all = cell.tasks.all_starts();
@@ -121,8 +121,8 @@
     all.iter().filter_map(of).collect()
 }
 
-/// Tasks of a job that run under a lease now.
-pub(crate) fn going_on(cell: &harness::Cell, name: &str) -> usize {
+/// Number of tasks of a job that are running under a valid lease.
+pub(crate) fn running_tasks(cell: &harness::Cell, name: &str) -> usize {
     let job: ids::JobId = name.parse().unwrap();
     let now = time::Instant::now();
     let runs = cell.tasks.runs();
@@ -132,71 +132,76 @@
     runs.iter().filter(open).count()
 }
 
-/// What callers were told.
+/// Results of the requests of all callers.
 #[derive(Default)]
-pub(crate) struct Told {
-    /// Whole answers.
+pub(crate) struct CallerResults {
+    /// Complete answers.
     pub(crate) answered: u64,
     /// Non-idempotent requests among them.
     pub(crate) once_answered: Vec<ids::RequestId>,
-    /// Requests that ended neither in a whole answer nor in `NotRun`.
+    /// Requests that ended neither in a complete answer nor in `NotRun`.
     pub(crate) cut_off: Vec<String>,
     not_run: Vec<String>,
     wrong: Vec<String>,
-    words: IndexMap<String, u64>,
+    outcomes: IndexMap<String, u64>,
 }
 
-impl Told {
-    /// What must hold however the processes ended.
-    pub(crate) fn judge(&self, cell: &harness::Cell) {
+impl CallerResults {
+    /// Checks the invariants that hold however the processes ended.
+    pub(crate) fn check_invariants(&self, cell: &harness::Cell) {
         println!(
-            "answered {}, not run {}, cut off {}, words {:?}, seen {}",
+            "answered {}, not run {}, cut off {}, outcomes {:?}, received by runners {}",
             self.answered,
             self.not_run.len(),
             self.cut_off.len(),
-            self.words,
+            self.outcomes,
             cell.requests.requests().len()
         );
         assert_eq!(cell.requests.violations(), []);
         assert_eq!(self.wrong, Vec::<String>::new());
         for id in &self.not_run {
             let seen = cell.requests.may_have_run(id);
-            assert!(!seen, "{id} was said not to have run");
+            assert!(!seen, "{id} was reported as not run but may have run");
         }
     }
 }
 
-/// Callers at work.
+/// Running callers.
 pub(crate) struct Callers {
-    told: sync::Arc<sync::Mutex<Told>>,
+    results: sync::Arc<sync::Mutex<CallerResults>>,
     stop: sync::Arc<atomic::AtomicBool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Callers {
-    /// Starts callers that know the first so many addresses.
+    /// Starts callers that know the addresses of the first `entries` instances.
     pub(crate) fn start(cell: &harness::Cell, entries: usize, seed: u64) -> Self {
-        let told = sync::Arc::new(sync::Mutex::new(Told::default()));
+        let results = sync::Arc::new(sync::Mutex::new(CallerResults::default()));
         let stop = sync::Arc::new(atomic::AtomicBool::new(false));
         let addresses: Vec<_> = (0..entries).map(|n| cell.caller_address(n)).collect();
         let start = |caller| {
             let one = Caller {
                 client: cell.client.clone(),
                 addresses: addresses.clone(),
-                told: told.clone(),
+                results: results.clone(),
                 rng: rngs::StdRng::seed_from_u64(seed * 100 + caller),
             };
             tokio::spawn(one.run(stop.clone()))
         };
         let tasks = (0..CALLERS).map(start).collect();
-        Self { told, stop, tasks }
+        Self {
+            results,
+            stop,
+            tasks,
+        }
     }
 
-    /// Waits for so many further answers of both kinds.
+    /// Waits for `count` further answers, more than 20 of them to non-idempotent
+    /// requests.
     pub(crate) async fn wait_for_answers(&self, count: u64) {
         let so_far = || {
-            let told = self.told.lock().unwrap();
-            (told.answered, told.once_answered.len())
+            let results = self.results.lock().unwrap();
+            (results.answered, results.once_answered.len())
         };
         let before = so_far();
         harness::wait_until("further answers", || async {
@@ -206,20 +211,20 @@
         .await;
     }
 
-    /// Lets the callers end and returns what they were told.
-    pub(crate) async fn stop(self) -> Told {
+    /// Stops the callers and returns their results.
+    pub(crate) async fn stop(self) -> CallerResults {
         self.stop.store(true, atomic::Ordering::SeqCst);
         for task in self.tasks {
             task.await.unwrap();
         }
-        std::mem::take(&mut *self.told.lock().unwrap())
+        std::mem::take(&mut *self.results.lock().unwrap())
     }
 }
 
-/// How one message ended.
+/// Outcome of one attempt.
 enum End {
-    /// The next address is asked.
-    Elsewhere,
+    /// The next address is tried.
+    TryNext,
     Answered,
     NotRun,
     CutOff(String),
@@ -228,7 +233,7 @@
 struct Caller {
     client: client::Client,
     addresses: Vec<net::SocketAddr>,
-    told: sync::Arc<sync::Mutex<Told>>,
+    results: sync::Arc<sync::Mutex<CallerResults>>,
     rng: rngs::StdRng,
 }
 
@@ -243,7 +248,7 @@
         }
     }
 
-    /// One request, through the addresses in turn.
+    /// Sends one request, to one address after the other.
     async fn request(&mut self, id: ids::RequestId, idempotent: bool) {
         let first = self.rng.random_range(0..self.addresses.len());
         let run_ms: u64 = self.rng.random_range(1..150);
@@ -257,31 +262,31 @@
                 .header(headers::RUN_MS, run_ms)
                 .header(headers::ANSWER_BYTES, answer_bytes);
             let answer = self.client.send_within(LIMIT, call).await;
-            let mut told = self.told.lock().unwrap();
-            match told.take_in(id, answer) {
-                End::Elsewhere => continue,
+            let mut results = self.results.lock().unwrap();
+            match results.classify(id, answer) {
+                End::TryNext => continue,
                 End::Answered => {
-                    told.answered += 1;
+                    results.answered += 1;
                     if !idempotent {
-                        told.once_answered.push(id);
+                        results.once_answered.push(id);
                     }
                 }
-                End::NotRun => told.not_run.push(id.to_string()),
-                End::CutOff(how) => told.cut_off.push(format!("{id} {idempotent}: {how}")),
+                End::NotRun => results.not_run.push(id.to_string()),
+                End::CutOff(how) => results.cut_off.push(format!("{id} {idempotent}: {how}")),
             }
             return;
         }
-        // Every address refused to take it.
-        self.told.lock().unwrap().not_run.push(id.to_string());
+        // Every address refused the connection.
+        self.results.lock().unwrap().not_run.push(id.to_string());
     }
 }
 
-impl Told {
-    fn note(&mut self, word: impl Into<String>) {
-        *self.words.entry(word.into()).or_default() += 1;
+impl CallerResults {
+    fn count_outcome(&mut self, outcome: impl Into<String>) {
+        *self.outcomes.entry(outcome.into()).or_default() += 1;
     }
 
-    fn take_in(
+    fn classify(
         &mut self,
         id: ids::RequestId,
         answer: Result<client::Answer, client::CallError>,
@@ -289,11 +294,11 @@
         let answer = match answer {
             Ok(answer) => answer,
             Err(error) if error.to_string().contains("Connection refused") => {
-                self.note("connection refused");
-                return End::Elsewhere;
+                self.count_outcome("connection refused");
+                return End::TryNext;
             }
             Err(error) => {
-                self.note("broken connection");
+                self.count_outcome("broken connection");
                 return End::CutOff(error.to_string());
             }
         };
@@ -309,15 +314,16 @@
         }
         let body: serde_json::Value = answer.json().unwrap();
         let error = body["error"].as_str().unwrap();
-        let word = format!("{verdict} {error}");
-        self.note(word.as_str());
-        // The request is good, and whoever does not know better says nothing.
+        let outcome = format!("{verdict} {error}");
+        self.count_outcome(outcome.as_str());
+        // The request is valid, so an entry instance must not reject it as invalid,
+        // even if it does not know the catalogue yet.
         if [400, 403, 404].contains(&answer.status.as_u16()) {
-            self.wrong.push(format!("{id}: {word}"));
+            self.wrong.push(format!("{id}: {outcome}"));
         }
         match verdict {
             Verdict::NotRun => End::NotRun,
-            Verdict::MayHaveRun | Verdict::Ran => End::CutOff(word),
+            Verdict::MayHaveRun | Verdict::Ran => End::CutOff(outcome),
         }
     }
 }
--- a/crates/figscale/tests/session/mod.rs
+++ b/crates/figscale/tests/session/mod.rs
@@ -1,5 +1,5 @@
-//! A cell in which every part is a process of its own, and a transcript of
-//! what its users see, with everything that differs between runs made equal.
+//! A cell in which every part is a separate process, and a transcript of what its
+//! users see. Everything that differs between runs is replaced by placeholders.
 
 mod stand_in;
 
@@ -19,10 +19,10 @@
 use stand_in::Role;
 use stand_in::StandIn;
 
-/// Runners and workers, each.
+/// Number of runners, and of workers.
 const UPSTREAMS: usize = 2;
 
-/// The session.
+/// A running cell and the transcript so far.
 pub(crate) struct Session {
     pub(crate) runners: Vec<StandIn>,
     pub(crate) entries: Vec<harness::process::Entry>,
@@ -31,12 +31,12 @@
     _others: Vec<StandIn>,
     folder: tempfile::TempDir,
     text: String,
-    /// What is written instead of what differs between runs.
+    /// Texts that differ between runs, with their placeholders.
     redactions: Vec<(String, String)>,
 }
 
 impl Session {
-    /// Starts stand-ins and two entry instances.
+    /// Starts the stand-ins and two entry instances.
     pub(crate) fn start() -> Self {
         let folder = tempfile::tempdir().unwrap();
         let mut list = Vec::new();
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Writes `shown` wherever `text` stands.
+    /// Replaces `text` by `shown` in the transcript.
     pub(crate) fn redact(&mut self, text: impl Into<String>, shown: &str) {
         self.redactions.push((text.into(), shown.to_owned()));
     }
@@ -118,7 +118,7 @@
         file.to_str().unwrap().to_owned()
     }
 
-    /// The file of a settings of an entry instance.
+    /// The settings file of an entry instance.
     pub(crate) fn settings_file(&self, index: usize) -> String {
         self.entries[index]
             .settings_file
@@ -127,32 +127,32 @@
             .to_owned()
     }
 
-    /// Calls of an operator to an entry instance.
+    /// A client of the operator address of an entry instance.
     pub(crate) fn operator(&self, index: usize) -> harness::operator::Operator {
         harness::operator::Operator::new(self.client.clone(), self.entries[index].operator_address)
     }
 
-    /// The end of the transcript so far.
+    /// The length of the transcript so far.
     pub(crate) fn mark(&self) -> usize {
         self.text.len()
     }
 
-    /// Strikes out what was written after a mark.
-    pub(crate) fn forget_since(&mut self, mark: usize) {
+    /// Removes what was written after a mark.
+    pub(crate) fn truncate(&mut self, mark: usize) {
         self.text.truncate(mark);
     }
 
-    /// Begins a part.
+    /// Starts a section.
     pub(crate) fn heading(&mut self, words: &str) {
         let _ = writeln!(self.text, "\n# {words}");
     }
 
-    /// Notes a line that the test found out by itself.
+    /// Writes a line with a result of the test itself.
     pub(crate) fn note(&mut self, line: &str) {
         let _ = writeln!(self.text, "{line}");
     }
 
-    /// Runs `figscale` towards an entry instance and writes down what it says.
+    /// Runs `figscale` against an entry instance and records its output.
     pub(crate) fn figscale(&mut self, index: usize, words: &[&str]) {
         let entry = self.entries[index].operator_address.to_string();
         let _ = writeln!(self.text, "\n$ figscale {}", words.join(" "));
@@ -171,7 +171,7 @@
         let _ = writeln!(self.text, "(exit code {})", output.status.code().unwrap());
     }
 
-    /// Sends a caller's request and writes down both sides.
+    /// Sends a caller's request and records the request and the response.
     pub(crate) async fn request(
         &mut self,
         index: usize,
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Asks all entry instances for a planned stop and writes down how they end.
+    /// Requests a planned stop of all entry instances and records their exit codes.
     pub(crate) async fn stop(&mut self) {
         for entry in &mut self.entries {
             entry.signal(signal::Signal::SIGTERM);
@@ -228,7 +228,10 @@
                 if let Some(status) = entry.try_wait() {
                     break status;
                 }
-                assert!(began.elapsed() < harness::PATIENCE, "it does not end");
+                assert!(
+                    began.elapsed() < harness::PATIENCE,
+                    "the entry instance did not end"
+                );
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             };
             let _ = writeln!(
@@ -240,14 +243,15 @@
         }
     }
 
-    /// The transcript, the same in every run.
+    /// The transcript with placeholders, the same in every run.
     pub(crate) fn transcript(&self) -> String {
         let redact = |text: String, (from, to): &(String, String)| text.replace(from, to);
         self.redactions.iter().fold(self.text.clone(), redact)
     }
 }
 
-/// Both runners stand in one rack, so one entry instance holds both.
+/// Both runners are in the same rack and thus in one shard, so that one entry
+/// instance holds both.
 fn runner_line(id: ids::InstanceId, address: net::SocketAddr) -> instances::Instance {
     instances::Instance {
         role: instances::Role::Runner,
--- a/crates/figscale/tests/session/stand_in.rs
+++ b/crates/figscale/tests/session/stand_in.rs
@@ -1,9 +1,9 @@
-//! Stand-ins as processes of their own.
+//! Stand-ins as separate processes.
 //!
-//! The process is the test program itself, told by [`RUN`] what to be: that
-//! program is always up to date, while the one of the stand-ins is built by
-//! another package, so that a test would have to run a build of its own. The
-//! program of the stand-ins has its own tests, in its package.
+//! The process is the test program itself, with its role in the variable [`RUN`].
+//! The test program is always up to date, whereas the program of the stand-ins is
+//! built by another package, so that a test would have to run a build itself. The
+//! program of the stand-ins is tested in its own package.
 
 use std::env;
 use std::io;
@@ -19,14 +19,14 @@
 use figscale_standin::worker;
 use figscale_types::ids;
 
-/// Variable that tells a process which stand-in it is.
+/// Environment variable with the role of the process.
 const RUN: &str = "FIGSCALE_TEST_STAND_IN";
-/// The test that becomes a stand-in, by its whole name.
+/// Full name of the test that runs a stand-in.
 const ENTRANCE: &str = "session::stand_in::entrance";
-/// What a stand-in says before its address.
+/// Prefix of the line in which a stand-in prints its address.
 const LISTENING: &str = "listening on ";
 
-/// What a process stands in for.
+/// What a process replaces.
 #[derive(serde::Deserialize, serde::Serialize)]
 pub(crate) enum Role {
     Runner {
@@ -37,7 +37,7 @@
     },
     Platform {
         listen: net::SocketAddr,
-        /// File with the lines of the instance list.
+        /// File with the instance list.
         instances: path::PathBuf,
     },
 }
@@ -64,7 +64,7 @@
             address.parse().ok()
         });
         Self {
-            address: address.expect("a stand-in that listens"),
+            address: address.expect("the stand-in did not print its address"),
             child,
         }
     }
@@ -77,7 +77,8 @@
     }
 }
 
-/// Not a test: a stand-in begins here, and ends with the test that started it.
+/// Not a test: the entry point of a stand-in, which ends with the test that started
+/// it.
 #[tokio::test(flavor = "multi_thread")]
 #[ignore = "the entrance of the session's stand-in processes"]
 async fn entrance() {
@@ -115,8 +116,8 @@
     }
 }
 
-/// Tells the address and waits until the test that started this ends, which
-/// closes the input.
+/// Prints the address and waits until the test that started this process ends,
+/// which closes standard input.
 async fn serve(address: net::SocketAddr) {
     println!("{LISTENING}{address}");
     let end = tokio::task::spawn_blocking(|| io::stdin().read_to_end(&mut Vec::new()));
--- a/crates/figscale/tests/session_golden.rs
+++ b/crates/figscale/tests/session_golden.rs
@@ -1,5 +1,6 @@
-//! One whole session between real, separate processes, as one transcript:
-//! platform, two runners, two workers and two entry instances.
+//! A whole session of users, recorded as a transcript and compared with a golden
+//! file: a stand-in platform, two runners, two workers and two entry instances, all
+//! of them separate processes.
 
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
@@ -21,7 +22,7 @@
 const EXAMPLE: &str = include_str!("../../../examples/fraser-reach.jsonc");
 const CHANGE: &str = "019b0000-0000-7000-8000-000000000001";
 const OTHER_CHANGE: &str = "019b0000-0000-7000-8000-000000000002";
-/// Changes after the first one: edited, against an old revision, rolled back.
+/// Further changes: an edit, one based on an old revision, a rollback.
 const EDIT: &str = "019b0000-0000-7000-8000-000000000003";
 const STALE: &str = "019b0000-0000-7000-8000-000000000004";
 const ROLLBACK: &str = "019b0000-0000-7000-8000-000000000005";
@@ -165,7 +166,8 @@
     session.note(&format!("\ndispatched by the holder of: {holders:?}"));
 }
 
-/// Waits until a member holds the runners' shard, by the platform's word.
+/// Waits until a member holds the runners' shard according to the claims document
+/// in the platform's store.
 async fn wait_for_holder(session: &Session, member: &str) {
     let shard: ids::ShardId = RUNNERS.parse().unwrap();
     harness::wait_until("holder of the runners", || async {
@@ -178,7 +180,7 @@
     .await;
 }
 
-/// Sends a request that is not idempotent, until it is run.
+/// Sends non-idempotent requests until one is run.
 async fn quote(session: &mut Session, index: usize, body: &str) -> (String, client::Answer) {
     let fields = |id: &str| {
         vec![
@@ -192,9 +194,9 @@
     (id, answer)
 }
 
-/// Sends requests of new ids until one is run, and returns its id. In the first
-/// moments shards have no holder and homes of ids refuse what may be older than
-/// they are, so only the one that is run is written down.
+/// Sends requests with new ids until one is run, and returns its id. Just after the
+/// start, shards have no holder, and homes of request ids refuse ids that may be
+/// older than themselves, so only the request that is run is recorded.
 async fn run(
     session: &mut Session,
     index: usize,
@@ -213,12 +215,12 @@
             return (id, answer);
         }
         assert!(began.elapsed() < harness::PATIENCE, "{}", answer.text());
-        session.forget_since(before);
+        session.truncate(before);
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
 }
 
-/// The shards under which the runners got requests.
+/// The shards whose holders sent requests to the runners.
 async fn holders(session: &Session) -> BTreeSet<String> {
     let mut holders = BTreeSet::new();
     for runner in &session.runners {
@@ -275,7 +277,7 @@
     session.figscale(0, &["job", "submit", &unknown, "--id", "unknown-1"]);
 }
 
-/// The job of the examples, whose submission is repeated after its end.
+/// Runs the job of the examples and repeats its submission after its end.
 async fn example_job(session: &mut Session) {
     session.heading("The job of the examples");
     let file = format!("{EXAMPLES}/jobs/fleet-repricing.jsonc");
--- a/crates/figscale/tests/settings_load.rs
+++ b/crates/figscale/tests/settings_load.rs
@@ -1,7 +1,7 @@
-//! Settings and catalogue files: what is accepted and how the rest is refused.
+//! Settings and catalogue files: which are accepted, and the errors of the others.
 //!
-//! Each file under `data` is a case; the golden file beside holds the whole
-//! verdict. Names begin with `good` or `bad`.
+//! Each file under `data` is a case whose name begins with `good` or `bad`. A golden
+//! file holds the complete error of each bad file.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -15,15 +15,15 @@
 use figscale_types::catalogue;
 use rstest::rstest;
 
-/// Longest wait for a refusal.
+/// Maximum time to wait for the process to reject a file.
 const LIMIT: time::Duration = time::Duration::from_secs(30);
 
 fn stem(file: &path::Path) -> String {
     file.file_stem().unwrap().to_string_lossy().into_owned()
 }
 
-/// Reads a file under a name without its directory, so that errors are the
-/// same on every machine.
+/// Reads a file under the fixed name `FILE`, so that errors are the same on every
+/// machine.
 fn document(file: &path::Path) -> Result<document::Document, document::DocumentError> {
     let text = std::fs::read_to_string(file).unwrap();
     document::Document::from_text("FILE", &text)
@@ -55,7 +55,7 @@
     }
 }
 
-/// `settings check` and `serve` give the same verdict in the same words.
+/// `settings check` and `serve` reject a file with the same message.
 #[rstest]
 fn check_and_serve_agree(#[files("tests/data/settings/bad-*.json")] file: path::PathBuf) {
     let checked = figscale(&["settings", "check"], &file);
@@ -89,7 +89,7 @@
     assert!(error.ends_with("has 1048577 bytes: expected 1048576 at most"));
 }
 
-/// The secret stands in no error and in no dump.
+/// Neither errors nor dumps contain the secret.
 #[test]
 fn token_is_never_shown() {
     let file = path::Path::new("tests/data/settings/bad-token.json");
@@ -102,8 +102,8 @@
     assert!(!shown.contains(&settings.peer_token), "{shown}");
 }
 
-/// Runs the program on a file. One that takes the file and goes on to serve is
-/// ended after a while, which shows as the lack of an exit code.
+/// Runs the program on a file. If it accepts the file and starts to serve, it is
+/// killed after a while and thus has no exit code.
 fn figscale(arguments: &[&str], file: &path::Path) -> process::Output {
     let mut child = process::Command::new(env!("CARGO_BIN_EXE_figscale"))
         .args(arguments)
@@ -122,7 +122,8 @@
     child.wait_with_output().unwrap()
 }
 
-/// A line is placed at the first field that it names and that is there.
+/// A problem gets the position of the first field that it names and that is
+/// present in the document.
 #[rstest]
 #[case::whole("a.b is 1: expected a.c at most", "2:15")]
 #[case::second("a.none is 1: expected a.c at most", "2:23")]
@@ -145,7 +146,7 @@
     assert!(error.ends_with("\nFILE: and 5 more"), "{error}");
 }
 
-/// No number is without a bound: each is refused when it is absurd.
+/// Every number has a bound: an absurd value is rejected for each.
 #[test]
 fn every_number_is_bounded() {
     let text = std::fs::read_to_string("tests/data/settings/good-smallest.json").unwrap();
@@ -166,7 +167,7 @@
     }
 }
 
-/// JSON pointers to every number.
+/// Collects JSON pointers to all numbers.
 fn find_numbers(pointer: &str, value: &serde_json::Value, found: &mut Vec<String>) {
     match value {
         serde_json::Value::Number(_) => found.push(pointer.to_owned()),
@@ -179,7 +180,7 @@
     }
 }
 
-/// The files that the README points to are good.
+/// The example files that the README refers to are valid.
 #[test]
 fn shipped_examples_are_good() {
     let examples = path::Path::new("../../examples");
--- a/crates/figscale/tests/settings_page.rs
+++ b/crates/figscale/tests/settings_page.rs
@@ -1,4 +1,4 @@
-//! docs/SETTINGS.md against the code: every field, with its default.
+//! Compares docs/SETTINGS.md with the code: every field, with its default.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -9,7 +9,7 @@
 use figscale::settings;
 use serde_json::Value;
 
-/// Fields without a default, as the smallest good file has them.
+/// Settings with only the fields that have no default.
 const SMALLEST: &str = "tests/data/settings/good-smallest.json";
 
 fn leaves(path: &str, value: &Value, found: &mut Vec<(String, String)>) {
