--- a/crates/figscale-standin/src/cell/mod.rs
+++ b/crates/figscale-standin/src/cell/mod.rs
@@ -1,8 +1,9 @@
-//! A whole cell in one process, for a newcomer and for a test.
+//! A complete cell (one deployment of a user) in one process, for first trials
+//! and for tests.
 //!
-//! Platform, runners and workers are stand-ins; the entry instances are the
-//! real thing, started as `figscale serve` starts them. [`Cell::start`] brings
-//! the cell up, [`run`] does what a user would do with it and says so.
+//! Platform, runners and workers are stand-ins; the entry instances are real
+//! and are started as `figscale serve` starts them. [`Cell::start`] starts the
+//! cell; [`run`] performs a user's typical steps on it and prints each one.
 
 mod operator;
 mod plan;
@@ -33,9 +34,9 @@
 pub use walk::Options;
 pub use walk::run;
 
-/// Secret that the entry instances of a cell show each other.
+/// Secret with which the entry instances of a cell authenticate to each other.
 const PEER_TOKEN: &str = "a-secret-of-the-cell-only";
-/// Run time of a request that names none.
+/// Mean run time of a request that does not specify one.
 const RUN_TIME: time::Duration = time::Duration::from_millis(20);
 
 /// The addresses of an entry instance.
@@ -43,19 +44,19 @@
 pub struct EntryAddresses {
     /// Name.
     pub member: ids::MemberId,
-    /// Where it stands.
+    /// Its failure domain and rack.
     pub place: Place,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller: net::SocketAddr,
-    /// Where other entry instances reach it.
+    /// Address for other entry instances.
     pub peer: net::SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operator: net::SocketAddr,
 }
 
-/// A running cell; dropping it stops the entry instances in order.
+/// A running cell; dropping it shuts the entry instances down gracefully.
 pub struct Cell {
-    /// Whose it is.
+    /// The user whose cell it is.
     pub user: User,
     /// The platform.
     pub platform: platform::Handle,
@@ -63,9 +64,9 @@
     pub runners: Vec<runner::Handle>,
     /// The workers.
     pub workers: Vec<worker::Handle>,
-    /// What the runners saw.
+    /// Record of the requests that the runners received.
     pub requests: runner::Ledger,
-    /// What the workers ran.
+    /// Record of the tasks that the workers ran.
     pub tasks: worker::TaskLedger,
     /// The entry instances.
     pub addresses: Vec<EntryAddresses>,
@@ -73,7 +74,7 @@
 }
 
 impl Cell {
-    /// Starts everything; returns once all of it listens.
+    /// Starts all processes of the cell; returns once all of them listen.
     pub async fn start(user: User, size: Size) -> eyre::Result<Self> {
         let requests = runner::Ledger::default();
         let tasks = worker::TaskLedger::default();
@@ -103,7 +104,7 @@
         })
     }
 
-    /// Stops the entry instances in order and waits for their end.
+    /// Shuts the entry instances down gracefully and waits for their end.
     pub async fn stop(mut self) -> eyre::Result<()> {
         for entry in &self.entries {
             entry.stop();
@@ -209,9 +210,9 @@
 }
 
 fn entry_line(entry: &EntryAddresses) -> instances::Instance {
-    // A member id is a legal instance id: both follow the same rule for names.
+    // A member id is always a valid instance id: both have the same syntax.
     let id = ids::InstanceId::try_from(entry.member.to_string());
-    let id = id.expect("names follow one rule");
+    let id = id.expect("a member id is a valid instance id");
     line(id, instances::Role::Entry, entry.caller, &entry.place)
 }
 
@@ -232,5 +233,5 @@
     let clock: clock::SharedClock = sync::Arc::new(clock::SystemClock);
     let start = move || serve::EntryInstance::start(settings, clock);
     let started = tokio::task::spawn_blocking(start).await?;
-    started.wrap_err_with(|| format!("{} does not start", entry.member))
+    started.wrap_err_with(|| format!("entry instance {} failed to start", entry.member))
 }
--- a/crates/figscale-standin/src/cell/operator.rs
+++ b/crates/figscale-standin/src/cell/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator does with a cell, over its HTTP interface.
+//! Client of the operators' HTTP interface of an entry instance.
 
 use std::net;
 use std::time;
@@ -10,12 +10,12 @@
 
 use crate::client;
 
-/// Time to wait for one answer.
-const ANSWER: time::Duration = time::Duration::from_secs(10);
-/// Time between looks at something that is to come about.
-const LOOK: time::Duration = time::Duration::from_millis(50);
+/// Time limit of one call.
+const RESPONSE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+/// Time between checks of an awaited condition.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// An operator at the operators' address of an entry instance.
+/// Makes calls to the operators' address of one entry instance.
 #[derive(Clone, Debug)]
 pub struct Operator {
     client: client::Client,
@@ -23,7 +23,7 @@
 }
 
 impl Operator {
-    /// An operator at this address.
+    /// A client of the entry instance with this operators' address.
     pub fn new(address: net::SocketAddr) -> Self {
         Self {
             client: client::Client::default(),
@@ -31,29 +31,29 @@
         }
     }
 
-    /// Whether the entry instance says that it is ready.
+    /// Whether the entry instance reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         let call = client::Call::get(self.address, "/readyz");
-        let answer = self.client.send_within(ANSWER, call).await;
+        let answer = self.client.send_within(RESPONSE_TIMEOUT, call).await;
         answer.is_ok_and(|answer| answer.status.is_success())
     }
 
-    /// Applies a change; a repeat with the same id counts once.
+    /// Applies a change; a retry with the same change id is applied once.
     pub async fn apply(
         &self,
         request: &operator::ApplyRequest,
     ) -> eyre::Result<operator::ApplyAnswer> {
         let call = client::Call::post(self.address, "/v1/catalogue").json(request)?;
-        self.ask(call).await
+        self.send_json(call).await
     }
 
     /// Revision in force at each entry instance.
     pub async fn catalogue_status(&self) -> eyre::Result<operator::CatalogueStatus> {
         let call = client::Call::get(self.address, "/v1/catalogue/status");
-        self.ask(call).await
+        self.send_json(call).await
     }
 
-    /// Submits a job under an id of its own.
+    /// Submits a job under an id chosen by the caller.
     pub async fn submit(
         &self,
         id: &ids::JobId,
@@ -61,17 +61,17 @@
     ) -> eyre::Result<jobs::JobStatus> {
         let path = format!("/v1/jobs?id={id}");
         let call = client::Call::post(self.address, path).json(spec)?;
-        self.ask(call).await
+        self.send_json(call).await
     }
 
-    /// How a job stands.
+    /// State of a job and its tasks.
     pub async fn job(&self, id: &ids::JobId) -> eyre::Result<jobs::JobStatus> {
         let call = client::Call::get(self.address, format!("/v1/jobs/{id}"));
-        self.ask(call).await
+        self.send_json(call).await
     }
 
-    async fn ask<T: de::DeserializeOwned>(&self, call: client::Call) -> eyre::Result<T> {
-        let answer = self.client.send_within(ANSWER, call).await?;
+    async fn send_json<T: de::DeserializeOwned>(&self, call: client::Call) -> eyre::Result<T> {
+        let answer = self.client.send_within(RESPONSE_TIMEOUT, call).await?;
         if !answer.status.is_success() {
             eyre::bail!("{}: {}", answer.status, answer.text());
         }
@@ -79,20 +79,21 @@
     }
 }
 
-/// Looks until something holds; the last word of `look` goes into the error.
+/// Calls `poll` until it succeeds; on a time-out its last error is part of the
+/// error returned.
 pub(super) async fn wait_for<T>(
     what: &str,
     limit: time::Duration,
-    mut look: impl AsyncFnMut() -> eyre::Result<T>,
+    mut poll: impl AsyncFnMut() -> eyre::Result<T>,
 ) -> eyre::Result<T> {
     let began = time::Instant::now();
     loop {
-        match look().await {
+        match poll().await {
             Ok(result) => return Ok(result),
             Err(error) if began.elapsed() > limit => {
-                return Err(error.wrap_err(format!("{what}: not within {limit:?}")));
+                return Err(error.wrap_err(format!("{what}: timed out after {limit:?}")));
             }
-            Err(_) => tokio::time::sleep(LOOK).await,
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/figscale-standin/src/cell/plan.rs
+++ b/crates/figscale-standin/src/cell/plan.rs
@@ -1,4 +1,4 @@
-//! Which instances a cell has and where they stand.
+//! Which instances a cell has, and their failure domains and racks.
 
 use figscale_types::ids;
 
@@ -21,7 +21,7 @@
 }
 
 impl Size {
-    /// Enough to look at.
+    /// Enough to try the system out.
     pub const SMALL: Self = Self {
         entries: 3,
         runners: 10,
@@ -37,7 +37,7 @@
     };
 }
 
-/// Where an instance stands.
+/// Location of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
     /// Failure domain.
@@ -47,8 +47,8 @@
 }
 
 impl Place {
-    /// The place of instance `number`: racks are filled one after the other,
-    /// and lie in the failure domains in turn.
+    /// Location of instance `number`: racks are filled one after the other, and
+    /// assigned to the failure domains round-robin.
     pub fn of(user: User, size: Size, number: usize) -> eyre::Result<Self> {
         let rack = number / RACK_LEN;
         let domain = rack % size.domains;
@@ -58,7 +58,8 @@
         })
     }
 
-    /// The place of entry instance `number`: one in each failure domain in turn.
+    /// Location of entry instance `number`: failure domains are used
+    /// round-robin.
     pub fn of_entry(user: User, size: Size, number: usize) -> eyre::Result<Self> {
         Self::of(user, size, (number % size.domains) * RACK_LEN)
     }
--- a/crates/figscale-standin/src/cell/users.rs
+++ b/crates/figscale-standin/src/cell/users.rs
@@ -15,7 +15,7 @@
 
 const GIB: u64 = 1_024 * sizes::MIB;
 
-/// A file of the folder `examples`, as it was when this was built.
+/// A file of the folder `examples`, included at build time.
 #[derive(Clone, Copy)]
 struct Example {
     name: &'static str,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Takes in a file of the folder `examples` by its name.
+/// Includes a file of the folder `examples` by its name.
 macro_rules! example {
     ($name:literal) => {
         Example {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// What one of its workers holds.
+    /// Capacity of each of its workers.
     pub(super) fn worker_size(self) -> sizes::Resources {
         let memory_gib = match self {
             Self::FraserReach => 128,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Its requests, as callers make them.
+    /// Mix of the requests that its callers make.
     pub fn classes(self) -> eyre::Result<Vec<load::Class>> {
         match self {
             Self::FraserReach => Ok(vec![
--- a/crates/figscale-standin/src/cell/walk.rs
+++ b/crates/figscale-standin/src/cell/walk.rs
@@ -1,5 +1,6 @@
-//! What a user does with a cell: a catalogue, some requests, a job of each
-//! class; then the check that no promise was broken.
+//! Scenario of a user's typical steps on a cell: applies a catalogue, makes
+//! requests, submits a job of each class, then checks that no guarantee of the
+//! system was violated.
 
 use std::time;
 
@@ -16,48 +17,49 @@
 use super::operator;
 use crate::load;
 
-/// Longest wait for anything that is to come about.
-const PATIENCE: time::Duration = time::Duration::from_secs(60);
-/// Time between lines that tell what is happening.
-const TELL: time::Duration = time::Duration::from_secs(5);
+/// Time limit of each awaited condition, and of each response.
+const STEP_TIMEOUT: time::Duration = time::Duration::from_secs(60);
+/// Interval of the progress reports.
+const REPORT_INTERVAL: time::Duration = time::Duration::from_secs(5);
 /// Arrivals a second, of all callers.
 const RATE_PER_S: f64 = 60.0;
-/// Time of the load that finds out whether the homes of request ids are up.
-const PROBE: time::Duration = time::Duration::from_millis(500);
+/// Duration of the load that probes whether the homes of request ids accept
+/// requests.
+const PROBE_DURATION: time::Duration = time::Duration::from_millis(500);
 
 /// What to do with a cell.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Whose cell.
+    /// The user whose cell is started.
     pub user: User,
-    /// How large.
+    /// Number of instances.
     pub size: Size,
-    /// Whether to end after the check, rather than at Ctrl-C.
+    /// Whether to exit after the check instead of at Ctrl-C.
     pub once: bool,
-    /// Time of load before the check.
+    /// Duration of the load before the check.
     pub load: time::Duration,
     /// Seed of the load.
     pub seed: u64,
 }
 
-/// Starts a cell, walks through it and tells what happens.
+/// Starts a cell, runs the scenario on it and prints the progress.
 pub async fn run(options: Options) -> eyre::Result<()> {
     let cell = Cell::start(options.user, options.size).await?;
-    tell_addresses(&cell);
-    let walked = walk(&cell, &options).await;
-    if let Err(error) = &walked {
-        println!("\nThe walk failed: {error:#}");
+    print_addresses(&cell);
+    let result = run_scenario(&cell, &options).await;
+    if let Err(error) = &result {
+        println!("\nThe scenario failed: {error:#}");
     }
     if !options.once {
-        tell_what_to_try(&cell);
-        go_on(&cell, &options).await?;
+        print_suggestions(&cell);
+        continue_load(&cell, &options).await?;
     }
     println!("\nStopping the entry instances in order.");
     cell.stop().await?;
-    walked
+    result
 }
 
-async fn walk(cell: &Cell, options: &Options) -> eyre::Result<()> {
+async fn run_scenario(cell: &Cell, options: &Options) -> eyre::Result<()> {
     let operators: Vec<_> = cell
         .addresses
         .iter()
@@ -66,10 +68,10 @@
     let operator = &operators[0];
     apply(cell, operator).await?;
     wait_until_ready(&operators).await?;
-    wait_until_homes_take_ids(cell, options.seed).await?;
+    wait_until_homes_accept_ids(cell, options.seed).await?;
     requests(cell, options).await?;
     run_jobs(cell, operator).await?;
-    check_promises(cell)
+    check_invariants(cell)
 }
 
 async fn apply(cell: &Cell, operator: &Operator) -> eyre::Result<()> {
@@ -83,14 +85,17 @@
     };
     let began = time::Instant::now();
     let accepted = async || operator.apply(&request).await;
-    let revision = operator::wait_for("accepted", PATIENCE, accepted)
+    let revision = operator::wait_for("accepted", STEP_TIMEOUT, accepted)
         .await?
         .revision;
-    operator::wait_for("in force everywhere", PATIENCE, async || {
+    operator::wait_for("in force everywhere", STEP_TIMEOUT, async || {
         let status = operator.catalogue_status().await?;
         let in_force = |found: &&Option<ids::Revision>| **found == Some(revision);
         let count = status.in_force.values().filter(in_force).count();
-        eyre::ensure!(count == cell.addresses.len(), "in force at {count} only");
+        eyre::ensure!(
+            count == cell.addresses.len(),
+            "in force at only {count} entry instances"
+        );
         Ok(())
     })
     .await?;
@@ -109,22 +114,27 @@
             true => Ok(()),
             false => Err(eyre::eyre!("not ready")),
         };
-        operator::wait_for("ready", PATIENCE, ready).await?;
+        operator::wait_for("ready", STEP_TIMEOUT, ready).await?;
     }
     Ok(())
 }
 
-/// A new home of request ids refuses those that may be older than itself, so
-/// requests that may run only once are taken a little later than others.
-async fn wait_until_homes_take_ids(cell: &Cell, seed: u64) -> eyre::Result<()> {
-    let mut probe = load_config(cell, PROBE, seed)?;
+/// A new home of request ids refuses ids that may be older than itself, so
+/// requests with at-most-once execution are accepted a little later than
+/// idempotent ones.
+async fn wait_until_homes_accept_ids(cell: &Cell, seed: u64) -> eyre::Result<()> {
+    let mut probe = load_config(cell, PROBE_DURATION, seed)?;
     probe.classes.retain(|class| !class.idempotent);
-    operator::wait_for("requests that run once are taken", PATIENCE, async || {
-        let report = load::run(&probe).await;
-        let (own, all) = (report.all.own, report.all.requests);
-        eyre::ensure!(own == all, "{own} of {all}: {:?}", report.all.failed);
-        Ok(())
-    })
+    operator::wait_for(
+        "non-idempotent requests accepted",
+        STEP_TIMEOUT,
+        async || {
+            let report = load::run(&probe).await;
+            let (own, all) = (report.all.own, report.all.requests);
+            eyre::ensure!(own == all, "{own} of {all}: {:?}", report.all.failed);
+            Ok(())
+        },
+    )
     .await
 }
 
@@ -138,7 +148,7 @@
         classes: cell.user.classes()?,
         rate_per_s: RATE_PER_S,
         duration,
-        patience: PATIENCE,
+        patience: STEP_TIMEOUT,
         seed,
     })
 }
@@ -154,7 +164,7 @@
     eyre::ensure!(false_not_run.is_empty(), "false not-run: {false_not_run:?}");
     eyre::ensure!(
         report.all.own == report.all.requests,
-        "{} of {} requests got their whole answer",
+        "{} of {} requests received a complete and correct response",
         report.all.own,
         report.all.requests
     );
@@ -180,7 +190,8 @@
     Ok(())
 }
 
-/// A service is to run on, every other job to end well.
+/// State that a job must reach: a service keeps running, any other job ends
+/// with success.
 fn wanted_state(catalogue: &catalogue::Catalogue, spec: &jobs::JobSpec) -> jobs::JobState {
     let policy = catalogue
         .entries
@@ -200,7 +211,7 @@
     wanted: jobs::JobState,
     began: time::Instant,
 ) -> eyre::Result<()> {
-    operator::wait_for("the job", PATIENCE, async || {
+    operator::wait_for("the job", STEP_TIMEOUT, async || {
         let status = operator.job(id).await?;
         let all = status.tasks.iter().all(|task| task.state == wanted);
         eyre::ensure!(status.state == wanted && all, "{status:?}");
@@ -214,28 +225,25 @@
     Ok(())
 }
 
-fn check_promises(cell: &Cell) -> eyre::Result<()> {
+fn check_invariants(cell: &Cell) -> eyre::Result<()> {
     println!("\n5. The judges at the runners and workers.");
     let requests = cell.requests.violations();
     eyre::ensure!(requests.is_empty(), "runners: {requests:?}");
     let tasks = cell.tasks.violations();
     eyre::ensure!(tasks.is_empty(), "workers: {tasks:?}");
     let over: u64 = cell.workers.iter().map(|w| w.record().over_capacity).sum();
-    eyre::ensure!(
-        over == 0,
-        "workers were asked for more than they hold: {over}"
-    );
+    eyre::ensure!(over == 0, "starts refused for lack of capacity: {over}");
     println!("   No promise was broken.");
     Ok(())
 }
 
-async fn go_on(cell: &Cell, options: &Options) -> eyre::Result<()> {
+async fn continue_load(cell: &Cell, options: &Options) -> eyre::Result<()> {
     let mut round = options.seed;
     let rounds = async {
         loop {
             round += 1;
-            let report = load::run(&load_config(cell, TELL, round)?).await;
-            tell_round(cell, &report);
+            let report = load::run(&load_config(cell, REPORT_INTERVAL, round)?).await;
+            print_round(cell, &report);
         }
         #[expect(unreachable_code, reason = "it gives the block its type")]
         eyre::Ok(())
@@ -246,7 +254,7 @@
     }
 }
 
-fn tell_round(cell: &Cell, report: &load::Report) {
+fn print_round(cell: &Cell, report: &load::Report) {
     let store = cell.platform.total();
     println!(
         "{} requests, {} answered, p99 wait {:.1} ms; store: {} calls so far; judges: {} findings",
@@ -258,7 +266,7 @@
     );
 }
 
-fn tell_addresses(cell: &Cell) {
+fn print_addresses(cell: &Cell) {
     println!("The cell of {} is up.", cell.user);
     println!("  platform   {}", cell.platform.address());
     for entry in &cell.addresses {
@@ -277,7 +285,7 @@
     );
 }
 
-fn tell_what_to_try(cell: &Cell) {
+fn print_suggestions(cell: &Cell) {
     let (Some(entry), Ok(classes)) = (cell.addresses.first(), cell.user.classes()) else {
         return;
     };
--- a/crates/figscale-standin/src/client.rs
+++ b/crates/figscale-standin/src/client.rs
@@ -18,7 +18,7 @@
 use serde::Serialize;
 use serde::de;
 
-/// A call that got no whole answer.
+/// A call that got no complete response.
 #[derive(Debug)]
 pub struct CallError(Box<dyn error::Error + Send + Sync>);
 
@@ -30,7 +30,7 @@
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "no whole answer: {}", self.0)?;
+        write!(f, "no complete response: {}", self.0)?;
         let mut cause = self.0.source();
         while let Some(error) = cause {
             write!(f, ": {error}")?;
@@ -42,7 +42,7 @@
 
 impl error::Error for CallError {}
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// Status.
@@ -54,13 +54,13 @@
 }
 
 impl Answer {
-    /// A header's text; empty when absent.
+    /// Value of a header as text; empty if it is absent.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name).and_then(|v| v.to_str().ok());
         value.unwrap_or_default()
     }
 
-    /// The body as text, for people.
+    /// The body as text for display; invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// A client that keeps connections for later calls; clones share them.
+/// A client that reuses connections; clones share the pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: legacy::Client<connect::HttpConnector, Full<Bytes>>,
@@ -81,7 +81,7 @@
     fn default() -> Self {
         let mut connector = connect::HttpConnector::new();
         connector.set_nodelay(true);
-        // Of itself it makes a call again only when nothing of it was written.
+        // The client retries a call on its own only if no part of it was written.
         let inner = legacy::Client::builder(rt::TokioExecutor::new())
             .pool_timer(rt::TokioTimer::new())
             .pool_idle_timeout(time::Duration::from_secs(5))
@@ -152,7 +152,7 @@
 }
 
 impl Client {
-    /// Makes a call and reads its answer to the end.
+    /// Makes a call and reads the complete response.
     pub async fn send(&self, call: Call) -> Result<Answer, CallError> {
         let uri = format!("http://{}{}", call.address, call.path);
         let mut request = Request::builder().method(call.method).uri(uri);
@@ -170,7 +170,7 @@
         })
     }
 
-    /// As [`Client::send`], within a time.
+    /// Like [`Client::send`], with a time limit.
     pub async fn send_within(
         &self,
         limit: time::Duration,
--- a/crates/figscale-standin/src/main.rs
+++ b/crates/figscale-standin/src/main.rs
@@ -1,7 +1,7 @@
-//! The `figscale-standin` program: each stand-in in a process of its own.
+//! The `figscale-standin` program: runs each stand-in in its own process.
 //!
-//! Every stand-in prints `listening on ADDRESS` once it does, and runs until
-//! Ctrl-C or a termination signal.
+//! Every stand-in prints `listening on ADDRESS` as soon as it listens, and runs
+//! until Ctrl-C or a termination signal.
 
 use std::net;
 use std::path;
@@ -22,7 +22,7 @@
 use figscale_types::sizes;
 use tokio::signal;
 
-/// Stand-ins of everything around figscale, and tools to put it to the test.
+/// Stand-ins for everything around figscale, and tools to test it.
 #[derive(argh::FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -45,19 +45,19 @@
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "platform")]
 struct Platform {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_port()")]
     listen: net::SocketAddr,
     /// file with the lines of the instance list, JSON with comments
     #[argh(option)]
     instances: Option<path::PathBuf>,
-    /// time by which the list lags (default 1000)
+    /// lag of the list in ms (default 1000)
     #[argh(option, default = "1_000")]
     lag_ms: u64,
-    /// writes taken a second (default 300)
+    /// rate limit of writes per second (default 300)
     #[argh(option, default = "300.0")]
     writes_per_s: f64,
-    /// reads taken a second (default 2000)
+    /// rate limit of reads per second (default 2000)
     #[argh(option, default = "2_000.0")]
     reads_per_s: f64,
 }
@@ -66,19 +66,19 @@
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "runner")]
 struct Runner {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_port()")]
     listen: net::SocketAddr,
-    /// its name
+    /// its instance id
     #[argh(option)]
     id: ids::InstanceId,
-    /// requests run at once (default 8)
+    /// number of requests run concurrently (default 8)
     #[argh(option, default = "8")]
     slots: u32,
-    /// connections allowed at once (default 60)
+    /// number of concurrent connections allowed (default 60)
     #[argh(option, default = "60")]
     connections: u32,
-    /// mean run time of a request that names none (default 20)
+    /// mean run time in ms of a request that does not specify one (default 20)
     #[argh(option, default = "20")]
     run_ms: u64,
     /// draw run times exponentially distributed around the mean
@@ -93,22 +93,22 @@
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "worker")]
 struct Worker {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_port()")]
     listen: net::SocketAddr,
-    /// its name
+    /// its instance id
     #[argh(option)]
     id: ids::InstanceId,
-    /// cores that it holds (default 64)
+    /// number of cores (default 64)
     #[argh(option, default = "64")]
     cores: u64,
-    /// memory that it holds (default 131072)
+    /// memory in MiB (default 131072)
     #[argh(option, default = "131_072")]
     memory_mib: u64,
-    /// accelerators that it holds (default 0)
+    /// number of accelerators (default 0)
     #[argh(option, default = "0")]
     accelerators: u32,
-    /// time by which its reports of use lag (default 500)
+    /// lag of the usage in its reports in ms (default 500)
     #[argh(option, default = "500")]
     usage_lag_ms: u64,
 }
@@ -117,37 +117,37 @@
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "proxy")]
 struct Proxy {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_port()")]
     listen: net::SocketAddr,
-    /// where to connect to
+    /// address to connect to
     #[argh(option)]
     target: net::SocketAddr,
-    /// where to take control calls
+    /// address for control calls
     #[argh(option)]
     control: Option<net::SocketAddr>,
 }
 
-/// Makes open-loop load and verifies every answer.
+/// Makes open-loop load and verifies every response.
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "load")]
 struct Load {
-    /// address of an entry instance, perhaps with its share: 127.0.0.1:1234=2.5
+    /// address of an entry instance, optionally with its share: 127.0.0.1:1234=2.5
     #[argh(option, from_str_fn(target))]
     entry: Vec<load::Target>,
     /// mix of requests: fraser-reach or firth-shore (default fraser-reach)
     #[argh(option, default = "cell::User::FraserReach")]
     user: cell::User,
-    /// file with a mix of one's own, JSON with comments
+    /// file with a custom mix, JSON with comments
     #[argh(option)]
     mix: Option<path::PathBuf>,
-    /// arrivals a second (default 100)
+    /// arrivals per second (default 100)
     #[argh(option, default = "100.0")]
     rate_per_s: f64,
-    /// time in which requests arrive (default 10)
+    /// period in seconds in which requests arrive (default 10)
     #[argh(option, default = "10.0")]
     seconds: f64,
-    /// longest wait for one answer (default 60000)
+    /// time limit of one request in ms (default 60000)
     #[argh(option, default = "60_000")]
     patience_ms: u64,
     /// seed of the arrivals (default 1)
@@ -158,20 +158,20 @@
     json: bool,
 }
 
-/// Runs a whole cell in one process and shows what it does.
+/// Runs a complete cell in one process and prints its progress.
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "cell")]
 struct Cell {
-    /// whose cell: fraser-reach or firth-shore (default fraser-reach)
+    /// user whose cell is run: fraser-reach or firth-shore (default fraser-reach)
     #[argh(option, default = "cell::User::FraserReach")]
     user: cell::User,
     /// today's sizes: 50 runners, 50 workers, 8 entry instances, 4 failure domains
     #[argh(switch)]
     full: bool,
-    /// end after the walk, with exit code 0 if no promise was broken
+    /// exit after the scenario, with exit code 0 if no guarantee was violated
     #[argh(switch)]
     once: bool,
-    /// time of load in the walk (default 5)
+    /// duration in seconds of the load in the scenario (default 5)
     #[argh(option, default = "5.0")]
     seconds: f64,
     /// seed of the load (default 1)
@@ -183,13 +183,13 @@
 #[derive(argh::FromArgs)]
 #[argh(subcommand, name = "experiment")]
 struct Experiment {
-    /// name; without it the scenarios are listed
+    /// name of the scenario; without it the scenarios are listed
     #[argh(positional)]
     name: Option<String>,
     /// seed (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// measure at small sizes only; `capacity` has such a form
+    /// measure at small sizes only; available for `capacity`
     #[argh(switch)]
     quick: bool,
 }
@@ -200,14 +200,14 @@
 
 fn target(text: &str) -> Result<load::Target, String> {
     let (address, weight) = text.split_once('=').unwrap_or((text, "1"));
-    let wrong = |_| format!("{text}: expected ADDRESS or ADDRESS=SHARE");
+    let invalid = |_| format!("{text}: expected ADDRESS or ADDRESS=SHARE");
     Ok(load::Target {
         address: address
             .parse()
-            .map_err(|error: net::AddrParseError| wrong(error.to_string()))?,
+            .map_err(|error: net::AddrParseError| invalid(error.to_string()))?,
         weight: weight
             .parse()
-            .map_err(|error: std::num::ParseFloatError| wrong(error.to_string()))?,
+            .map_err(|error: std::num::ParseFloatError| invalid(error.to_string()))?,
     })
 }
 
@@ -237,9 +237,9 @@
     })
 }
 
-/// Tells where a stand-in listens, and waits for the end.
+/// Prints the address of a stand-in and waits for Ctrl-C or a termination signal.
 async fn serve(address: net::SocketAddr) -> eyre::Result<()> {
-    // Whoever reads the line may send a signal at once.
+    // Installed before the line is printed: its reader may send a signal at once.
     let mut terminate = signal::unix::signal(signal::unix::SignalKind::terminate())?;
     println!("listening on {address}");
     tokio::select! {
--- a/crates/figscale-standin/src/ports.rs
+++ b/crates/figscale-standin/src/ports.rs
@@ -1,12 +1,14 @@
-//! Free ports for processes that must know their addresses beforehand.
+//! Reserves free ports for processes that must know their addresses before they
+//! start.
 //!
-//! They are taken from below the range that the operating system hands out for
-//! outgoing connections. Between the choice of a port and the moment at which
-//! a child process listens on it lies time in which another test process could
-//! choose the same one, or probe it just while the child binds. So a port is
-//! reserved first: its UDP twin, which nothing here uses, stays bound until
-//! this process ends. The price is one open socket for each port. Only
-//! strangers that do not reserve can still come in between.
+//! Ports are chosen below the ephemeral range from which the operating system
+//! assigns ports to outgoing connections. Between the choice of a port and the
+//! moment at which a child process listens on it, another test process could
+//! choose the same port, or probe it just while the child binds it. To prevent
+//! this, the UDP port of the same number, which nothing here uses, is bound
+//! first and stays bound until this process ends. This costs one open socket
+//! per port. Only programs that do not reserve ports in this way can still
+//! take one.
 
 use std::io;
 use std::net;
@@ -38,8 +40,8 @@
 }
 
 impl Ports {
-    /// None reserved yet; the search begins at this place of the range, taken
-    /// modulo its size.
+    /// No ports reserved yet; the search begins at this offset into the range,
+    /// modulo the size of the range.
     pub fn starting_at(place: u32) -> Self {
         Self {
             next: place % COUNT,
--- a/crates/figscale-standin/tests/cell.rs
+++ b/crates/figscale-standin/tests/cell.rs
@@ -1,4 +1,5 @@
-//! The newcomer's command does a user's whole day and finds no broken promise.
+//! The `cell` command runs the whole scenario of each user without a violated
+//! guarantee.
 
 use std::process;
 
@@ -9,13 +10,16 @@
 #[rstest]
 #[case::fraser_reach("fraser-reach")]
 #[case::firth_shore("firth-shore")]
-fn a_cell_does_its_main_job(#[case] user: &str) {
+fn a_cell_runs_the_scenario_without_violations(#[case] user: &str) {
     let output = process::Command::new(PROGRAM)
         .args(["cell", "--once", "--seconds", "1", "--user", user])
         .output()
         .unwrap();
-    let told = String::from_utf8_lossy(&output.stdout).into_owned();
-    let wrong = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.success(), "{told}\n{wrong}");
-    assert!(told.contains("No promise was broken."), "{told}");
+    let stdout_text = String::from_utf8_lossy(&output.stdout).into_owned();
+    let stderr_text = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(output.status.success(), "{stdout_text}\n{stderr_text}");
+    assert!(
+        stdout_text.contains("No promise was broken."),
+        "{stdout_text}"
+    );
 }
--- a/crates/figscale-standin/tests/examples.rs
+++ b/crates/figscale-standin/tests/examples.rs
@@ -1,4 +1,5 @@
-//! The example catalogues fit the schema, the mixes and the jobs of the cell.
+//! The example catalogues match the schema and allow the request mixes and the jobs
+//! of the cell.
 
 use figscale_standin::cell;
 use figscale_types::catalogue;
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn the_users_differ_by_weights() {
+fn the_users_have_different_scoring_weights() {
     let weights = |user: cell::User| user.catalogue().unwrap().weights;
     let fraser = weights(cell::User::FraserReach);
     let firth = weights(cell::User::FirthShore);
@@ -54,7 +55,7 @@
 #[rstest]
 #[case::small(cell::Size::SMALL, 10, 2)]
 #[case::full(cell::Size::FULL, 50, 9)]
-fn racks_hold_six_and_lie_in_the_domains_in_turn(
+fn racks_hold_six_and_are_assigned_to_domains_round_robin(
     #[case] size: cell::Size,
     #[case] workers: usize,
     #[case] racks: usize,
--- a/crates/figscale-standin/tests/ports.rs
+++ b/crates/figscale-standin/tests/ports.rs
@@ -1,5 +1,5 @@
-//! Ports handed out are nobody else's: not of this process, not of another
-//! one that picks in the same way.
+//! A reserved port is not reserved again, neither by this process nor by another
+//! one that uses the same reservation scheme.
 
 use std::collections::HashSet;
 use std::net;
@@ -7,7 +7,7 @@
 use figscale_standin::ports;
 
 #[test]
-fn an_address_is_never_handed_out_twice() {
+fn an_address_is_never_returned_twice() {
     let addresses: HashSet<_> = (0..200).map(|_| ports::free_address().unwrap()).collect();
     assert_eq!(addresses.len(), 200);
     assert!(
@@ -17,7 +17,7 @@
     );
 }
 
-/// The mark by which other processes know that a port is taken, although
+/// The bound UDP port shows other processes that the port is reserved although
 /// nothing listens on it yet.
 #[test]
 fn an_address_stays_reserved() {
@@ -27,9 +27,9 @@
     net::TcpListener::bind(address).unwrap();
 }
 
-/// As two processes whose ids lead to the same place of the range would do.
+/// Two processes whose ids lead to the same offset of the range do this.
 #[test]
-fn two_searches_from_one_place_get_different_addresses() {
+fn two_searches_from_one_offset_get_different_addresses() {
     let mut one = ports::Ports::starting_at(7);
     let mut other = ports::Ports::starting_at(7);
     for _ in 0..50 {
--- a/crates/figscale-standin/tests/program.rs
+++ b/crates/figscale-standin/tests/program.rs
@@ -1,5 +1,5 @@
-//! Each stand-in runs in a process of its own, and its faults and judgements
-//! are to be had over HTTP there.
+//! Each stand-in runs in its own process, where its faults and the violations found
+//! are accessible over HTTP.
 
 use std::io;
 use std::io::BufRead as _;
@@ -15,10 +15,10 @@
 use figscale_types::instances;
 use rstest::rstest;
 
-const LONG: time::Duration = time::Duration::from_secs(30);
+const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_figscale-standin");
 
-/// A process that is killed when the test is over.
+/// A process that is killed when this is dropped.
 struct Process {
     child: process::Child,
     address: net::SocketAddr,
@@ -52,9 +52,9 @@
 async fn send(call: client::Call) -> client::Answer {
     let client = client::Client::default();
     client
-        .send_within(LONG, call)
+        .send_within(TEST_TIMEOUT, call)
         .await
-        .expect("a whole answer")
+        .expect("a complete response")
 }
 
 async fn set_faults(address: net::SocketAddr, faults: serde_json::Value) {
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test]
-async fn a_platform_is_broken_and_mended_over_http() {
+async fn platform_faults_are_switched_over_http() {
     let dir = tempfile::tempdir().unwrap();
     let file = dir.path().join("instances.jsonc");
     std::fs::write(&file, "// Nothing yet.\n[]").unwrap();
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn a_runner_tells_its_judgement_over_http() {
+async fn a_runner_returns_its_violations_over_http() {
     let runner = start(&["runner", "--id", "runner-7", "--slots", "1"]);
     let run = |id: &'static str| {
         let call = client::Call::post(runner.address, "/rate");
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn a_worker_tells_its_record_over_http() {
+async fn a_worker_returns_its_record_over_http() {
     let worker = start(&["worker", "--id", "worker-7", "--cores", "2"]);
     let report = send(client::Call::get(worker.address, "/v1/report")).await;
     let report: figscale_types::worker::WorkerReport = report.json().unwrap();
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn a_proxy_is_broken_and_mended_over_http() {
+async fn proxy_faults_are_switched_over_http() {
     let runner = start(&["runner", "--id", "runner-7"]);
     let control = ports::free_address().unwrap();
     let proxy = start(&[
@@ -128,7 +128,9 @@
     let usage = || client::Call::get(proxy.address, "/usage");
     assert_eq!(send(usage()).await.status, 200);
     set_faults(control, serde_json::json!({ "refuse_new": true })).await;
-    let refused = client::Client::default().send_within(LONG, usage()).await;
+    let refused = client::Client::default()
+        .send_within(TEST_TIMEOUT, usage())
+        .await;
     assert!(refused.is_err());
     set_faults(control, serde_json::json!({})).await;
     assert_eq!(send(usage()).await.status, 200);
@@ -163,7 +165,7 @@
 }
 
 #[test]
-fn a_termination_signal_ends_it_in_order() {
+fn a_termination_signal_exits_with_success() {
     let mut platform = start(&["platform"]);
     let id = platform.child.id().to_string();
     let sent = process::Command::new("kill").args(["-TERM", &id]).status();
@@ -177,10 +179,10 @@
 #[case::wrong_user(&["cell", "--user", "nobody"], "expected fraser-reach or firth-shore")]
 #[case::wrong_scenario(&["experiment", "nothing"], "there is no scenario nothing")]
 #[case::no_file(&["platform", "--instances", "/nowhere"], "/nowhere")]
-fn wrong_arguments_are_named(#[case] arguments: &[&str], #[case] expected: &str) {
+fn invalid_arguments_are_named_in_the_error(#[case] arguments: &[&str], #[case] expected: &str) {
     let output = process::Command::new(PROGRAM).args(arguments).output();
     let output = output.unwrap();
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr_text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
-    assert!(told.contains(expected), "{told}");
+    assert!(stderr_text.contains(expected), "{stderr_text}");
 }
