--- a/crates/figscale-standin/src/proxy/control.rs
+++ b/crates/figscale-standin/src/proxy/control.rs
@@ -1,4 +1,4 @@
-//! Faults and counts of a proxy, over HTTP.
+//! HTTP interface to the faults and counters of a proxy.
 
 use std::sync;
 
@@ -30,7 +30,7 @@
 }
 
 async fn break_connections(State(shared): SharedState) {
-    shared.breaks.send_modify(|breaks| *breaks += 1);
+    shared.resets.send_modify(|resets| *resets += 1);
 }
 
 async fn traffic(State(shared): SharedState) -> Json<Traffic> {
--- a/crates/figscale-standin/src/proxy/mod.rs
+++ b/crates/figscale-standin/src/proxy/mod.rs
@@ -2,15 +2,15 @@
 //!
 //! One proxy stands for the path from one client to one target, so that a path
 //! can be broken in one direction, or between two particular processes only.
-//! Faults are switched through the [`Handle`], or over HTTP at its control
-//! address (`/control/faults`, `/control/break`), and hold for open and new
-//! connections alike.
+//! Faults are injected through the [`Handle`], or over HTTP at its control
+//! address (`/control/faults`, `/control/break`), and apply to open and
+//! new connections.
 //!
-//! A cut path swallows what is sent along it, as a broken link does. A
+//! A cut path discards what is sent along it, as a broken link does. A
 //! connection that lost bytes in a cut is reset when the cut ends, since TCP
-//! would not deliver a stream with a hole either. While a path is cut in any
-//! direction a new connection is accepted and gets no further; a real one
-//! would wait for its handshake.
+//! would not deliver a stream with a gap either. While a path is cut in either
+//! direction, a new connection is accepted but not connected to the target; on
+//! a real link it would wait for its handshake.
 
 mod control;
 mod pump;
@@ -35,19 +35,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Direction {
-    /// Bytes are swallowed.
+    /// Bytes are discarded.
     pub cut: bool,
-    /// Bytes are kept until this is off again.
+    /// Bytes are held back until this is switched off.
     pub freeze: bool,
-    /// Time added to the way of every byte.
+    /// Latency added to every byte.
     pub delay_ms: u64,
     /// A connection is reset after this many bytes in this direction.
     pub drop_after_bytes: Option<u64>,
-    /// The stream ends in order, while the other direction goes on.
+    /// The stream is shut down, while the other direction stays open.
     pub half_close: bool,
 }
 
-/// Faults that can be switched while it runs.
+/// Faults that can be injected while it runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
@@ -78,7 +78,7 @@
     }
 }
 
-/// How a proxy starts.
+/// Configuration of a proxy.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Where to listen.
@@ -100,19 +100,19 @@
     }
 }
 
-/// What the connections of a proxy share.
+/// State shared by the connections of a proxy.
 #[derive(Debug)]
 pub(crate) struct Shared {
     target: watch::Sender<net::SocketAddr>,
     faults: watch::Sender<Faults>,
-    /// Grows with every order to break all connections.
-    breaks: watch::Sender<u64>,
+    /// Incremented by each command to reset all connections.
+    resets: watch::Sender<u64>,
     connections: atomic::AtomicU64,
     to_target_bytes: atomic::AtomicU64,
     to_client_bytes: atomic::AtomicU64,
 }
 
-/// What passed through a proxy.
+/// Connections and bytes that passed through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
     /// Connections accepted since the start.
@@ -123,7 +123,7 @@
     pub to_client_bytes: u64,
 }
 
-/// A running proxy; dropping it ends it and its connections.
+/// A running proxy; dropping it stops it and closes its connections.
 #[derive(Debug)]
 pub struct Handle {
     address: net::SocketAddr,
@@ -139,7 +139,7 @@
     let shared = sync::Arc::new(Shared {
         target: watch::Sender::new(config.target),
         faults: watch::Sender::new(Faults::default()),
-        breaks: watch::Sender::new(0),
+        resets: watch::Sender::new(0),
         connections: atomic::AtomicU64::new(0),
         to_target_bytes: atomic::AtomicU64::new(0),
         to_client_bytes: atomic::AtomicU64::new(0),
@@ -176,28 +176,28 @@
 }
 
 async fn connect(client: TcpStream, shared: sync::Arc<Shared>) {
-    let mut breaks = shared.breaks.subscribe();
+    let mut resets = shared.resets.subscribe();
     let mut faults = shared.faults.subscribe();
     if faults.borrow().refuse_new {
         reset(&client);
         return;
     }
     let target = async {
-        // The sender lives as long as the proxy.
+        // Cannot fail: the sender lives as long as the proxy.
         let _ = faults.wait_for(|faults| !faults.any_cut()).await;
         let target = *shared.target.borrow();
         TcpStream::connect(target).await
     };
     tokio::select! {
         target = target => match target {
-            Ok(target) => pump::both_ways(client, target, &shared, breaks).await,
+            Ok(target) => pump::forward_both(client, target, &shared, resets).await,
             Err(_) => reset(&client),
         },
-        _ = breaks.changed() => reset(&client),
+        _ = resets.changed() => reset(&client),
     }
 }
 
-/// Makes the end of a connection a reset.
+/// Makes closing a connection send a reset.
 fn reset(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
@@ -209,32 +209,33 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Where it takes control calls.
+    /// The address for control calls.
     pub fn control_address(&self) -> Option<net::SocketAddr> {
         self.control.as_ref().map(http_server::Server::address)
     }
 
-    /// Switches faults.
+    /// Changes the faults that are injected.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         self.shared.faults.send_modify(change);
     }
 
-    /// Connects new connections elsewhere, as when a process comes back.
+    /// Sets the target of new connections, for a process that restarts at another
+    /// address.
     pub fn set_target(&self, target: net::SocketAddr) {
         self.shared.target.send_replace(target);
     }
 
     /// Resets every open connection.
     pub fn break_connections(&self) {
-        self.shared.breaks.send_modify(|breaks| *breaks += 1);
+        self.shared.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// What passed through it.
+    /// Connections and bytes that passed through it.
     pub fn traffic(&self) -> Traffic {
         self.shared.traffic()
     }
--- a/crates/figscale-standin/src/proxy/pump.rs
+++ b/crates/figscale-standin/src/proxy/pump.rs
@@ -1,7 +1,7 @@
-//! Carries the bytes of one connection, each way on its own.
+//! Forwards the bytes of one connection, each direction independently.
 //!
 //! A reader stamps each chunk with the time at which it is due, and a writer
-//! delivers it then, so that a delay costs time on the way and no throughput.
+//! delivers it then, so that a delay adds latency without limiting throughput.
 
 use std::io;
 use std::sync;
@@ -23,7 +23,7 @@
 
 /// Bytes read at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Chunks under way in one direction.
+/// Largest number of chunks in flight in one direction.
 const CHUNKS: usize = 1_024;
 
 /// Bytes with the time at which they are due.
@@ -32,52 +32,52 @@
     bytes: Bytes,
 }
 
-/// One way of a connection.
-struct Way<'a> {
+/// One direction of a connection.
+struct Forwarder<'a> {
     faults: watch::Receiver<Faults>,
     direction: fn(&Faults) -> Direction,
     delivered: &'a atomic::AtomicU64,
 }
 
-/// Carries bytes both ways until both have ended, or one was broken.
-pub(super) async fn both_ways(
+/// Forwards bytes in both directions until both have ended or one has failed.
+pub(super) async fn forward_both(
     client: TcpStream,
     target: TcpStream,
     shared: &sync::Arc<Shared>,
-    mut breaks: watch::Receiver<u64>,
+    mut resets: watch::Receiver<u64>,
 ) {
     let _ = target.set_nodelay(true);
     let (from_client, to_client) = client.into_split();
     let (from_target, to_target) = target.into_split();
-    let there = Way {
+    let client_to_target = Forwarder {
         faults: shared.faults.subscribe(),
         direction: |faults| faults.to_target,
         delivered: &shared.to_target_bytes,
     };
-    let back = Way {
+    let target_to_client = Forwarder {
         faults: shared.faults.subscribe(),
         direction: |faults| faults.to_client,
         delivered: &shared.to_client_bytes,
     };
     let mut to_target = to_target;
     let mut to_client = to_client;
-    let carried = tokio::select! {
-        carried = async {
+    let forwarded = tokio::select! {
+        forwarded = async {
             tokio::try_join!(
-                there.carry(from_client, &mut to_target),
-                back.carry(from_target, &mut to_client),
+                client_to_target.forward(from_client, &mut to_target),
+                target_to_client.forward(from_target, &mut to_client),
             )
-        } => carried.map(|_| ()),
-        _ = breaks.changed() => Err(io::Error::other("broken by order")),
+        } => forwarded.map(|_| ()),
+        _ = resets.changed() => Err(io::Error::other("connection reset by a control call")),
     };
-    if carried.is_err() {
+    if forwarded.is_err() {
         super::reset(to_client.as_ref());
         super::reset(to_target.as_ref());
     }
 }
 
-impl Way<'_> {
-    async fn carry(
+impl Forwarder<'_> {
+    async fn forward(
         &self,
         from: tcp::OwnedReadHalf,
         to: &mut tcp::OwnedWriteHalf,
@@ -86,17 +86,17 @@
         let mut half_closed = self.faults.clone();
         let direction = self.direction;
         tokio::select! {
-            carried = async {
+            forwarded = async {
                 tokio::try_join!(self.read(from, sender), self.write(receiver, to))
             } => {
-                carried?;
+                forwarded?;
             }
             _ = half_closed.wait_for(|faults| direction(faults).half_close) => {}
         }
         to.shutdown().await
     }
 
-    fn now(&self) -> Direction {
+    fn current_faults(&self) -> Direction {
         (self.direction)(&self.faults.borrow())
     }
 
@@ -107,7 +107,7 @@
             if from.read_buf(&mut buffer).await? == 0 {
                 return Ok(());
             }
-            let delay = time::Duration::from_millis(self.now().delay_ms);
+            let delay = time::Duration::from_millis(self.current_faults().delay_ms);
             let chunk = Chunk {
                 due: tokio::time::Instant::now() + delay,
                 bytes: buffer.split().freeze(),
@@ -123,45 +123,48 @@
         mut from: mpsc::Receiver<Chunk>,
         to: &mut tcp::OwnedWriteHalf,
     ) -> io::Result<()> {
-        let mut carried: u64 = 0;
+        let mut forwarded: u64 = 0;
         let mut faults = self.faults.clone();
         let direction = self.direction;
         while let Some(chunk) = from.recv().await {
             tokio::time::sleep_until(chunk.due).await;
-            // The sender lives as long as the proxy.
+            // Cannot fail: the sender lives as long as the proxy.
             let _ = faults.wait_for(|faults| !direction(faults).freeze).await;
-            if self.now().cut {
+            if self.current_faults().cut {
                 let _ = faults.wait_for(|faults| !direction(faults).cut).await;
-                return Err(io::Error::other("bytes were lost in a cut"));
+                return Err(io::Error::other(
+                    "bytes were discarded while the path was cut",
+                ));
             }
-            carried += self.deliver(&chunk.bytes, carried, to).await?;
+            forwarded += self.deliver(&chunk.bytes, forwarded, to).await?;
         }
-        self.end().await
+        self.wait_until_end_passes().await
     }
 
-    /// Writes bytes, up to the limit after which the connection is reset.
+    /// Writes bytes up to the limit at which the connection is reset.
     async fn deliver(
         &self,
         bytes: &[u8],
-        carried: u64,
+        forwarded: u64,
         to: &mut tcp::OwnedWriteHalf,
     ) -> io::Result<u64> {
         let len = bytes.len() as u64;
-        let room = match self.now().drop_after_bytes {
-            Some(limit) => limit.saturating_sub(carried).min(len),
+        let allowed = match self.current_faults().drop_after_bytes {
+            Some(limit) => limit.saturating_sub(forwarded).min(len),
             None => len,
         };
-        to.write_all(&bytes[..usize::try_from(room).unwrap_or(bytes.len())])
+        to.write_all(&bytes[..usize::try_from(allowed).unwrap_or(bytes.len())])
             .await?;
-        self.delivered.fetch_add(room, atomic::Ordering::Relaxed);
-        if room < len {
-            return Err(io::Error::other("reached the limit of bytes"));
+        self.delivered.fetch_add(allowed, atomic::Ordering::Relaxed);
+        if allowed < len {
+            return Err(io::Error::other("byte limit of the direction reached"));
         }
-        Ok(room)
+        Ok(allowed)
     }
 
-    /// The end of a stream is held back like its bytes.
-    async fn end(&self) -> io::Result<()> {
+    /// Holds the end of the stream back while the direction is frozen or cut, as
+    /// its bytes are.
+    async fn wait_until_end_passes(&self) -> io::Result<()> {
         let mut faults = self.faults.clone();
         let direction = self.direction;
         let passes = |faults: &Faults| {
--- a/crates/figscale-standin/tests/proxy.rs
+++ b/crates/figscale-standin/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy breaks what it is told to, in the direction it is told to.
+//! The proxy injects the configured faults, and only in the configured direction.
 
 use std::io;
 use std::time;
@@ -10,25 +10,25 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-const LONG: time::Duration = time::Duration::from_secs(30);
-const SHORT: time::Duration = time::Duration::from_millis(100);
+const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const QUIET_PERIOD: time::Duration = time::Duration::from_millis(100);
 
-struct Bench {
+struct Fixture {
     proxy: proxy::Handle,
     listener: TcpListener,
 }
 
-async fn bench() -> Bench {
+async fn fixture() -> Fixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("it listens");
     let target = listener.local_addr().expect("an address");
     let proxy = proxy::start(proxy::Config::to(target)).await;
-    Bench {
+    Fixture {
         proxy: proxy.expect("it listens"),
         listener,
     }
 }
 
-impl Bench {
+impl Fixture {
     /// The two ends of a new connection.
     async fn connect(&self) -> (TcpStream, TcpStream) {
         let client = TcpStream::connect(self.proxy.address()).await;
@@ -38,7 +38,9 @@
 }
 
 async fn within<T>(work: impl Future<Output = T>) -> T {
-    tokio::time::timeout(LONG, work).await.expect("in time")
+    tokio::time::timeout(TEST_TIMEOUT, work)
+        .await
+        .expect("in time")
 }
 
 async fn read(stream: &mut TcpStream, len: usize) -> io::Result<Vec<u8>> {
@@ -47,17 +49,17 @@
     Ok(bytes)
 }
 
-async fn is_silent(stream: &mut TcpStream) -> bool {
+async fn receives_nothing(stream: &mut TcpStream) -> bool {
     let mut byte = [0];
-    tokio::time::timeout(SHORT, stream.read(&mut byte))
+    tokio::time::timeout(QUIET_PERIOD, stream.read(&mut byte))
         .await
         .is_err()
 }
 
 #[tokio::test]
-async fn bytes_and_ends_pass_both_ways() {
-    let bench = bench().await;
-    let (mut client, mut target) = bench.connect().await;
+async fn bytes_and_shutdowns_pass_in_both_directions() {
+    let fixture = fixture().await;
+    let (mut client, mut target) = fixture.connect().await;
     client.write_all(b"question").await.unwrap();
     assert_eq!(read(&mut target, 8).await.unwrap(), b"question");
     client.shutdown().await.unwrap();
@@ -66,39 +68,39 @@
     assert_eq!(read(&mut client, 6).await.unwrap(), b"answer");
     drop(target);
     assert_eq!(within(client.read(&mut [0])).await.unwrap(), 0);
-    assert_eq!(bench.proxy.traffic().to_target_bytes, 8);
-    assert_eq!(bench.proxy.traffic().to_client_bytes, 6);
+    assert_eq!(fixture.proxy.traffic().to_target_bytes, 8);
+    assert_eq!(fixture.proxy.traffic().to_client_bytes, 6);
 }
 
 #[tokio::test]
-async fn a_frozen_way_delivers_later_and_the_other_goes_on() {
-    let bench = bench().await;
-    let (mut client, mut target) = bench.connect().await;
-    bench
+async fn a_frozen_direction_delivers_later_and_the_other_is_unaffected() {
+    let fixture = fixture().await;
+    let (mut client, mut target) = fixture.connect().await;
+    fixture
         .proxy
         .change_faults(|faults| faults.to_target.freeze = true);
     client.write_all(b"question").await.unwrap();
-    assert!(is_silent(&mut target).await);
+    assert!(receives_nothing(&mut target).await);
     target.write_all(b"answer").await.unwrap();
     assert_eq!(read(&mut client, 6).await.unwrap(), b"answer");
-    bench
+    fixture
         .proxy
         .change_faults(|faults| faults.to_target.freeze = false);
     assert_eq!(read(&mut target, 8).await.unwrap(), b"question");
 }
 
 #[tokio::test]
-async fn a_one_way_cut_swallows_bytes_and_resets_when_it_ends() {
-    let bench = bench().await;
-    let (mut client, mut target) = bench.connect().await;
-    bench
+async fn a_one_way_cut_discards_bytes_and_resets_when_it_ends() {
+    let fixture = fixture().await;
+    let (mut client, mut target) = fixture.connect().await;
+    fixture
         .proxy
         .change_faults(|faults| faults.to_target.cut = true);
     client.write_all(b"question").await.unwrap();
-    assert!(is_silent(&mut target).await);
+    assert!(receives_nothing(&mut target).await);
     target.write_all(b"answer").await.unwrap();
     assert_eq!(read(&mut client, 6).await.unwrap(), b"answer");
-    bench
+    fixture
         .proxy
         .change_faults(|faults| faults.to_target.cut = false);
     assert!(read(&mut target, 8).await.is_err());
@@ -107,38 +109,41 @@
 
 #[tokio::test]
 async fn a_connection_that_lost_nothing_survives_a_cut() {
-    let bench = bench().await;
-    let (mut client, mut target) = bench.connect().await;
-    bench.proxy.change_faults(|faults| faults.cut_both(true));
-    assert!(is_silent(&mut target).await);
-    bench.proxy.change_faults(|faults| faults.cut_both(false));
+    let fixture = fixture().await;
+    let (mut client, mut target) = fixture.connect().await;
+    fixture.proxy.change_faults(|faults| faults.cut_both(true));
+    assert!(receives_nothing(&mut target).await);
+    fixture.proxy.change_faults(|faults| faults.cut_both(false));
     client.write_all(b"question").await.unwrap();
     assert_eq!(read(&mut target, 8).await.unwrap(), b"question");
 }
 
 #[tokio::test]
 async fn a_new_connection_waits_for_the_end_of_a_cut() {
-    let bench = bench().await;
-    bench
+    let fixture = fixture().await;
+    fixture
         .proxy
         .change_faults(|faults| faults.to_client.cut = true);
-    let _client = TcpStream::connect(bench.proxy.address()).await.unwrap();
-    let early = tokio::time::timeout(SHORT, bench.listener.accept()).await;
+    let _client = TcpStream::connect(fixture.proxy.address()).await.unwrap();
+    let early = tokio::time::timeout(QUIET_PERIOD, fixture.listener.accept()).await;
     assert!(early.is_err());
-    bench
+    fixture
         .proxy
         .change_faults(|faults| faults.to_client.cut = false);
-    assert!(within(bench.listener.accept()).await.is_ok());
+    assert!(within(fixture.listener.accept()).await.is_ok());
 }
 
 #[tokio::test]
-async fn a_delay_costs_time_and_no_throughput() {
-    let bench = bench().await;
-    let (mut client, mut target) = bench.connect().await;
+async fn a_delay_adds_latency_without_limiting_throughput() {
+    let fixture = fixture().await;
+    let (mut client, mut target) = fixture.connect().await;
     let delay = time::Duration::from_secs(1);
-    bench.proxy.change_faults(|faults| faults.delay_both(delay));
+    fixture
+        .proxy
+        .change_faults(|faults| faults.delay_both(delay));
     let began = time::Instant::now();
-    // A delay for each chunk would be 64 in a row, longer than a read may take.
+    // If chunks were delayed one after the other, 64 delays would exceed the time
+    // limit of the read.
     let sent = vec![7; 1 << 20];
     let (written, received) = tokio::join!(client.write_all(&sent), read(&mut target, 1 << 20));
     written.unwrap();
@@ -150,10 +155,10 @@
 #[case::to_target(true)]
 #[case::to_client(false)]
 #[tokio::test]
-async fn a_connection_is_dropped_after_so_many_bytes(#[case] to_target: bool) {
-    let bench = bench().await;
-    let (mut client, mut target) = bench.connect().await;
-    bench.proxy.change_faults(|faults| match to_target {
+async fn a_connection_is_reset_after_the_byte_limit(#[case] to_target: bool) {
+    let fixture = fixture().await;
+    let (mut client, mut target) = fixture.connect().await;
+    fixture.proxy.change_faults(|faults| match to_target {
         true => faults.to_target.drop_after_bytes = Some(3),
         false => faults.to_client.drop_after_bytes = Some(3),
     });
@@ -164,15 +169,15 @@
     from.write_all(b"question").await.unwrap();
     assert_ne!(read(to, 8).await.ok(), Some(b"question".to_vec()));
     assert!(read(from, 1).await.is_err());
-    let traffic = bench.proxy.traffic();
+    let traffic = fixture.proxy.traffic();
     assert_eq!(traffic.to_target_bytes + traffic.to_client_bytes, 3);
 }
 
 #[tokio::test]
-async fn a_half_closed_way_ends_in_order_and_the_other_goes_on() {
-    let bench = bench().await;
-    let (mut client, mut target) = bench.connect().await;
-    bench
+async fn a_half_closed_direction_is_shut_down_and_the_other_is_unaffected() {
+    let fixture = fixture().await;
+    let (mut client, mut target) = fixture.connect().await;
+    fixture
         .proxy
         .change_faults(|faults| faults.to_target.half_close = true);
     assert_eq!(within(target.read(&mut [0])).await.unwrap(), 0);
@@ -181,15 +186,17 @@
 }
 
 #[tokio::test]
-async fn connections_are_refused_or_broken_by_order() {
-    let bench = bench().await;
-    let (mut client, mut target) = bench.connect().await;
-    bench.proxy.change_faults(|faults| faults.refuse_new = true);
-    let mut refused = TcpStream::connect(bench.proxy.address()).await.unwrap();
+async fn connections_are_refused_or_reset_on_command() {
+    let fixture = fixture().await;
+    let (mut client, mut target) = fixture.connect().await;
+    fixture
+        .proxy
+        .change_faults(|faults| faults.refuse_new = true);
+    let mut refused = TcpStream::connect(fixture.proxy.address()).await.unwrap();
     assert!(read(&mut refused, 1).await.is_err());
     client.write_all(b"question").await.unwrap();
     assert_eq!(read(&mut target, 8).await.unwrap(), b"question");
-    bench.proxy.break_connections();
+    fixture.proxy.break_connections();
     assert!(read(&mut client, 1).await.is_err());
     assert!(read(&mut target, 1).await.is_err());
 }
