--- a/crates/figscale-standin/src/http_server.rs
+++ b/crates/figscale-standin/src/http_server.rs
@@ -1,8 +1,8 @@
-//! The HTTP/1.1 server under every stand-in.
+//! The HTTP/1.1 server used by every stand-in.
 //!
-//! Unlike the usual helper it ends all its connections when it is dropped, as
-//! a process does that dies, and a handler may close a connection without an
-//! answer, which is how a lost answer looks from outside.
+//! Unlike `axum::serve`, it closes all its connections when it is dropped, as a
+//! crashed process does, and a handler can close a connection without a
+//! response, which is what a lost response looks like to the caller.
 
 mod counted;
 
@@ -29,16 +29,16 @@
 
 /// Marks a response that is never sent: the connection is closed instead.
 #[derive(Clone, Copy, Debug)]
-struct Unanswered;
+struct CloseWithoutResponse;
 
-/// A response that closes the connection without an answer.
-pub(crate) fn unanswered() -> Response<Body> {
+/// A response that makes the server close the connection without sending one.
+pub(crate) fn close_without_response() -> Response<Body> {
     let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
-    response.extensions_mut().insert(Unanswered);
+    response.extensions_mut().insert(CloseWithoutResponse);
     response
 }
 
-/// A running server; dropping it ends it and its connections.
+/// A running server; dropping it stops it and closes its connections.
 #[derive(Debug)]
 pub(crate) struct Server {
     address: net::SocketAddr,
@@ -47,7 +47,8 @@
 }
 
 impl Server {
-    /// Serves `app`; `connected` makes a guard that lives as long as a connection.
+    /// Serves `app`; `connected` returns a guard that is dropped when
+    /// the connection ends.
     pub(crate) async fn start<G: Send + 'static>(
         listen: net::SocketAddr,
         app: Router,
@@ -69,7 +70,7 @@
         self.bytes.load(atomic::Ordering::Relaxed)
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub(crate) fn address(&self) -> net::SocketAddr {
         self.address
     }
@@ -113,13 +114,13 @@
         let answer = app.call(request);
         async move {
             let response = answer.await.unwrap_or_else(|never| match never {});
-            match response.extensions().get::<Unanswered>() {
+            match response.extensions().get::<CloseWithoutResponse>() {
                 Some(_) => Err(io::Error::other("closed without an answer")),
                 None => Ok(response),
             }
         }
     });
-    // A broken connection is the client's to notice.
+    // Errors of the connection are ignored: the client sees them.
     let _ = http1::Builder::new()
         .serve_connection(rt::TokioIo::new(stream), service)
         .await;
--- a/crates/figscale-standin/src/http_server/counted.rs
+++ b/crates/figscale-standin/src/http_server/counted.rs
@@ -11,7 +11,7 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Counts what is read and written into one sum.
+/// Adds the bytes read and the bytes written to one counter.
 pub(super) struct Counted {
     stream: TcpStream,
     bytes: sync::Arc<atomic::AtomicU64>,
--- a/crates/figscale-standin/src/platform/api.rs
+++ b/crates/figscale-standin/src/platform/api.rs
@@ -1,4 +1,5 @@
-//! The calls of the platform's protocol, behind a layer of faults and counts.
+//! The platform's protocol over HTTP, behind a middleware that injects faults and
+//! counts calls.
 
 use std::sync;
 use std::time;
@@ -36,13 +37,13 @@
 
 type SharedState = State<sync::Arc<Shared>>;
 
-/// Name of a client that gives none.
+/// Name under which calls without a client name are counted.
 const UNNAMED: &str = "-";
 
 pub(super) fn router(shared: sync::Arc<Shared>) -> Router {
     let layer = sync::Arc::new(Layer {
         shared: shared.clone(),
-        chance: sync::Mutex::new(rngs::SmallRng::seed_from_u64(shared.seed)),
+        rng: sync::Mutex::new(rngs::SmallRng::seed_from_u64(shared.seed)),
     });
     Router::new()
         .route("/v1/kv/{*key}", routing::get(get).put(put).delete(delete))
@@ -52,17 +53,17 @@
         .route("/v1/leases/{id}", routing::put(renew).delete(revoke))
         .route("/v1/instances", routing::get(instances))
         .layer(DefaultBodyLimit::max(platform::MAX_VALUE_BYTES))
-        .layer(middleware::from_fn_with_state(layer, around))
+        .layer(middleware::from_fn_with_state(layer, inject_faults))
         .with_state(shared)
 }
 
 struct Layer {
     shared: sync::Arc<Shared>,
-    chance: sync::Mutex<rngs::SmallRng>,
+    rng: sync::Mutex<rngs::SmallRng>,
 }
 
-/// Counts a call, then lets the faults in force have their way with it.
-async fn around(
+/// Applies the injected faults to a call, and counts it.
+async fn inject_faults(
     State(layer): State<sync::Arc<Layer>>,
     request: Request,
     next: middleware::Next,
@@ -86,7 +87,7 @@
     let line = all.entry(client).or_default().entry(kind).or_default();
     *line = line.plus(&one);
     drop(all);
-    layer.lose(kind, response)
+    layer.lose_response(kind, response)
 }
 
 fn client_name(headers: &HeaderMap) -> String {
@@ -104,7 +105,7 @@
         let mut faults = self.shared.faults.subscribe();
         let delay_ms = faults.borrow().delay_ms;
         sleep_ms(delay_ms).await;
-        // The sender lives as long as the server.
+        // Cannot fail: the sender lives as long as the server.
         let _ = faults.wait_for(|faults| !faults.hang).await;
         if faults.borrow().outage {
             return StatusCode::SERVICE_UNAVAILABLE.into_response();
@@ -115,8 +116,8 @@
         }
         let mut response = tokio::select! {
             response = next.run(request) => response,
-            // A watch must not outlive the beginning of an outage; a write
-            // that is taking effect is not torn in two.
+            // An outage ends waiting watches; a write that is already taking
+            // effect is completed.
             _ = faults.wait_for(|faults| faults.outage), if !kind.is_write() => {
                 StatusCode::SERVICE_UNAVAILABLE.into_response()
             }
@@ -124,26 +125,27 @@
         let delay_ms = self.shared.faults.borrow().answer_delay_ms;
         sleep_ms(delay_ms).await;
         if self.shared.faults.borrow().hang {
-            response = http_server::unanswered();
+            response = http_server::close_without_response();
         }
         response
     }
 
-    /// Loses the answer to a write that took effect, if so ordered.
-    fn lose(&self, kind: super::CallKind, response: Response) -> Response {
+    /// Drops the response to a write that took effect, if such a fault is
+    /// injected.
+    fn lose_response(&self, kind: super::CallKind, response: Response) -> Response {
         if !kind.is_write() || !response.status().is_success() {
             return response;
         }
         let probability = self.shared.faults.borrow().lose_answer_probability;
         let by_chance =
-            probability > 0.0 && mutex::lock(&self.chance).random_bool(probability.min(1.0));
-        let by_order = self.shared.faults.send_if_modified(|faults| {
+            probability > 0.0 && mutex::lock(&self.rng).random_bool(probability.min(1.0));
+        let by_count = self.shared.faults.send_if_modified(|faults| {
             let lose = faults.lose_next_answers > 0;
             faults.lose_next_answers = faults.lose_next_answers.saturating_sub(1);
             lose
         });
-        if by_chance || by_order {
-            return http_server::unanswered();
+        if by_chance || by_count {
+            return http_server::close_without_response();
         }
         response
     }
@@ -192,7 +194,7 @@
     (StatusCode::BAD_REQUEST, message).into_response()
 }
 
-fn as_get(store: &store::Store, key: &str) -> Response {
+fn get_response(store: &store::Store, key: &str) -> Response {
     match store.get(key) {
         Some(stored) => with_revision(StatusCode::OK, stored.revision, stored.value.clone()),
         None => with_revision(StatusCode::NOT_FOUND, store.changed_at(key), Body::empty()),
@@ -200,7 +202,7 @@
 }
 
 async fn get(State(shared): SharedState, Path(key): Path<String>) -> Response {
-    shared.with_store(|store, _| as_get(store, &key))
+    shared.with_store(|store, _| get_response(store, &key))
 }
 
 async fn put(
@@ -244,9 +246,10 @@
     let changed = async {
         loop {
             revisions.mark_unchanged();
-            let deaf = shared.faults.borrow().deaf_watches;
+            let ignores_changes = shared.faults.borrow().deaf_watches;
             let response = shared.with_store(|store, _| {
-                (!deaf && store.changed_at(&key).0 > query.after).then(|| as_get(store, &key))
+                (!ignores_changes && store.changed_at(&key).0 > query.after)
+                    .then(|| get_response(store, &key))
             });
             if let Some(response) = response {
                 return response;
@@ -295,7 +298,7 @@
 
 async fn instances(State(shared): SharedState, headers: HeaderMap) -> Response {
     let now = shared.clock.now();
-    let list = mutex::lock(&shared.instances).shown(now);
+    let list = mutex::lock(&shared.instances).visible(now);
     let Ok(body) = serde_json::to_vec(&list) else {
         return StatusCode::INTERNAL_SERVER_ERROR.into_response();
     };
--- a/crates/figscale-standin/src/platform/control.rs
+++ b/crates/figscale-standin/src/platform/control.rs
@@ -1,4 +1,5 @@
-//! Faults, instances and counts of a stand-in platform, over HTTP.
+//! HTTP interface to the faults, the instance list and the counters of a stand-in
+//! platform.
 
 use std::sync;
 
@@ -36,7 +37,7 @@
 
 async fn instances(State(shared): SharedState) -> Json<instances::InstanceList> {
     let now = shared.clock.now();
-    Json(mutex::lock(&shared.instances).shown(now))
+    Json(mutex::lock(&shared.instances).visible(now))
 }
 
 async fn set_instances(State(shared): SharedState, Json(lines): Json<Vec<instances::Instance>>) {
--- a/crates/figscale-standin/src/platform/counts.rs
+++ b/crates/figscale-standin/src/platform/counts.rs
@@ -1,11 +1,11 @@
-//! Calls and bytes, counted by client and kind of call.
+//! Counters of calls and bytes by client and kind of call.
 
 use figscale_types::platform;
 use indexmap::IndexMap;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The kind of an HTTP call; `None` for what the protocol does not know.
+/// The kind of an HTTP call; `None` if it is not part of the protocol.
 pub(crate) fn kind_of(method: &http::Method, path: &str) -> Option<platform::CallKind> {
     let rest = path.strip_prefix("/v1/")?;
     let part = rest.split('/').next()?;
@@ -28,13 +28,13 @@
 pub struct Counts {
     /// Calls, refused ones included.
     pub calls: u64,
-    /// Calls refused for the rate.
+    /// Calls refused by the rate limit.
     pub over_rate: u64,
     /// Calls refused by an outage.
     pub outage: u64,
     /// Bytes of request bodies.
     pub received_bytes: u64,
-    /// Bytes of answer bodies.
+    /// Bytes of response bodies.
     pub sent_bytes: u64,
 }
 
--- a/crates/figscale-standin/src/platform/limits.rs
+++ b/crates/figscale-standin/src/platform/limits.rs
@@ -1,7 +1,7 @@
-//! The rates that a stand-in platform takes, by token buckets.
+//! Rate limits of a stand-in platform, as token buckets.
 //!
-//! A bucket holds one second's worth, so that a burst after a quiet second is
-//! taken and a steady excess is not.
+//! A bucket holds the tokens of one second, so that a burst after an idle second
+//! is accepted and a sustained excess is not.
 
 use std::time;
 
@@ -52,7 +52,7 @@
         self.reads.per_s = reads_per_s;
     }
 
-    /// Takes a call, or refuses it for the rate.
+    /// Takes a token for a call; `false` if the rate limit is exceeded.
     pub(crate) fn take(&mut self, write: bool, now: time::Instant) -> bool {
         let bucket = if write {
             &mut self.writes
--- a/crates/figscale-standin/src/platform/list.rs
+++ b/crates/figscale-standin/src/platform/list.rs
@@ -1,4 +1,4 @@
-//! The instance list with its lag.
+//! The instance list, whose changes become visible after a lag.
 
 use std::collections;
 use std::time;
@@ -17,29 +17,29 @@
 #[derive(Debug)]
 pub(crate) struct LaggingList {
     lag: time::Duration,
-    /// What readers see.
-    shown: instances::InstanceList,
-    /// What they will see, oldest first.
+    /// The version that readers see.
+    visible: instances::InstanceList,
+    /// Later versions that are not visible yet, oldest first.
     pending: collections::VecDeque<Version>,
 }
 
 impl LaggingList {
     pub(crate) fn new(instances: Vec<instances::Instance>, lag: time::Duration) -> Self {
-        let shown = instances::InstanceList {
+        let visible = instances::InstanceList {
             revision: ids::Revision(1),
             lag_ms: clock::millis(lag),
             instances,
         };
         Self {
             lag,
-            shown,
+            visible,
             pending: collections::VecDeque::new(),
         }
     }
 
     pub(crate) fn set_lag(&mut self, lag: time::Duration) {
         self.lag = lag;
-        self.shown.lag_ms = clock::millis(lag);
+        self.visible.lag_ms = clock::millis(lag);
     }
 
     pub(crate) fn change(
@@ -58,18 +58,18 @@
         });
     }
 
-    pub(crate) fn shown(&mut self, now: time::Instant) -> instances::InstanceList {
+    pub(crate) fn visible(&mut self, now: time::Instant) -> instances::InstanceList {
         while let Some(version) = self.pending.pop_front_if(|v| v.visible_at <= now) {
-            self.shown.revision = version.revision;
-            self.shown.instances = version.instances;
+            self.visible.revision = version.revision;
+            self.visible.instances = version.instances;
         }
-        self.shown.clone()
+        self.visible.clone()
     }
 
     fn latest(&self) -> (ids::Revision, &[instances::Instance]) {
         match self.pending.back() {
             Some(version) => (version.revision, &version.instances),
-            None => (self.shown.revision, &self.shown.instances),
+            None => (self.visible.revision, &self.visible.instances),
         }
     }
 }
--- a/crates/figscale-standin/src/platform/mod.rs
+++ b/crates/figscale-standin/src/platform/mod.rs
@@ -1,9 +1,9 @@
 //! Stand-in of the platform: key-value service and instance list.
 //!
-//! It speaks the protocol in `figscale_types::platform`. [`start`] returns a
-//! [`Handle`] through which a test switches faults on and off, edits the
-//! instance list, and reads or writes keys behind the back of the system.
-//! Over HTTP the same is at `/control/` for a stand-in in its own process:
+//! It implements the protocol in `figscale_types::platform`. [`start`] returns a
+//! [`Handle`] through which a test injects faults, edits the instance list, and
+//! reads or writes keys directly, bypassing the protocol. For a stand-in in its
+//! own process, part of this is available over HTTP under `/control/`:
 //!
 //! | call | does |
 //! | --- | --- |
@@ -11,8 +11,8 @@
 //! | `GET`, `PUT /control/instances` | reads or sets the lines of the list |
 //! | `GET /control/counts` | calls and bytes by client and kind |
 //!
-//! Leases lapse by the stand-in's clock, in an outage too, which is the
-//! harsher of the two things that a real service may do.
+//! Leases expire by the stand-in's clock, even during an outage, which is the
+//! harsher of the two ways in which a real service may behave.
 
 mod api;
 mod control;
@@ -41,25 +41,25 @@
 pub use counts::Counts;
 pub use figscale_types::platform::CallKind;
 
-/// Time between looks for lapsed leases.
+/// Interval of the checks for expired leases.
 const TICK: time::Duration = time::Duration::from_millis(10);
 
-/// How a stand-in platform starts.
+/// Configuration of a stand-in platform.
 #[derive(Clone)]
 pub struct Config {
-    /// Where to listen. Default: any free port of 127.0.0.1.
+    /// Address to listen on. Default: any free port of 127.0.0.1.
     pub listen: net::SocketAddr,
-    /// Writes taken a second, renewals of leases included. Default 300.
+    /// Rate limit of writes, including renewals of leases. Default 300.
     pub writes_per_s: f64,
-    /// Reads taken a second. Default 2,000.
+    /// Rate limit of reads. Default 2,000.
     pub reads_per_s: f64,
-    /// Time by which the instance list lags. Default 0.
+    /// Lag of the instance list. Default 0.
     pub instance_lag: time::Duration,
-    /// The list at the start, in force at once. Default: empty.
+    /// The initial list, visible immediately. Default: empty.
     pub instances: Vec<instances::Instance>,
-    /// Seed of the chance by which answers are lost. Default 1.
+    /// Seed of the random choice of lost responses. Default 1.
     pub seed: u64,
-    /// The clock by which leases lapse. Default: the system's.
+    /// The clock by which leases expire. Default: the system clock.
     pub clock: clock::SharedClock,
 }
 
@@ -77,23 +77,23 @@
     }
 }
 
-/// Faults that can be switched while it runs.
+/// Faults that can be injected while it runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call is answered 503, waiting watches included.
+    /// Every call gets the status 503, including waiting watches.
     pub outage: bool,
-    /// No call is answered, until this is switched off; none takes effect.
+    /// No call takes effect or gets a response until this is switched off.
     pub hang: bool,
-    /// Watches wait their time out, whatever changes.
+    /// Watches ignore changes and time out.
     pub deaf_watches: bool,
     /// Time added before a call takes effect.
     pub delay_ms: u64,
-    /// Time added after a call took effect and before its answer.
+    /// Time added after a call took effect and before its response.
     pub answer_delay_ms: u64,
-    /// Writes to come whose answers are lost after they took effect.
+    /// Number of following writes that take effect but get no response.
     pub lose_next_answers: u32,
-    /// Chance that the answer to a write is lost after it took effect.
+    /// Probability that a write takes effect but gets no response.
     pub lose_answer_probability: f64,
 }
 
@@ -106,14 +106,14 @@
     pub bytes: Vec<u8>,
 }
 
-/// A running stand-in; dropping it ends it.
+/// A running stand-in; dropping it stops it.
 pub struct Handle {
     server: http_server::Server,
     shared: sync::Arc<Shared>,
     ticker: task::JoinHandle<()>,
 }
 
-/// What the parts of a stand-in share.
+/// State shared by the parts of the stand-in.
 pub(crate) struct Shared {
     clock: clock::SharedClock,
     seed: u64,
@@ -122,7 +122,7 @@
     limits: sync::Mutex<limits::Limits>,
     counts: sync::Mutex<counts::CountsByClient>,
     faults: watch::Sender<Faults>,
-    /// Revision of the store as last announced to watches.
+    /// Revision of the store last announced to watches.
     revision: watch::Sender<u64>,
 }
 
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Works on the store with lapsed leases removed, then wakes watches.
+    /// Removes expired leases, runs `work` on the store, then wakes watches if the
+    /// store changed.
     fn with_store<R>(&self, work: impl FnOnce(&mut store::Store, time::Instant) -> R) -> R {
         let now = self.clock.now();
         let mut store = mutex::lock(&self.store);
@@ -157,7 +158,7 @@
     }
 }
 
-/// Starts a stand-in; returns once it listens.
+/// Starts the stand-in; returns once it listens.
 pub async fn start(config: Config) -> io::Result<Handle> {
     let shared = sync::Arc::new(Shared::new(&config));
     let app = api::router(shared.clone()).merge(control::router(shared.clone()));
@@ -186,38 +187,38 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.server.address()
     }
 
-    /// Switches faults.
+    /// Changes the faults that are injected.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         self.shared.faults.send_modify(change);
     }
 
-    /// The faults in force.
+    /// The faults that are injected now.
     pub fn faults(&self) -> Faults {
         self.shared.faults.borrow().clone()
     }
 
-    /// Changes the rates that it takes.
+    /// Changes the rate limits.
     pub fn set_rates(&self, writes_per_s: f64, reads_per_s: f64) {
         mutex::lock(&self.shared.limits).set_rates(writes_per_s, reads_per_s);
     }
 
-    /// Edits the list of instances; readers see it once the lag has passed.
+    /// Edits the instance list; the change becomes visible after the lag.
     pub fn change_instances(&self, change: impl FnOnce(&mut Vec<instances::Instance>)) {
         let now = self.shared.clock.now();
         mutex::lock(&self.shared.instances).change(now, change);
     }
 
-    /// Sets the time by which later edits of the list lag.
+    /// Sets the lag of later edits of the list.
     pub fn set_instance_lag(&self, lag: time::Duration) {
         mutex::lock(&self.shared.instances).set_lag(lag);
     }
 
-    /// Reads a key, at any time.
+    /// Reads a key, regardless of faults and rate limits.
     pub fn read(&self, key: &str) -> Option<Value> {
         self.shared.with_store(|store, _| {
             store.get(key).map(|stored| Value {
@@ -227,24 +228,24 @@
         })
     }
 
-    /// Writes a key, whatever its revision, at any time.
+    /// Writes a key, regardless of its revision, faults and rate limits.
     pub fn write(&self, key: &str, value: Vec<u8>) -> ids::Revision {
         self.shared
             .with_store(|store, _| store.write(key, value.into()))
     }
 
-    /// Deletes a key, at any time.
+    /// Deletes a key, regardless of its revision, faults and rate limits.
     pub fn delete(&self, key: &str) {
         self.shared.with_store(|store, _| store.remove(key));
     }
 
-    /// The keys under a prefix, in order, at any time.
+    /// The keys under a prefix in order, regardless of faults and rate limits.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let list = self.shared.with_store(|store, _| store.keys(prefix));
         list.keys.into_iter().map(|line| line.key).collect()
     }
 
-    /// Ends every lease at once, as a long outage of a real service may.
+    /// Expires every lease at once, as a long outage of a real service may do.
     pub fn expire_all_leases(&self) {
         self.shared.with_store(|store, _| store.expire_all());
     }
@@ -261,12 +262,12 @@
         all.fold(Counts::default(), |sum, one| sum.plus(one))
     }
 
-    /// Watches that wait now.
+    /// Number of waiting watches.
     pub fn waiting_watches(&self) -> usize {
         self.shared.revision.receiver_count()
     }
 
-    /// Forgets the counts, to measure from here on.
+    /// Resets the counters to measure from this point on.
     pub fn reset_counts(&self) {
         mutex::lock(&self.shared.counts).clear();
     }
--- a/crates/figscale-standin/src/platform/store.rs
+++ b/crates/figscale-standin/src/platform/store.rs
@@ -48,7 +48,7 @@
         self.keys.get(key)
     }
 
-    /// Revision of the last change of a key, its deletion included.
+    /// Revision of the last change of a key, including its deletion.
     pub(crate) fn changed_at(&self, key: &str) -> ids::Revision {
         let stored = self.keys.get(key).map(|stored| stored.revision);
         let deleted = self.deleted.get(key).copied();
@@ -75,12 +75,12 @@
         Ok(())
     }
 
-    /// Writes whatever the revision.
+    /// Writes a key regardless of its revision.
     pub(crate) fn write(&mut self, key: &str, value: Bytes) -> ids::Revision {
         self.store(key, value, None)
     }
 
-    /// Deletes whatever the revision.
+    /// Deletes a key regardless of its revision.
     pub(crate) fn remove(&mut self, key: &str) {
         if self.keys.shift_remove(key).is_some() {
             let revision = self.next_revision();
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    /// Ends the leases that have lapsed.
+    /// Ends the leases that have expired.
     pub(crate) fn expire(&mut self, now: time::Instant) {
         self.end_leases(|lease| lease.expires <= now);
     }
--- a/crates/figscale-standin/src/worker/api.rs
+++ b/crates/figscale-standin/src/worker/api.rs
@@ -1,4 +1,4 @@
-//! The calls that a stand-in worker answers, behind a layer of faults.
+//! HTTP interface of a stand-in worker, behind a fault-injecting middleware.
 
 use std::sync;
 
@@ -25,7 +25,10 @@
         .route("/v1/renew", routing::post(renew))
         .route("/v1/act", routing::post(act))
         .route("/v1/report", routing::get(report))
-        .layer(middleware::from_fn_with_state(shared.clone(), around));
+        .layer(middleware::from_fn_with_state(
+            shared.clone(),
+            inject_faults,
+        ));
     let violations = move || async move { Json(ledger.violations()) };
     let control = Router::new()
         .route("/control/faults", routing::get(faults).put(set_faults))
@@ -34,13 +37,17 @@
     protocol.merge(control).with_state(shared)
 }
 
-/// Lets the faults in force have their way with a call.
-async fn around(State(shared): SharedState, request: Request, next: middleware::Next) -> Response {
+/// Applies the injected faults to a call.
+async fn inject_faults(
+    State(shared): SharedState,
+    request: Request,
+    next: middleware::Next,
+) -> Response {
     let mut faults = shared.faults.subscribe();
-    // The sender lives as long as the server.
+    // Cannot fail: the sender lives as long as the server.
     let _ = faults.wait_for(|faults| !faults.freeze).await;
     if faults.borrow().cut_off {
-        return http_server::unanswered();
+        return http_server::close_without_response();
     }
     let starts = request.uri().path() == "/v1/tasks";
     let response = next.run(request).await;
@@ -51,7 +58,7 @@
             lose
         });
     if lost || faults.borrow().cut_off {
-        return http_server::unanswered();
+        return http_server::close_without_response();
     }
     response
 }
--- a/crates/figscale-standin/src/worker/behaviour.rs
+++ b/crates/figscale-standin/src/worker/behaviour.rs
@@ -1,18 +1,18 @@
-//! How a task behaves, by its command.
+//! Behaviour of a task, parsed from its command.
 
 use std::str;
 
 use figscale_types::error;
 
-/// How a task behaves. Its text form is words of the form `NAME=VALUE`, any of
-/// which may be left out: `fail=true use=10 run=0.5`. Other words mean nothing.
+/// Behaviour of a task. Its text form is words of the form `NAME=VALUE`, each of
+/// them optional: `fail=true use=10 run=0.5`. Other words are ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Behaviour {
-    /// It ends badly.
+    /// Whether it ends in a failure.
     pub fail: bool,
-    /// It uses its declared size times this, until throttled.
+    /// It uses this multiple of its declared size until throttled.
     pub use_factor: f64,
-    /// It runs for its declared time times this.
+    /// It runs for this multiple of its declared time.
     pub run_factor: f64,
 }
 
@@ -47,11 +47,11 @@
 }
 
 fn factor(text: &str) -> Result<f64, error::ParseError> {
-    let wrong = || error::ParseError::new("factor", text, "0 to 1000");
-    let factor: f64 = text.parse().map_err(|_| wrong())?;
+    let invalid = || error::ParseError::new("factor", text, "0 to 1000");
+    let factor: f64 = text.parse().map_err(|_| invalid())?;
     if (0.0..=1_000.0).contains(&factor) {
         Ok(factor)
     } else {
-        Err(wrong())
+        Err(invalid())
     }
 }
--- a/crates/figscale-standin/src/worker/ledger.rs
+++ b/crates/figscale-standin/src/worker/ledger.rs
@@ -1,10 +1,11 @@
-//! Which tasks ran where and when, and the judgement on it.
+//! Record of which tasks ran where and when, and the invariant checker on it.
 //!
-//! A run is a stretch of time in which a worker really worked on a task: it
-//! ends when the task ends, is stopped, when its lease lapses, or while the
-//! worker stands still. The end by a lapsed lease counts from the moment of
-//! the lapse, which the worker's clock fixes beforehand, so that a late tick
-//! of the stand-in is not taken for a fault of the system.
+//! A run is a period in which a worker actually executed a task. It ends when
+//! the task ends or is stopped, when its lease expires, or when the worker is
+//! frozen; a new run begins when the worker resumes. A lease ends its run at its
+//! expiry time, which the worker's clock determines in advance, not at the tick
+//! that notices it, so that a late tick of the stand-in is not reported as a
+//! fault of the system.
 
 use std::sync;
 use std::time;
@@ -15,7 +16,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A stretch of time in which a worker worked on a task.
+/// A period in which a worker executed a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// The task.
@@ -26,42 +27,43 @@
     pub worker: ids::InstanceId,
     /// When it began.
     pub began: time::Instant,
-    /// When the task's lease lapses.
+    /// When the task's lease expires.
     pub lease_until: time::Instant,
-    /// When it ended; `None` while it goes on.
+    /// When it ended; `None` while it is open.
     pub ended: Option<time::Instant>,
 }
 
 impl Run {
-    /// Whether it goes on at `now`; the lease ends it, whoever wrote that down.
-    fn goes_on(&self, now: time::Instant) -> bool {
+    /// Whether it is open at `now`. An expired lease ends it even if its end has not
+    /// been recorded yet.
+    fn is_open_at(&self, now: time::Instant) -> bool {
         self.ended.is_none() && now < self.lease_until
     }
 }
 
-/// A promise that was broken.
+/// A violated guarantee of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Violation {
-    /// A task ran in two places at once.
+    /// A task ran on two workers at once.
     TwoPlaces {
         /// The task.
         task: ids::TaskId,
-        /// Where it ran.
+        /// Worker that ran it already.
         first: ids::InstanceId,
-        /// Where it ran as well.
+        /// Worker that ran it as well.
         second: ids::InstanceId,
     },
 }
 
 /// The record of several workers; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct TaskLedger(sync::Arc<sync::Mutex<Book>>);
+pub struct TaskLedger(sync::Arc<sync::Mutex<Records>>);
 
 #[derive(Debug, Default)]
-struct Book {
+struct Records {
     runs: Vec<Run>,
-    /// Runs that may go on, by task.
+    /// Indices of the runs without a recorded end, by task.
     open: IndexMap<ids::TaskId, Vec<usize>>,
     /// Starts by task, of all attempts and workers.
     starts: IndexMap<ids::TaskId, u32>,
@@ -71,12 +73,12 @@
 }
 
 impl TaskLedger {
-    /// Every run, in order of its beginning.
+    /// Every run, in the order in which they began.
     pub fn runs(&self) -> Vec<Run> {
         mutex::lock(&self.0).runs.clone()
     }
 
-    /// How many times a task was started, on whatever worker.
+    /// Number of times that a task was started, on any worker.
     pub fn starts(&self, task: &ids::TaskId) -> u32 {
         mutex::lock(&self.0)
             .starts
@@ -85,12 +87,12 @@
             .unwrap_or_default()
     }
 
-    /// Starts of all tasks.
+    /// Number of starts of each task.
     pub fn all_starts(&self) -> IndexMap<ids::TaskId, u32> {
         mutex::lock(&self.0).starts.clone()
     }
 
-    /// Every promise that was broken, in order.
+    /// Every violation, in order of detection.
     pub fn violations(&self) -> Vec<Violation> {
         mutex::lock(&self.0).violations.clone()
     }
@@ -109,7 +111,7 @@
         worker: &ids::InstanceId,
         until: time::Instant,
     ) {
-        mutex::lock(&self.0).on_open_run(task, worker, |run| run.lease_until = until);
+        mutex::lock(&self.0).update_open_run(task, worker, |run| run.lease_until = until);
     }
 
     pub(super) fn ended(&self, task: &ids::TaskId, worker: &ids::InstanceId, at: time::Instant) {
@@ -129,10 +131,10 @@
     }
 }
 
-impl Book {
+impl Records {
     fn begin(&mut self, run: Run) {
         let open = self.open.entry(run.task.clone()).or_default();
-        open.retain(|number| self.runs[*number].goes_on(run.began));
+        open.retain(|number| self.runs[*number].is_open_at(run.began));
         for number in open.iter() {
             self.violations.push(Violation::TwoPlaces {
                 task: run.task.clone(),
@@ -144,7 +146,7 @@
         self.runs.push(run);
     }
 
-    fn on_open_run(
+    fn update_open_run(
         &mut self,
         task: &ids::TaskId,
         worker: &ids::InstanceId,
@@ -158,7 +160,7 @@
     }
 
     fn end(&mut self, task: &ids::TaskId, worker: &ids::InstanceId, at: time::Instant) {
-        self.on_open_run(task, worker, |run| run.ended = Some(at));
+        self.update_open_run(task, worker, |run| run.ended = Some(at));
         if let Some(open) = self.open.get_mut(task) {
             open.retain(|number| self.runs[*number].ended.is_none());
         }
--- a/crates/figscale-standin/src/worker/mod.rs
+++ b/crates/figscale-standin/src/worker/mod.rs
@@ -1,15 +1,15 @@
 //! Stand-in of a worker: runs tasks under leases and reports with a lag.
 //!
-//! It speaks the protocol in `figscale_types::worker`. A task does nothing but
-//! last as long as it declares; its command, words of the form `NAME=VALUE`,
-//! may make it behave worse than it declared (see [`Behaviour`]). Where tasks
-//! run is written into a [`TaskLedger`] that all workers of a test share and
-//! that judges whether a task ever ran in two places at once; what a holder
-//! asked of this worker is judged in [`Record`].
+//! It implements the protocol in `figscale_types::worker`. A task only lasts as
+//! long as it declares; its command, words of the form `NAME=VALUE`, can make
+//! it exceed what it declared (see [`Behaviour`]). Runs of tasks are recorded in
+//! a [`TaskLedger`], which all workers of a test share and which checks that no
+//! task ever ran on two workers at once. [`Record`] counts the calls of holders
+//! to this worker and those that should not have been made.
 //!
-//! Over HTTP, for a stand-in in its own process, `/control/faults` reads or
-//! sets [`Faults`], and `GET /control/record` and `GET /control/violations`
-//! tell what it saw.
+//! For a stand-in in its own process, `/control/faults` reads or sets
+//! [`Faults`] over HTTP, and `GET /control/record` and `GET
+//! /control/violations` return the record and the violations found.
 
 mod api;
 mod behaviour;
@@ -39,22 +39,23 @@
 pub use ledger::Violation;
 pub use tasks::Record;
 
-/// How a stand-in worker starts.
+/// Configuration of a stand-in worker.
 #[derive(Clone)]
 pub struct Config {
-    /// Where to listen. Default: any free port of 127.0.0.1.
+    /// Address to listen on. Default: any free port of 127.0.0.1.
     pub listen: net::SocketAddr,
     /// Its name. Default: `worker-1`.
     pub id: ids::InstanceId,
-    /// What it holds. Default: 64 cores, 128 GiB, no accelerators.
+    /// Its capacity. Default: 64 cores, 128 GiB, no accelerators.
     pub capacity: sizes::Resources,
-    /// Time by which its reports of use lag. Default 500 ms.
+    /// Lag of the usage in its reports. Default 500 ms.
     pub usage_lag: time::Duration,
-    /// Time between looks for tasks that ended or whose lease lapsed. Default 5 ms.
+    /// Interval of the checks for tasks that ended or whose lease expired. Default
+    /// 5 ms.
     pub tick: time::Duration,
-    /// Its clock. Default: the system's.
+    /// Its clock. Default: the system clock.
     pub clock: clock::SharedClock,
-    /// Where it writes which tasks run. Default: a ledger of its own.
+    /// Ledger that records the runs of tasks. Default: a new one.
     pub ledger: TaskLedger,
 }
 
@@ -62,7 +63,7 @@
     fn default() -> Self {
         Self {
             listen: net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0)),
-            id: "worker-1".parse().expect("a legal name"),
+            id: "worker-1".parse().expect("a valid name"),
             capacity: sizes::Resources {
                 cpu_millis: sizes::CpuMillis(64_000),
                 memory_bytes: sizes::Bytes(128 * 1024 * sizes::MIB),
@@ -76,21 +77,21 @@
     }
 }
 
-/// Faults that can be switched while it runs.
+/// Faults that can be injected while it runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every task that starts fails at once.
+    /// Every started task fails immediately.
     pub fail_everything: bool,
-    /// Every call is dropped before it takes effect; tasks run on.
+    /// Every call is dropped before it takes effect; tasks keep running.
     pub cut_off: bool,
-    /// Nothing happens: calls wait and tasks stand still, while the clock goes on.
+    /// Calls wait and tasks make no progress, while the clock advances.
     pub freeze: bool,
-    /// Tasks use their declared size times this, until throttled. Default 1.
+    /// Tasks use this multiple of their declared size until throttled. Default 1.
     pub use_factor: f64,
-    /// Answers to starts to come that are lost after they took effect.
+    /// Number of following starts that take effect but get no response.
     pub lose_next_starts: u32,
-    /// It starts nothing and reports that it is leaving.
+    /// It refuses starts and reports that it is leaving.
     pub leaving: bool,
 }
 
@@ -107,7 +108,7 @@
     }
 }
 
-/// What the parts of a stand-in share.
+/// State shared by the parts of the stand-in.
 pub(crate) struct Shared {
     clock: clock::SharedClock,
     tasks: sync::Mutex<tasks::Tasks>,
@@ -115,7 +116,7 @@
 }
 
 impl Shared {
-    /// Works on the tasks, brought up to date first.
+    /// Advances the tasks to the current time, then runs `work` on them.
     fn with_tasks<R>(&self, work: impl FnOnce(&mut tasks::Tasks, time::Instant) -> R) -> R {
         let now = self.clock.now();
         let mut tasks = mutex::lock(&self.tasks);
@@ -132,14 +133,14 @@
     }
 }
 
-/// A running stand-in; dropping it ends it and its tasks, as a crash does.
+/// A running stand-in; dropping it stops it and its tasks, as a crash does.
 pub struct Handle {
     server: http_server::Server,
     shared: sync::Arc<Shared>,
     ticker: tokio::task::JoinHandle<()>,
 }
 
-/// Starts a stand-in; returns once it listens.
+/// Starts the stand-in; returns once it listens.
 pub async fn start(config: Config) -> io::Result<Handle> {
     let tasks = tasks::Tasks::new(
         config.id,
@@ -180,28 +181,28 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.server.address()
     }
 
-    /// Switches faults.
+    /// Changes the faults that are injected.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         self.shared.change_faults(change);
     }
 
-    /// Bytes that it received and sent over all its connections.
+    /// Bytes received and sent over all its connections.
     pub fn link_bytes(&self) -> u64 {
         self.server.bytes()
     }
 
-    /// What it would report now.
+    /// Its current report.
     pub fn report(&self) -> WorkerReport {
         self.shared
             .with_tasks(|tasks, now| tasks.report(now, false))
     }
 
-    /// What holders asked of it.
+    /// Counters of the calls of holders to it.
     pub fn record(&self) -> Record {
         self.shared.with_tasks(|tasks, _| tasks.record())
     }
--- a/crates/figscale-standin/src/worker/task.rs
+++ b/crates/figscale-standin/src/worker/task.rs
@@ -19,7 +19,7 @@
     pub(super) started: time::Instant,
     pub(super) lease_until: time::Instant,
     pub(super) ends: time::Instant,
-    pub(super) longest: time::Instant,
+    pub(super) run_limit: time::Instant,
     /// Run time saved by earlier attempts.
     pub(super) saved: time::Duration,
     /// When it stopped running.
@@ -35,7 +35,7 @@
         scaled(&self.reserved, self.use_factor)
     }
 
-    /// What a report shows, which is from `lag` before `now`.
+    /// Usage in a report made at `now`: the usage at the time `lag` before.
     pub(super) fn reported_use(&self, now: time::Instant, lag: time::Duration) -> sizes::Resources {
         let seen_at = now.checked_sub(lag).unwrap_or(now);
         let runs_then = self.started <= seen_at && self.stopped.is_none_or(|at| seen_at < at);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// How and when it ends next.
+    /// When the task ends if nothing changes, and with which phase.
     pub(super) fn next_end(&self) -> (time::Instant, TaskPhase) {
         let end = if self.fail {
             TaskPhase::Failed
@@ -55,14 +55,14 @@
         };
         let ends = [
             (self.lease_until, TaskPhase::Lapsed),
-            (self.longest, TaskPhase::Failed),
+            (self.run_limit, TaskPhase::Failed),
             (self.ends, end),
         ];
         let first = ends.into_iter().min_by_key(|(at, _)| *at);
         first.unwrap_or((self.ends, end))
     }
 
-    /// The stretch of time that begins at `now`, for the ledger.
+    /// The run that begins at `now`, for the ledger.
     pub(super) fn run(
         &self,
         id: &ids::TaskId,
--- a/crates/figscale-standin/src/worker/tasks.rs
+++ b/crates/figscale-standin/src/worker/tasks.rs
@@ -1,9 +1,9 @@
-//! The tasks of a stand-in worker: a state machine that is given the time.
+//! The tasks of a stand-in worker: a state machine that is passed the time.
 //!
-//! [`Tasks::advance`] brings it up to date: a task ends at the earliest of its
-//! lease, its longest run and its own end. While the worker is frozen nothing
-//! ends; afterwards, leases that lapsed in the meantime are dealt with before
-//! anything else, as a worker's own watchdog would.
+//! [`Tasks::advance`] brings it up to date: a task ends at the earliest of the
+//! expiry of its lease, its run-time limit and its own end. While the worker is
+//! frozen nothing ends; when it resumes, leases that expired in the meantime are
+//! processed before anything else, as the watchdog of a real worker would do.
 
 use std::time;
 
@@ -21,22 +21,22 @@
 use super::ledger;
 use super::task;
 
-/// What holders asked of a worker, and how full it was.
+/// Counters of the calls of holders to a worker, and of its utilization.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Tasks started.
     pub starts: u64,
-    /// Starts that it was asked for while leaving.
+    /// Starts requested while it was leaving.
     pub starts_while_leaving: u64,
-    /// Starts refused since it would have held more than it can.
+    /// Starts refused because they would have exceeded its capacity.
     pub over_capacity: u64,
-    /// Moments at which the tasks came to use more than it holds.
+    /// Number of times that the usage of its tasks rose above its capacity.
     pub overused: u64,
-    /// Calls with an epoch lower than one seen before.
+    /// Calls with an epoch lower than the highest one received before.
     pub stale_calls: u64,
-    /// Calls received after the moment by which they had to be.
+    /// Calls received after the time given in their `not_after`.
     pub late_calls: u64,
-    /// Most room that was reserved at once.
+    /// Largest amount of each resource reserved at once.
     pub most_reserved: sizes::Resources,
 }
 
@@ -83,7 +83,7 @@
         self.record.clone()
     }
 
-    /// Ends what has ended by `now`.
+    /// Ends the tasks whose end is not after `now`.
     pub(super) fn advance(&mut self, now: time::Instant) {
         if self.frozen_at.is_some() {
             return;
@@ -96,7 +96,7 @@
                 self.ledger.ended(id, &self.id, at);
             }
         }
-        self.judge_use();
+        self.check_usage();
     }
 
     pub(super) fn set_faults(&mut self, faults: Faults, now: time::Instant) {
@@ -119,12 +119,12 @@
 
     fn thaw(&mut self, since: time::Instant, now: time::Instant) {
         self.frozen_at = None;
-        let stood = now.saturating_duration_since(since);
+        let frozen_for = now.saturating_duration_since(since);
         for (id, task) in &mut self.tasks {
             if !task.is_running() {
                 continue;
             }
-            task.ends += stood;
+            task.ends += frozen_for;
             if task.lease_until <= now {
                 task.phase = TaskPhase::Lapsed;
                 task.stopped = Some(since);
@@ -135,7 +135,7 @@
         self.advance(now);
     }
 
-    /// Ends everything, as a crash does.
+    /// Ends all tasks, as a crash does.
     pub(super) fn crash(&mut self, now: time::Instant) {
         for (id, task) in &self.tasks {
             if task.is_running() {
@@ -147,8 +147,8 @@
         self.started = now;
     }
 
-    /// Whether an epoch may be obeyed; remembers the highest.
-    fn obeys(&mut self, epoch: ids::Epoch) -> bool {
+    /// Whether calls with this epoch are accepted; records the highest epoch.
+    fn accept_epoch(&mut self, epoch: ids::Epoch) -> bool {
         let current = epoch >= self.epoch;
         if current {
             self.epoch = epoch;
@@ -177,7 +177,7 @@
         request: &worker::StartTask,
         now: time::Instant,
     ) -> worker::StartAnswer {
-        if !self.obeys(request.epoch) {
+        if !self.accept_epoch(request.epoch) {
             return worker::StartAnswer::Refused(worker::StartRefusal::StaleEpoch);
         }
         let known = self.tasks.get(&request.task);
@@ -219,11 +219,11 @@
             time::Duration::ZERO
         };
         let declared = time::Duration::from_millis(request.run_ms);
-        let whole = declared.mul_f64(behaviour.run_factor);
-        let left = if self.faults.fail_everything {
+        let total = declared.mul_f64(behaviour.run_factor);
+        let remaining = if self.faults.fail_everything {
             time::Duration::ZERO
         } else {
-            whole.saturating_sub(saved)
+            total.saturating_sub(saved)
         };
         let task = task::Task {
             attempt: request.attempt,
@@ -234,8 +234,8 @@
             fail: behaviour.fail || self.faults.fail_everything,
             started: now,
             lease_until: now + time::Duration::from_millis(request.lease_ms),
-            ends: now + left,
-            longest: now + time::Duration::from_millis(request.max_run_ms),
+            ends: now + remaining,
+            run_limit: now + time::Duration::from_millis(request.max_run_ms),
             saved,
             stopped: None,
         };
@@ -244,9 +244,9 @@
         self.tasks.insert(request.task.clone(), task);
         self.record.starts += 1;
         let reserved = self.reserved();
-        let most = &mut self.record.most_reserved;
-        *most = sizes::Resources::max(most, &reserved);
-        self.judge_use();
+        let max_reserved = &mut self.record.most_reserved;
+        *max_reserved = sizes::Resources::max(max_reserved, &reserved);
+        self.check_usage();
     }
 
     pub(super) fn renew(
@@ -254,7 +254,7 @@
         request: &worker::Renew,
         now: time::Instant,
     ) -> worker::WorkerReport {
-        if !self.obeys(request.epoch) {
+        if !self.accept_epoch(request.epoch) {
             return self.report(now, true);
         }
         if !self.is_in_time(request.not_after, now) {
@@ -280,7 +280,7 @@
         request: &worker::ActOnTask,
         now: time::Instant,
     ) -> worker::WorkerReport {
-        if !self.obeys(request.epoch) {
+        if !self.accept_epoch(request.epoch) {
             return self.report(now, true);
         }
         let running = self.tasks.get_mut(&request.task);
@@ -299,7 +299,7 @@
                 self.ledger.ended(&request.task, &self.id, now);
             }
         }
-        self.judge_use();
+        self.check_usage();
         self.report(now, false)
     }
 
@@ -335,8 +335,8 @@
         })
     }
 
-    /// Notes the moment at which use grows beyond what the worker holds.
-    fn judge_use(&mut self) {
+    /// Counts each time that usage rises above the capacity of the worker.
+    fn check_usage(&mut self) {
         let running = self.tasks.values().filter(|task| task.is_running());
         let used = running.fold(sizes::Resources::default(), |sum, task| {
             sum.plus(&task.used())
--- a/crates/figscale-standin/tests/platform.rs
+++ b/crates/figscale-standin/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The stand-in platform keeps the protocol, and its faults are real ones.
+//! The stand-in platform implements the protocol, and its faults have the effects
+//! that they declare.
 
 use std::sync;
 use std::time;
@@ -12,34 +13,34 @@
 use http::StatusCode;
 use rstest::rstest;
 
-const LONG: time::Duration = time::Duration::from_secs(30);
-const SHORT: time::Duration = time::Duration::from_millis(100);
+const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 
-struct Bench {
+struct Fixture {
     platform: platform::Handle,
     clock: sync::Arc<clock::ManualClock>,
     client: client::Client,
 }
 
-async fn bench(config: platform::Config) -> Bench {
+async fn fixture(config: platform::Config) -> Fixture {
     let clock = sync::Arc::new(clock::ManualClock::default());
     let config = platform::Config {
         clock: clock.clone(),
         ..config
     };
-    Bench {
+    Fixture {
         platform: platform::start(config).await.expect("it listens"),
         clock,
         client: client::Client::default(),
     }
 }
 
-impl Bench {
+impl Fixture {
     async fn send(&self, call: client::Call) -> client::Answer {
         self.client
-            .send_within(LONG, call)
+            .send_within(TEST_TIMEOUT, call)
             .await
-            .expect("a whole answer")
+            .expect("a complete response")
     }
 
     fn put(&self, key: &str, expected: u64, value: &str) -> client::Call {
@@ -62,16 +63,16 @@
             .lease
     }
 
-    /// Waits until a watch has come in and waits itself.
-    async fn watch_waits(&self) {
+    /// Waits until a watch has arrived and is waiting.
+    async fn wait_for_watch(&self) {
         let waits = async {
             while self.platform.waiting_watches() == 0 {
                 tokio::time::sleep(time::Duration::from_millis(2)).await;
             }
         };
-        tokio::time::timeout(LONG, waits)
+        tokio::time::timeout(TEST_TIMEOUT, waits)
             .await
-            .expect("a watch waits");
+            .expect("a waiting watch");
     }
 
     async fn renew(&self, lease: ids::LeaseId) -> StatusCode {
@@ -90,18 +91,18 @@
 
 #[tokio::test]
 async fn writes_compare_and_swap() {
-    let bench = bench(platform::Config::default()).await;
-    let first = bench.send(bench.put("a/b", 0, "one")).await;
+    let fixture = fixture(platform::Config::default()).await;
+    let first = fixture.send(fixture.put("a/b", 0, "one")).await;
     assert_eq!(first.status, StatusCode::OK);
     let at = revision(&first);
 
-    let again = bench.send(bench.put("a/b", 0, "two")).await;
+    let again = fixture.send(fixture.put("a/b", 0, "two")).await;
     assert_eq!(again.status, StatusCode::PRECONDITION_FAILED);
     assert_eq!(revision(&again), at);
 
-    let second = bench.send(bench.put("a/b", at, "two")).await;
+    let second = fixture.send(fixture.put("a/b", at, "two")).await;
     assert!(revision(&second) > at);
-    let read = bench.send(bench.get("/v1/kv/a/b")).await;
+    let read = fixture.send(fixture.get("/v1/kv/a/b")).await;
     assert_eq!(
         (read.text().as_str(), revision(&read)),
         ("two", revision(&second))
@@ -109,15 +110,15 @@
 }
 
 #[tokio::test]
-async fn a_key_made_again_never_shows_an_old_revision() {
-    let bench = bench(platform::Config::default()).await;
-    let first = revision(&bench.send(bench.put("k", 0, "one")).await);
-    let delete = client::Call::delete(bench.platform.address(), "/v1/kv/k")
+async fn a_recreated_key_never_has_an_old_revision() {
+    let fixture = fixture(platform::Config::default()).await;
+    let first = revision(&fixture.send(fixture.put("k", 0, "one")).await);
+    let delete = client::Call::delete(fixture.platform.address(), "/v1/kv/k")
         .header(protocol::IF_REVISION, first);
-    assert_eq!(bench.send(delete).await.status, StatusCode::OK);
-    let gone = bench.send(bench.get("/v1/kv/k")).await;
+    assert_eq!(fixture.send(delete).await.status, StatusCode::OK);
+    let gone = fixture.send(fixture.get("/v1/kv/k")).await;
     assert_eq!(gone.status, StatusCode::NOT_FOUND);
-    let second = revision(&bench.send(bench.put("k", 0, "two")).await);
+    let second = revision(&fixture.send(fixture.put("k", 0, "two")).await);
     assert!(revision(&gone) > first && second > revision(&gone));
 }
 
@@ -126,56 +127,56 @@
 #[case::too_large(protocol::MAX_VALUE_BYTES + 1, StatusCode::PAYLOAD_TOO_LARGE)]
 #[tokio::test]
 async fn values_are_bounded(#[case] len: usize, #[case] expected: StatusCode) {
-    let bench = bench(platform::Config::default()).await;
-    let answer = bench.send(bench.put("k", 0, &"x".repeat(len))).await;
+    let fixture = fixture(platform::Config::default()).await;
+    let answer = fixture.send(fixture.put("k", 0, &"x".repeat(len))).await;
     assert_eq!(answer.status, expected);
-    assert_eq!(bench.platform.read("k").is_some(), expected.is_success());
+    assert_eq!(fixture.platform.read("k").is_some(), expected.is_success());
 }
 
 #[tokio::test]
-async fn a_lapsed_lease_takes_its_keys_along() {
-    let bench = bench(platform::Config::default()).await;
-    let lease = bench.grant(1_000).await;
-    let call = bench
+async fn an_expired_lease_deletes_its_keys() {
+    let fixture = fixture(platform::Config::default()).await;
+    let lease = fixture.grant(1_000).await;
+    let call = fixture
         .put("member", 0, "here")
         .header(protocol::LEASE, lease);
-    let at = revision(&bench.send(call).await);
+    let at = revision(&fixture.send(call).await);
 
-    bench.clock.advance(time::Duration::from_millis(900));
-    assert_eq!(bench.renew(lease).await, StatusCode::OK);
-    bench.clock.advance(time::Duration::from_millis(900));
-    assert!(bench.platform.read("member").is_some());
+    fixture.clock.advance(time::Duration::from_millis(900));
+    assert_eq!(fixture.renew(lease).await, StatusCode::OK);
+    fixture.clock.advance(time::Duration::from_millis(900));
+    assert!(fixture.platform.read("member").is_some());
 
-    bench.clock.advance(time::Duration::from_millis(100));
-    let gone = bench.send(bench.get("/v1/kv/member")).await;
+    fixture.clock.advance(time::Duration::from_millis(100));
+    let gone = fixture.send(fixture.get("/v1/kv/member")).await;
     assert_eq!(gone.status, StatusCode::NOT_FOUND);
     assert!(revision(&gone) > at);
-    assert_eq!(bench.renew(lease).await, StatusCode::GONE);
-    let late = bench
+    assert_eq!(fixture.renew(lease).await, StatusCode::GONE);
+    let late = fixture
         .put("member", 0, "here")
         .header(protocol::LEASE, lease);
-    assert_eq!(bench.send(late).await.status, StatusCode::GONE);
+    assert_eq!(fixture.send(late).await.status, StatusCode::GONE);
 }
 
 #[tokio::test]
-async fn a_watch_sees_writes_and_lapsed_leases() {
-    let bench = bench(platform::Config::default()).await;
-    let quiet = bench
-        .send(bench.get("/v1/watch/k?after=0&wait_ms=20"))
+async fn a_watch_reports_writes_and_expired_leases() {
+    let fixture = fixture(platform::Config::default()).await;
+    let quiet = fixture
+        .send(fixture.get("/v1/watch/k?after=0&wait_ms=20"))
         .await;
     assert_eq!(quiet.status, StatusCode::NO_CONTENT);
 
-    let watch = bench.send(bench.get("/v1/watch/k?after=0&wait_ms=30000"));
-    let lease = bench.grant(1_000).await;
-    let put = bench.put("k", 0, "one").header(protocol::LEASE, lease);
-    let (seen, _) = tokio::join!(watch, bench.send(put));
+    let watch = fixture.send(fixture.get("/v1/watch/k?after=0&wait_ms=30000"));
+    let lease = fixture.grant(1_000).await;
+    let put = fixture.put("k", 0, "one").header(protocol::LEASE, lease);
+    let (seen, _) = tokio::join!(watch, fixture.send(put));
     assert_eq!(seen.text(), "one");
 
     let path = format!("/v1/watch/k?after={}&wait_ms=30000", revision(&seen));
-    let watch = bench.send(bench.get(&path));
+    let watch = fixture.send(fixture.get(&path));
     let lapse = async {
-        bench.watch_waits().await;
-        bench.clock.advance(time::Duration::from_secs(2));
+        fixture.wait_for_watch().await;
+        fixture.clock.advance(time::Duration::from_secs(2));
     };
     let (seen, ()) = tokio::join!(watch, lapse);
     assert_eq!(seen.status, StatusCode::NOT_FOUND);
@@ -183,88 +184,94 @@
 
 #[tokio::test]
 async fn an_outage_ends_watches_and_changes_nothing() {
-    let bench = bench(platform::Config::default()).await;
-    let watch = bench.send(bench.get("/v1/watch/k?after=0&wait_ms=30000"));
+    let fixture = fixture(platform::Config::default()).await;
+    let watch = fixture.send(fixture.get("/v1/watch/k?after=0&wait_ms=30000"));
     let outage = async {
-        bench.watch_waits().await;
-        bench.platform.change_faults(|faults| faults.outage = true);
+        fixture.wait_for_watch().await;
+        fixture
+            .platform
+            .change_faults(|faults| faults.outage = true);
     };
     let (seen, ()) = tokio::join!(watch, outage);
     assert_eq!(seen.status, StatusCode::SERVICE_UNAVAILABLE);
-    let put = bench.send(bench.put("k", 0, "one")).await;
+    let put = fixture.send(fixture.put("k", 0, "one")).await;
     assert_eq!(put.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(bench.platform.read("k").is_none());
-    bench.platform.change_faults(|faults| faults.outage = false);
+    assert!(fixture.platform.read("k").is_none());
+    fixture
+        .platform
+        .change_faults(|faults| faults.outage = false);
     assert_eq!(
-        bench.send(bench.put("k", 0, "one")).await.status,
+        fixture.send(fixture.put("k", 0, "one")).await.status,
         StatusCode::OK
     );
 }
 
 #[tokio::test]
-async fn a_lost_answer_comes_after_the_effect() {
-    let bench = bench(platform::Config::default()).await;
-    bench
+async fn a_write_takes_effect_before_its_response_is_lost() {
+    let fixture = fixture(platform::Config::default()).await;
+    fixture
         .platform
         .change_faults(|faults| faults.lose_next_answers = 1);
-    let lost = bench.client.send(bench.put("k", 0, "one")).await;
+    let lost = fixture.client.send(fixture.put("k", 0, "one")).await;
     assert!(lost.is_err());
-    assert_eq!(bench.platform.read("k").unwrap().bytes, b"one");
-    let next = bench.send(bench.put("k", 0, "two")).await;
+    assert_eq!(fixture.platform.read("k").unwrap().bytes, b"one");
+    let next = fixture.send(fixture.put("k", 0, "two")).await;
     assert_eq!(next.status, StatusCode::PRECONDITION_FAILED);
 }
 
 #[tokio::test]
-async fn a_hanging_platform_answers_nobody() {
-    let bench = bench(platform::Config::default()).await;
-    bench.platform.change_faults(|faults| faults.hang = true);
-    let hung = bench.client.send_within(SHORT, bench.put("k", 0, "one"));
+async fn a_hanging_platform_does_not_respond() {
+    let fixture = fixture(platform::Config::default()).await;
+    fixture.platform.change_faults(|faults| faults.hang = true);
+    let hung = fixture
+        .client
+        .send_within(CALL_TIMEOUT, fixture.put("k", 0, "one"));
     assert!(hung.await.is_err());
-    assert!(bench.platform.read("k").is_none());
+    assert!(fixture.platform.read("k").is_none());
 }
 
 #[rstest]
 #[case::writes(true)]
 #[case::reads(false)]
 #[tokio::test]
-async fn rates_are_limited_apart(#[case] write: bool) {
+async fn reads_and_writes_have_separate_rate_limits(#[case] write: bool) {
     let config = platform::Config {
         writes_per_s: 3.0,
         reads_per_s: 3.0,
         ..platform::Config::default()
     };
-    let bench = bench(config).await;
+    let fixture = fixture(config).await;
     let call = |number: u32| match write {
-        true => bench.put(&format!("k{number}"), 0, "v"),
-        false => bench.get("/v1/keys?prefix=k"),
+        true => fixture.put(&format!("k{number}"), 0, "v"),
+        false => fixture.get("/v1/keys?prefix=k"),
     };
     for number in 0..3 {
-        assert_eq!(bench.send(call(number)).await.status, StatusCode::OK);
+        assert_eq!(fixture.send(call(number)).await.status, StatusCode::OK);
     }
     assert_eq!(
-        bench.send(call(3)).await.status,
+        fixture.send(call(3)).await.status,
         StatusCode::TOO_MANY_REQUESTS
     );
     let other = match write {
-        true => bench.get("/v1/keys?prefix=k"),
-        false => bench.put("k", 0, "v"),
+        true => fixture.get("/v1/keys?prefix=k"),
+        false => fixture.put("k", 0, "v"),
     };
-    assert_eq!(bench.send(other).await.status, StatusCode::OK);
-    bench.clock.advance(time::Duration::from_secs(1));
-    assert_eq!(bench.send(call(3)).await.status, StatusCode::OK);
-    assert_eq!(bench.platform.total().over_rate, 1);
+    assert_eq!(fixture.send(other).await.status, StatusCode::OK);
+    fixture.clock.advance(time::Duration::from_secs(1));
+    assert_eq!(fixture.send(call(3)).await.status, StatusCode::OK);
+    assert_eq!(fixture.platform.total().over_rate, 1);
 }
 
 #[tokio::test]
 async fn calls_and_bytes_are_counted_by_client() {
-    let bench = bench(platform::Config::default()).await;
-    bench
-        .send(bench.put("k", 0, "four").header(protocol::CLIENT, "a"))
+    let fixture = fixture(platform::Config::default()).await;
+    fixture
+        .send(fixture.put("k", 0, "four").header(protocol::CLIENT, "a"))
         .await;
-    bench
-        .send(bench.get("/v1/kv/k").header(protocol::CLIENT, "b"))
+    fixture
+        .send(fixture.get("/v1/kv/k").header(protocol::CLIENT, "b"))
         .await;
-    let counts = bench.platform.counts();
+    let counts = fixture.platform.counts();
     let put = counts["a"][&platform::CallKind::Put];
     let get = counts["b"][&platform::CallKind::Get];
     assert_eq!((put.calls, put.received_bytes), (1, 4));
@@ -277,15 +284,21 @@
         instance_lag: time::Duration::from_millis(500),
         ..platform::Config::default()
     };
-    let bench = bench(config).await;
+    let fixture = fixture(config).await;
     let read = async || -> instances::InstanceList {
-        bench.send(bench.get("/v1/instances")).await.json().unwrap()
+        fixture
+            .send(fixture.get("/v1/instances"))
+            .await
+            .json()
+            .unwrap()
     };
     let before = read().await;
-    bench.platform.change_instances(|list| list.push(runner()));
-    bench.clock.advance(time::Duration::from_millis(499));
+    fixture
+        .platform
+        .change_instances(|list| list.push(runner()));
+    fixture.clock.advance(time::Duration::from_millis(499));
     assert_eq!(read().await, before);
-    bench.clock.advance(time::Duration::from_millis(1));
+    fixture.clock.advance(time::Duration::from_millis(1));
     let after = read().await;
     assert_eq!(after.instances, vec![runner()]);
     assert!(after.revision > before.revision);
--- a/crates/figscale-standin/tests/worker.rs
+++ b/crates/figscale-standin/tests/worker.rs
@@ -1,5 +1,5 @@
-//! The stand-in worker keeps the protocol, and its judges catch every broken
-//! promise.
+//! The stand-in worker implements the protocol, and its ledger and record report
+//! every violation.
 
 use std::sync;
 use std::time;
@@ -15,10 +15,10 @@
 use figscale_types::worker::TaskPhase;
 use rstest::rstest;
 
-const LONG: time::Duration = time::Duration::from_secs(30);
-const SHORT: time::Duration = time::Duration::from_millis(100);
+const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const CALL_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 
-struct Bench {
+struct Fixture {
     clock: sync::Arc<clock::ManualClock>,
     ledger: worker::TaskLedger,
     workers: Vec<worker::Handle>,
@@ -26,7 +26,7 @@
 }
 
 /// Two workers of eight cores each, on one clock and with one ledger.
-async fn bench() -> Bench {
+async fn fixture() -> Fixture {
     let clock = sync::Arc::new(clock::ManualClock::default());
     let ledger = worker::TaskLedger::default();
     let mut workers = Vec::new();
@@ -40,7 +40,7 @@
         };
         workers.push(worker::start(config).await.expect("it listens"));
     }
-    Bench {
+    Fixture {
         clock,
         ledger,
         workers,
@@ -76,7 +76,7 @@
     }
 }
 
-impl Bench {
+impl Fixture {
     async fn call(
         &self,
         worker: usize,
@@ -85,8 +85,8 @@
     ) -> client::Answer {
         let call = client::Call::post(self.workers[worker].address(), path);
         let call = call.json(body).expect("JSON");
-        let answer = self.client.send_within(LONG, call).await;
-        answer.expect("a whole answer")
+        let answer = self.client.send_within(TEST_TIMEOUT, call).await;
+        answer.expect("a complete response")
     }
 
     async fn start(&self, worker: usize, request: &protocol::StartTask) -> StartAnswer {
@@ -120,27 +120,27 @@
         self.workers[worker].report().tasks[0].phase
     }
 
-    fn pass_ms(&self, ms: u64) {
+    fn advance_ms(&self, ms: u64) {
         self.clock.advance(time::Duration::from_millis(ms));
     }
 }
 
 #[tokio::test]
 async fn a_task_runs_to_its_end_while_its_lease_is_renewed() {
-    let bench = bench().await;
+    let fixture = fixture().await;
     assert_eq!(
-        bench.start(0, &start(0, 1, 1, 4)).await,
+        fixture.start(0, &start(0, 1, 1, 4)).await,
         StartAnswer::Started
     );
     for _ in 0..10 {
-        bench.pass_ms(900);
-        let report = bench.renew(0, 1, 0).await;
+        fixture.advance_ms(900);
+        let report = fixture.renew(0, 1, 0).await;
         assert_eq!(report.tasks[0].phase, TaskPhase::Running);
     }
-    bench.pass_ms(999);
-    assert_eq!(bench.phase(0), TaskPhase::Running);
-    bench.pass_ms(1);
-    assert_eq!(bench.phase(0), TaskPhase::Lapsed);
+    fixture.advance_ms(999);
+    assert_eq!(fixture.phase(0), TaskPhase::Running);
+    fixture.advance_ms(1);
+    assert_eq!(fixture.phase(0), TaskPhase::Lapsed);
 }
 
 #[rstest]
@@ -148,90 +148,96 @@
 #[case::failed("run=0.05 fail=true", TaskPhase::Failed)]
 #[case::lapsed("", TaskPhase::Lapsed)]
 #[tokio::test]
-async fn a_task_ends_as_its_command_says(#[case] command: &str, #[case] phase: TaskPhase) {
-    let bench = bench().await;
+async fn a_task_ends_as_its_command_specifies(#[case] command: &str, #[case] phase: TaskPhase) {
+    let fixture = fixture().await;
     let request = protocol::StartTask {
         command: command.to_owned(),
         ..start(0, 1, 1, 4)
     };
-    bench.start(0, &request).await;
-    bench.pass_ms(5_000);
-    assert_eq!(bench.phase(0), phase);
+    fixture.start(0, &request).await;
+    fixture.advance_ms(5_000);
+    assert_eq!(fixture.phase(0), phase);
 }
 
 #[tokio::test]
-async fn a_task_is_stopped_at_its_longest_run() {
-    let bench = bench().await;
+async fn a_task_is_stopped_at_its_run_time_limit() {
+    let fixture = fixture().await;
     let request = protocol::StartTask {
         max_run_ms: 500,
         ..start(0, 1, 1, 4)
     };
-    bench.start(0, &request).await;
-    bench.pass_ms(500);
-    assert_eq!(bench.phase(0), TaskPhase::Failed);
+    fixture.start(0, &request).await;
+    fixture.advance_ms(500);
+    assert_eq!(fixture.phase(0), TaskPhase::Failed);
 }
 
 #[tokio::test]
-async fn a_repeated_start_is_known_and_another_attempt_refused() {
-    let bench = bench().await;
-    bench.start(0, &start(0, 1, 1, 4)).await;
-    assert_eq!(bench.start(0, &start(0, 1, 1, 4)).await, StartAnswer::Known);
-    let other = bench.start(0, &start(0, 2, 1, 4)).await;
+async fn a_retried_start_is_known_and_another_attempt_refused() {
+    let fixture = fixture().await;
+    fixture.start(0, &start(0, 1, 1, 4)).await;
+    assert_eq!(
+        fixture.start(0, &start(0, 1, 1, 4)).await,
+        StartAnswer::Known
+    );
+    let other = fixture.start(0, &start(0, 2, 1, 4)).await;
     assert_eq!(other, StartAnswer::Refused(StartRefusal::RunsAlready));
-    bench.pass_ms(2_000);
-    assert_eq!(bench.start(0, &start(0, 1, 1, 4)).await, StartAnswer::Known);
+    fixture.advance_ms(2_000);
+    assert_eq!(
+        fixture.start(0, &start(0, 1, 1, 4)).await,
+        StartAnswer::Known
+    );
     assert_eq!(
-        bench.start(0, &start(0, 2, 1, 4)).await,
+        fixture.start(0, &start(0, 2, 1, 4)).await,
         StartAnswer::Started
     );
-    assert_eq!(bench.ledger.starts(&task(0)), 2);
+    assert_eq!(fixture.ledger.starts(&task(0)), 2);
 }
 
 #[tokio::test]
-async fn a_lower_epoch_is_refused_everywhere_and_judged() {
-    let bench = bench().await;
-    bench.start(0, &start(0, 1, 5, 4)).await;
-    let late = bench.start(0, &start(1, 1, 4, 1)).await;
+async fn a_lower_epoch_is_refused_by_every_call_and_counted() {
+    let fixture = fixture().await;
+    fixture.start(0, &start(0, 1, 5, 4)).await;
+    let late = fixture.start(0, &start(1, 1, 4, 1)).await;
     assert_eq!(late, StartAnswer::Refused(StartRefusal::StaleEpoch));
-    bench.pass_ms(900);
-    assert!(bench.renew(0, 4, 0).await.stale);
-    assert!(bench.act(protocol::TaskAction::Stop).await.stale);
-    assert_eq!(bench.phase(0), TaskPhase::Running);
-    bench.pass_ms(100);
-    assert_eq!(bench.phase(0), TaskPhase::Lapsed);
-    assert_eq!(bench.workers[0].record().stale_calls, 3);
+    fixture.advance_ms(900);
+    assert!(fixture.renew(0, 4, 0).await.stale);
+    assert!(fixture.act(protocol::TaskAction::Stop).await.stale);
+    assert_eq!(fixture.phase(0), TaskPhase::Running);
+    fixture.advance_ms(100);
+    assert_eq!(fixture.phase(0), TaskPhase::Lapsed);
+    assert_eq!(fixture.workers[0].record().stale_calls, 3);
 }
 
 #[tokio::test]
-async fn a_start_over_capacity_is_refused_and_judged() {
-    let bench = bench().await;
-    bench.start(0, &start(0, 1, 1, 5)).await;
-    let second = bench.start(0, &start(1, 1, 1, 4)).await;
+async fn a_start_over_capacity_is_refused_and_counted() {
+    let fixture = fixture().await;
+    fixture.start(0, &start(0, 1, 1, 5)).await;
+    let second = fixture.start(0, &start(1, 1, 1, 4)).await;
     assert_eq!(second, StartAnswer::Refused(StartRefusal::Full));
-    let record = bench.workers[0].record();
+    let record = fixture.workers[0].record();
     assert_eq!((record.over_capacity, record.starts), (1, 1));
     assert_eq!(record.most_reserved, size(5));
 }
 
 #[tokio::test]
-async fn an_ended_attempt_opens_no_way_round_capacity_or_leaving() {
-    let bench = bench().await;
-    bench.start(0, &start(0, 1, 1, 1)).await;
-    bench.pass_ms(2_000);
-    let large = bench.start(0, &start(0, 2, 1, 9)).await;
+async fn an_ended_attempt_does_not_bypass_capacity_or_leaving() {
+    let fixture = fixture().await;
+    fixture.start(0, &start(0, 1, 1, 1)).await;
+    fixture.advance_ms(2_000);
+    let large = fixture.start(0, &start(0, 2, 1, 9)).await;
     assert_eq!(large, StartAnswer::Refused(StartRefusal::Full));
-    bench.workers[0].change_faults(|faults| faults.leaving = true);
-    let leaving = bench.start(0, &start(0, 2, 1, 1)).await;
+    fixture.workers[0].change_faults(|faults| faults.leaving = true);
+    let leaving = fixture.start(0, &start(0, 2, 1, 1)).await;
     assert_eq!(leaving, StartAnswer::Refused(StartRefusal::Leaving));
 }
 
 #[tokio::test]
-async fn a_task_in_two_places_is_judged() {
-    let bench = bench().await;
-    bench.start(0, &start(0, 1, 1, 4)).await;
-    bench.start(1, &start(0, 2, 1, 4)).await;
+async fn a_task_on_two_workers_is_reported() {
+    let fixture = fixture().await;
+    fixture.start(0, &start(0, 1, 1, 4)).await;
+    fixture.start(1, &start(0, 2, 1, 4)).await;
     assert!(matches!(
-        &bench.ledger.violations()[..],
+        &fixture.ledger.violations()[..],
         [worker::Violation::TwoPlaces { first, second, .. }]
             if first.as_str() == "worker-1" && second.as_str() == "worker-2"
     ));
@@ -239,74 +245,75 @@
 
 #[rstest]
 #[case::just_before(999, 1)]
-#[case::at_the_lapse(1_000, 0)]
+#[case::at_the_expiry(1_000, 0)]
 #[tokio::test]
-async fn a_lapsed_lease_is_the_line_between_two_places_and_one(
-    #[case] pass_ms: u64,
+async fn a_run_counts_until_exactly_the_expiry_of_its_lease(
+    #[case] advance_ms: u64,
     #[case] violations: usize,
 ) {
-    let bench = bench().await;
-    bench.start(0, &start(0, 1, 1, 4)).await;
-    bench.workers[0].change_faults(|faults| faults.cut_off = true);
-    bench.pass_ms(pass_ms);
-    bench.start(1, &start(0, 2, 1, 4)).await;
-    assert_eq!(bench.ledger.violations().len(), violations);
+    let fixture = fixture().await;
+    fixture.start(0, &start(0, 1, 1, 4)).await;
+    fixture.workers[0].change_faults(|faults| faults.cut_off = true);
+    fixture.advance_ms(advance_ms);
+    fixture.start(1, &start(0, 2, 1, 4)).await;
+    assert_eq!(fixture.ledger.violations().len(), violations);
 }
 
 #[rstest]
 #[case::within_its_lease(500, TaskPhase::Running, 1)]
 #[case::past_its_lease(1_500, TaskPhase::Lapsed, 0)]
 #[tokio::test]
-async fn a_frozen_worker_goes_on_only_within_its_lease(
+async fn a_frozen_worker_resumes_only_within_its_lease(
     #[case] frozen_ms: u64,
     #[case] phase: TaskPhase,
     #[case] violations: usize,
 ) {
-    let bench = bench().await;
-    bench.start(0, &start(0, 1, 1, 4)).await;
-    bench.workers[0].change_faults(|faults| faults.freeze = true);
-    bench.pass_ms(frozen_ms);
-    bench.start(1, &start(0, 2, 1, 4)).await;
-    assert!(bench.ledger.violations().is_empty());
-    bench.workers[0].change_faults(|faults| faults.freeze = false);
-    assert_eq!(bench.phase(0), phase);
-    assert_eq!(bench.ledger.violations().len(), violations);
+    let fixture = fixture().await;
+    fixture.start(0, &start(0, 1, 1, 4)).await;
+    fixture.workers[0].change_faults(|faults| faults.freeze = true);
+    fixture.advance_ms(frozen_ms);
+    fixture.start(1, &start(0, 2, 1, 4)).await;
+    assert!(fixture.ledger.violations().is_empty());
+    fixture.workers[0].change_faults(|faults| faults.freeze = false);
+    assert_eq!(fixture.phase(0), phase);
+    assert_eq!(fixture.ledger.violations().len(), violations);
 }
 
 #[tokio::test]
-async fn a_late_tick_of_a_worker_is_not_taken_for_two_places() {
-    let mut bench = bench().await;
-    // The first worker's clock stands, so that it does not notice the lapse.
-    bench.clock = sync::Arc::new(clock::ManualClock::default());
+async fn a_late_tick_of_a_worker_is_not_reported_as_a_violation() {
+    let mut fixture = fixture().await;
+    // The first worker keeps the old clock, which no longer advances, so that it does
+    // not notice the expiry.
+    fixture.clock = sync::Arc::new(clock::ManualClock::default());
     let config = worker::Config {
         id: "worker-3".parse().unwrap(),
-        clock: bench.clock.clone(),
-        ledger: bench.ledger.clone(),
+        clock: fixture.clock.clone(),
+        ledger: fixture.ledger.clone(),
         ..worker::Config::default()
     };
-    bench.workers.push(worker::start(config).await.unwrap());
-    bench.start(0, &start(0, 1, 1, 4)).await;
-    bench.pass_ms(1_000);
-    assert_eq!(bench.phase(0), TaskPhase::Running);
-    bench.start(2, &start(0, 2, 1, 4)).await;
-    assert!(bench.ledger.violations().is_empty());
+    fixture.workers.push(worker::start(config).await.unwrap());
+    fixture.start(0, &start(0, 1, 1, 4)).await;
+    fixture.advance_ms(1_000);
+    assert_eq!(fixture.phase(0), TaskPhase::Running);
+    fixture.start(2, &start(0, 2, 1, 4)).await;
+    assert!(fixture.ledger.violations().is_empty());
 }
 
 #[tokio::test]
-async fn a_frozen_worker_works_on_nothing() {
-    let bench = bench().await;
+async fn a_frozen_worker_makes_no_progress() {
+    let fixture = fixture().await;
     let request = protocol::StartTask {
         run_ms: 500,
         lease_ms: 60_000,
         ..start(0, 1, 1, 4)
     };
-    bench.start(0, &request).await;
-    bench.workers[0].change_faults(|faults| faults.freeze = true);
-    bench.pass_ms(600);
-    bench.workers[0].change_faults(|faults| faults.freeze = false);
-    assert_eq!(bench.phase(0), TaskPhase::Running);
-    bench.pass_ms(500);
-    assert_eq!(bench.phase(0), TaskPhase::Done);
+    fixture.start(0, &request).await;
+    fixture.workers[0].change_faults(|faults| faults.freeze = true);
+    fixture.advance_ms(600);
+    fixture.workers[0].change_faults(|faults| faults.freeze = false);
+    assert_eq!(fixture.phase(0), TaskPhase::Running);
+    fixture.advance_ms(500);
+    assert_eq!(fixture.phase(0), TaskPhase::Done);
 }
 
 #[rstest]
@@ -314,72 +321,78 @@
 #[case::frozen(|f: &mut worker::Faults| f.freeze = true, 0)]
 #[case::lost_answer(|f: &mut worker::Faults| f.lose_next_starts = 1, 1)]
 #[tokio::test]
-async fn a_call_without_an_answer_is_obeyed_or_not(
+async fn a_call_without_a_response_takes_effect_only_if_the_response_is_lost(
     #[case] fault: fn(&mut worker::Faults),
     #[case] starts: u32,
 ) {
-    let bench = bench().await;
-    bench.workers[0].change_faults(fault);
-    let call = client::Call::post(bench.workers[0].address(), "/v1/tasks");
+    let fixture = fixture().await;
+    fixture.workers[0].change_faults(fault);
+    let call = client::Call::post(fixture.workers[0].address(), "/v1/tasks");
     let call = call.json(&start(0, 1, 1, 4)).unwrap();
-    assert!(bench.client.send_within(SHORT, call).await.is_err());
-    assert_eq!(bench.ledger.starts(&task(0)), starts);
+    assert!(
+        fixture
+            .client
+            .send_within(CALL_TIMEOUT, call)
+            .await
+            .is_err()
+    );
+    assert_eq!(fixture.ledger.starts(&task(0)), starts);
 }
 
 #[tokio::test]
-async fn overuse_is_judged_reported_late_and_ended_by_a_throttle() {
-    let bench = bench().await;
+async fn overuse_is_counted_reported_with_lag_and_ended_by_a_throttle() {
+    let fixture = fixture().await;
     let request = protocol::StartTask {
         command: "use=10".to_owned(),
         ..start(0, 1, 1, 1)
     };
-    bench.start(0, &request).await;
-    let used = || bench.workers[0].report().tasks[0].used;
+    fixture.start(0, &request).await;
+    let used = || fixture.workers[0].report().tasks[0].used;
     assert_eq!(used(), sizes::Resources::default());
-    assert_eq!(bench.workers[0].record().overused, 1);
-    bench.pass_ms(500);
+    assert_eq!(fixture.workers[0].record().overused, 1);
+    fixture.advance_ms(500);
     assert_eq!(used(), size(10));
-    bench.act(protocol::TaskAction::Throttle).await;
+    fixture.act(protocol::TaskAction::Throttle).await;
     assert_eq!(used(), size(1));
 }
 
 #[tokio::test]
-async fn a_checkpoint_is_gone_on_from() {
-    let bench = bench().await;
+async fn a_task_resumes_from_its_checkpoint() {
+    let fixture = fixture().await;
     let first = protocol::StartTask {
         lease_ms: 60_000,
         ..start(0, 1, 1, 4)
     };
-    bench.start(0, &first).await;
-    bench.pass_ms(6_000);
-    let report = bench.act(protocol::TaskAction::Checkpoint).await;
+    fixture.start(0, &first).await;
+    fixture.advance_ms(6_000);
+    let report = fixture.act(protocol::TaskAction::Checkpoint).await;
     assert_eq!(report.tasks[0].phase, TaskPhase::Checkpointed);
     let second = protocol::StartTask {
         attempt: 2,
         resume: true,
         ..first
     };
-    bench.start(1, &second).await;
-    bench.pass_ms(3_999);
-    assert_eq!(bench.phase(1), TaskPhase::Running);
-    bench.pass_ms(1);
-    assert_eq!(bench.phase(1), TaskPhase::Done);
-    assert!(bench.ledger.violations().is_empty());
+    fixture.start(1, &second).await;
+    fixture.advance_ms(3_999);
+    assert_eq!(fixture.phase(1), TaskPhase::Running);
+    fixture.advance_ms(1);
+    assert_eq!(fixture.phase(1), TaskPhase::Done);
+    assert!(fixture.ledger.violations().is_empty());
 }
 
 #[tokio::test]
-async fn a_worker_may_fail_everything() {
-    let bench = bench().await;
-    bench.workers[0].change_faults(|faults| faults.fail_everything = true);
-    bench.start(0, &start(0, 1, 1, 4)).await;
-    assert_eq!(bench.phase(0), TaskPhase::Failed);
+async fn a_worker_can_fail_every_task() {
+    let fixture = fixture().await;
+    fixture.workers[0].change_faults(|faults| faults.fail_everything = true);
+    fixture.start(0, &start(0, 1, 1, 4)).await;
+    assert_eq!(fixture.phase(0), TaskPhase::Failed);
 }
 
 #[tokio::test]
-async fn an_ended_task_is_forgotten_only_by_order() {
-    let bench = bench().await;
-    bench.start(0, &start(0, 1, 1, 4)).await;
-    bench.pass_ms(2_000);
+async fn an_ended_task_is_forgotten_only_on_command() {
+    let fixture = fixture().await;
+    fixture.start(0, &start(0, 1, 1, 4)).await;
+    fixture.advance_ms(2_000);
     let request = protocol::Renew {
         epoch: ids::Epoch(1),
         lease_ms: 1_000,
@@ -387,8 +400,8 @@
         forget: vec![task(0)],
         not_after: None,
     };
-    assert_eq!(bench.workers[0].report().tasks.len(), 1);
-    let answer = bench.call(0, "/v1/renew", &request).await;
+    assert_eq!(fixture.workers[0].report().tasks.len(), 1);
+    let answer = fixture.call(0, "/v1/renew", &request).await;
     assert!(
         answer
             .json::<protocol::WorkerReport>()
@@ -398,7 +411,8 @@
     );
 }
 
-/// When a start must be received, from a worker's clock.
+/// Computes the latest time at which a start may be received from the current
+/// reading of the worker's clock.
 type NotAfter = fn(protocol::WorkerClock) -> protocol::WorkerClock;
 
 fn soon(clock: protocol::WorkerClock) -> protocol::WorkerClock {
@@ -409,7 +423,7 @@
     }
 }
 
-fn of_another_life(clock: protocol::WorkerClock) -> protocol::WorkerClock {
+fn of_another_incarnation(clock: protocol::WorkerClock) -> protocol::WorkerClock {
     let life = clock.life.wrapping_add(1);
     protocol::WorkerClock {
         life,
@@ -420,26 +434,26 @@
 #[rstest]
 #[case::in_time(soon, 100, true)]
 #[case::late(soon, 101, false)]
-#[case::of_another_life(of_another_life, 100, false)]
+#[case::of_another_incarnation(of_another_incarnation, 100, false)]
 #[tokio::test]
-async fn a_late_start_or_renewal_is_not_obeyed(
+async fn a_late_start_or_renewal_has_no_effect(
     #[case] not_after: NotAfter,
-    #[case] pass_ms: u64,
-    #[case] obeyed: bool,
+    #[case] advance_ms: u64,
+    #[case] accepted: bool,
 ) {
-    let bench = bench().await;
-    bench.start(0, &start(0, 1, 1, 1)).await;
-    let not_after = Some(not_after(bench.workers[0].report().clock));
-    bench.pass_ms(pass_ms);
+    let fixture = fixture().await;
+    fixture.start(0, &start(0, 1, 1, 1)).await;
+    let not_after = Some(not_after(fixture.workers[0].report().clock));
+    fixture.advance_ms(advance_ms);
     let request = protocol::StartTask {
         not_after,
         ..start(1, 1, 1, 1)
     };
     let refused = StartAnswer::Refused(StartRefusal::Late);
-    let answer = bench.start(0, &request).await;
+    let answer = fixture.start(0, &request).await;
     assert_eq!(
         answer,
-        if obeyed {
+        if accepted {
             StartAnswer::Started
         } else {
             refused
@@ -453,10 +467,10 @@
         forget: Vec::new(),
         not_after,
     };
-    bench.call(0, "/v1/renew", &renewal).await;
-    bench.pass_ms(950);
-    let renewed = bench.phase(0) == TaskPhase::Running;
-    assert_eq!(renewed, obeyed);
-    let late = if obeyed { 0 } else { 2 };
-    assert_eq!(bench.workers[0].record().late_calls, late);
+    fixture.call(0, "/v1/renew", &renewal).await;
+    fixture.advance_ms(950);
+    let renewed = fixture.phase(0) == TaskPhase::Running;
+    assert_eq!(renewed, accepted);
+    let late = if accepted { 0 } else { 2 };
+    assert_eq!(fixture.workers[0].record().late_calls, late);
 }
