--- a/crates/figscale-standin/src/runner/answer.rs
+++ b/crates/figscale-standin/src/runner/answer.rs
@@ -1,4 +1,5 @@
-//! What a stand-in runner answers, so that a caller can tell its own answer.
+//! Response of a stand-in runner. It repeats the request id and a checksum of the
+//! request, so that a caller can verify that the response is to its request.
 
 use figscale_types::ids;
 use serde::Deserialize;
@@ -6,28 +7,28 @@
 use sha2::Digest as _;
 use sha2::Sha256;
 
-/// Text that fills a long answer.
-const FILLING: &str = "hull and cargo, cliff and tide; ";
+/// Text that is repeated to pad a response.
+const PADDING: &str = "hull and cargo, cliff and tide; ";
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunAnswer {
-    /// Request id as the runner got it.
+    /// Request id as the runner received it.
     pub request_id: String,
     /// Checksum of the request's body.
     pub body_checksum: String,
-    /// Catalogue entry as the runner got it.
+    /// Catalogue entry as the runner received it.
     pub entry: String,
     /// The runner.
     pub runner: ids::InstanceId,
-    /// Makes the answer as long as the request asked for.
+    /// Padding of the length that the request asked for.
     pub filling: String,
 }
 
 impl RunAnswer {
-    /// Filling of this many bytes.
-    pub(crate) fn filling(len: usize) -> String {
-        FILLING.chars().cycle().take(len).collect()
+    /// Padding of `len` bytes.
+    pub(crate) fn padding(len: usize) -> String {
+        PADDING.chars().cycle().take(len).collect()
     }
 }
 
--- a/crates/figscale-standin/src/runner/api.rs
+++ b/crates/figscale-standin/src/runner/api.rs
@@ -1,4 +1,4 @@
-//! The calls that a stand-in runner answers.
+//! HTTP interface of a stand-in runner.
 
 use std::io;
 use std::sync;
@@ -32,10 +32,10 @@
 use super::answer;
 use super::ledger;
 
-/// Longest filling of an answer, in bytes.
-const MAX_FILLING_BYTES: usize = 64 << 20;
-/// Value of a header that is a flag.
-const YES: HeaderValue = HeaderValue::from_static("1");
+/// Largest padding of a response, in bytes.
+const MAX_PADDING_BYTES: usize = 64 << 20;
+/// Value of a header that is a flag, when it is set.
+const FLAG_SET: HeaderValue = HeaderValue::from_static("1");
 
 type SharedState = State<sync::Arc<Shared>>;
 
@@ -71,25 +71,25 @@
 
 async fn run(State(shared): SharedState, request: Request) -> Response {
     let (parts, body) = request.into_parts();
-    let line = shared.ledger.seen(&shared.id, head(&parts.headers));
+    let request_index = shared.ledger.seen(&shared.id, head(&parts.headers));
     if shared.faults.borrow().refuse {
-        shared.ledger.refused(line);
+        shared.ledger.refused(request_index);
         return refused(&shared);
     }
-    if !shared.ledger.take_slot(line, shared.slots) {
+    if !shared.ledger.take_slot(request_index, shared.slots) {
         return refused(&shared);
     }
     let slot = Slot {
         shared: shared.clone(),
-        line,
+        request_index,
     };
     let Ok(body) = body.collect().await else {
         return StatusCode::BAD_REQUEST.into_response();
     };
-    shared.ledger.started(line);
+    shared.ledger.started(request_index);
     let length = shared.run_length(&parts.headers);
-    // On a task of its own, since a run does not end with its connection.
-    let run = tokio::spawn(hold(slot, length));
+    // In a separate task, since a run does not end when its connection closes.
+    let run = tokio::spawn(hold_slot(slot, length));
     let _ = run.await;
     answer(&shared, &parts.headers, &body.to_bytes())
 }
@@ -97,21 +97,21 @@
 /// A slot in use; dropping it frees the slot.
 struct Slot {
     shared: sync::Arc<Shared>,
-    line: usize,
+    request_index: usize,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.shared.ledger.free_slot(self.line);
+        self.shared.ledger.free_slot(self.request_index);
     }
 }
 
-/// Keeps a slot for the length of a run, or until the runner ends.
-async fn hold(slot: Slot, length: time::Duration) {
+/// Holds a slot for the length of a run, or until the runner stops.
+async fn hold_slot(slot: Slot, length: time::Duration) {
     let mut stopped = slot.shared.stopped.subscribe();
     let mut faults = slot.shared.faults.subscribe();
     let run = async {
-        // The timer counts in whole milliseconds, also for no time at all.
+        // The timer has a resolution of 1 ms: even a sleep of zero would take time.
         if !length.is_zero() {
             tokio::time::sleep(length).await;
         }
@@ -139,13 +139,13 @@
 
 impl Shared {
     fn run_length(&self, headers: &HeaderMap) -> time::Duration {
-        let asked = text(headers, headers::RUN_MS).parse();
-        let length = match (asked, self.run_time) {
+        let requested = text(headers, headers::RUN_MS).parse();
+        let length = match (requested, self.run_time) {
             (Ok(ms), _) => time::Duration::from_millis(ms),
             (Err(_), RunTime::Fixed(length)) => length,
             (Err(_), RunTime::Exponential(mean)) => {
-                let chance: f64 = mutex::lock(&self.chance).random();
-                mean.mul_f64(-(1.0 - chance).ln())
+                let uniform: f64 = mutex::lock(&self.rng).random();
+                mean.mul_f64(-(1.0 - uniform).ln())
             }
         };
         length.mul_f64(self.faults.borrow().slow_factor.max(0.0))
@@ -154,7 +154,7 @@
 
 fn refused(shared: &Shared) -> Response {
     let mut response = StatusCode::SERVICE_UNAVAILABLE.into_response();
-    set(&mut response, headers::REFUSED, YES);
+    set(&mut response, headers::REFUSED, FLAG_SET);
     mark_leaving(shared, &mut response);
     response
 }
@@ -166,25 +166,25 @@
 
 fn mark_leaving(shared: &Shared, response: &mut Response) {
     if shared.faults.borrow().leaving {
-        set(response, headers::LEAVING, YES);
+        set(response, headers::LEAVING, FLAG_SET);
     }
 }
 
 fn answer(shared: &Shared, request: &HeaderMap, body: &[u8]) -> Response {
     let faults = shared.faults.borrow().clone();
-    let filling_len = text(request, headers::ANSWER_BYTES).parse().unwrap_or(0);
+    let padding_len = text(request, headers::ANSWER_BYTES).parse().unwrap_or(0);
     let answer = answer::RunAnswer {
         request_id: text(request, headers::REQUEST_ID),
         body_checksum: answer::checksum(body),
         entry: text(request, headers::ENTRY),
         runner: shared.id.clone(),
-        filling: answer::RunAnswer::filling(filling_len.min(MAX_FILLING_BYTES)),
+        filling: answer::RunAnswer::padding(padding_len.min(MAX_PADDING_BYTES)),
     };
-    let Ok(whole) = serde_json::to_vec(&answer) else {
+    let Ok(serialized) = serde_json::to_vec(&answer) else {
         return StatusCode::INTERNAL_SERVER_ERROR.into_response();
     };
-    let checksum = answer::checksum(&whole);
-    let mut response = broken_or_whole(&faults, whole);
+    let checksum = answer::checksum(&serialized);
+    let mut response = answer_response(&faults, serialized);
     if faults.fail {
         *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
     }
@@ -197,21 +197,21 @@
     response
 }
 
-fn broken_or_whole(faults: &Faults, whole: Vec<u8>) -> Response {
-    let half = Bytes::copy_from_slice(&whole[..whole.len() / 2]);
+fn answer_response(faults: &Faults, serialized: Vec<u8>) -> Response {
+    let half = Bytes::copy_from_slice(&serialized[..serialized.len() / 2]);
     if faults.cut_answer {
-        let broken = io::Error::other("broken by order");
+        let broken = io::Error::other("response cut by an injected fault");
         let parts = stream::iter([Ok(half), Err(broken)]);
         return Response::new(Body::from_stream(parts));
     }
     if faults.wrong_length {
         let parts = stream::iter([Ok::<_, io::Error>(half)]);
         let mut response = Response::new(Body::from_stream(parts));
-        let declared = HeaderValue::from(whole.len());
+        let declared = HeaderValue::from(serialized.len());
         response
             .headers_mut()
             .insert(header::CONTENT_LENGTH, declared);
         return response;
     }
-    Response::new(Body::from(whole))
+    Response::new(Body::from(serialized))
 }
--- a/crates/figscale-standin/src/runner/ledger.rs
+++ b/crates/figscale-standin/src/runner/ledger.rs
@@ -1,9 +1,9 @@
-//! What runners saw, and the judgement on it.
+//! Record of the requests that runners received, and the invariant checker on it.
 //!
-//! Each line is made when a request's head arrives, so that a request of
-//! which a runner saw anything can be told from one that never came. Times are
-//! counted from the ledger's making, on one clock for all runners that share
-//! it.
+//! A request is recorded as soon as its head arrives, so that a request of which
+//! a runner received any part can be distinguished from one that never arrived.
+//! Times are relative to the creation of the ledger, on one clock for all
+//! runners that share it.
 
 use std::fmt;
 use std::str;
@@ -17,7 +17,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Who dispatched a request, as the header `x-figscale-holder` tells.
+/// The shard holder that dispatched a request, from the header
+/// `x-figscale-holder`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Holder {
     /// The shard.
@@ -36,8 +37,8 @@
     type Err = error::ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let wrong = || error::ParseError::new("holder", text, "SHARD@EPOCH");
-        let (shard, epoch) = text.rsplit_once('@').ok_or_else(wrong)?;
+        let invalid = || error::ParseError::new("holder", text, "SHARD@EPOCH");
+        let (shard, epoch) = text.rsplit_once('@').ok_or_else(invalid)?;
         Ok(Self {
             shard: shard.parse()?,
             epoch: epoch.parse()?,
@@ -45,7 +46,7 @@
     }
 }
 
-/// A request of which a runner saw at least the head.
+/// A request of which a runner received at least the head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeenRequest {
     /// Request id; empty when the request had none.
@@ -56,13 +57,13 @@
     pub entry: String,
     /// Whether it was marked idempotent.
     pub idempotent: bool,
-    /// Who dispatched it.
+    /// Shard holder that dispatched it.
     pub holder: Option<Holder>,
     /// When its head arrived, in microseconds.
     pub seen_us: u64,
     /// When it began to run: its body was whole and a slot was free.
     pub started_us: Option<u64>,
-    /// When its run was over.
+    /// When its run ended.
     pub ended_us: Option<u64>,
     /// Whether the runner refused it without running it.
     pub refused: bool,
@@ -75,11 +76,11 @@
     }
 }
 
-/// A promise that was broken.
+/// A violated guarantee of the system.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Violation {
-    /// A request came while all slots were in use.
+    /// A request arrived while all slots were in use.
     OverSlots {
         /// The runner.
         runner: ids::InstanceId,
@@ -90,7 +91,7 @@
     OverConnections {
         /// The runner.
         runner: ids::InstanceId,
-        /// Connections open.
+        /// Number of open connections.
         open: u32,
     },
     /// A request that is not idempotent ran more than once.
@@ -98,13 +99,14 @@
         /// Its request id.
         request_id: String,
     },
-    /// A request came from a holder after one came from its successor.
+    /// A request arrived from a holder after one from its successor, which has a
+    /// higher epoch.
     StaleHolder {
         /// The runner.
         runner: ids::InstanceId,
-        /// Who sent it.
+        /// Shard holder that sent it.
         holder: Holder,
-        /// Highest epoch seen before.
+        /// Highest epoch of the shard seen before.
         seen: ids::Epoch,
     },
 }
@@ -113,11 +115,11 @@
 #[derive(Clone, Debug)]
 pub struct Ledger {
     base: time::Instant,
-    book: sync::Arc<sync::Mutex<Book>>,
+    records: sync::Arc<sync::Mutex<Records>>,
 }
 
 #[derive(Debug, Default)]
-struct Book {
+struct Records {
     requests: Vec<SeenRequest>,
     violations: Vec<Violation>,
     runners: IndexMap<ids::InstanceId, RunnerState>,
@@ -128,7 +130,7 @@
 #[derive(Debug, Default)]
 struct RunnerState {
     busy: u32,
-    most_busy: u32,
+    max_busy: u32,
     connections: u32,
     epochs: IndexMap<ids::ShardId, ids::Epoch>,
 }
@@ -137,12 +139,12 @@
     fn default() -> Self {
         Self {
             base: time::Instant::now(),
-            book: sync::Arc::default(),
+            records: sync::Arc::default(),
         }
     }
 }
 
-/// What a request's head tells.
+/// Fields of a request's head.
 pub(super) struct Head {
     pub(super) request_id: String,
     pub(super) entry: String,
@@ -151,45 +153,49 @@
 }
 
 impl Ledger {
-    /// Every request seen, in order of arrival.
+    /// Every request received, in order of arrival.
     pub fn requests(&self) -> Vec<SeenRequest> {
-        mutex::lock(&self.book).requests.clone()
+        mutex::lock(&self.records).requests.clone()
     }
 
-    /// Whether any runner saw anything of a request and did not refuse it.
+    /// Whether any runner received a part of a request and did not refuse it.
     pub fn may_have_run(&self, request_id: &str) -> bool {
-        let book = mutex::lock(&self.book);
-        let mut lines = book.requests.iter();
-        lines.any(|line| line.request_id == request_id && !line.refused)
+        let records = mutex::lock(&self.records);
+        let mut requests = records.requests.iter();
+        requests.any(|request| request.request_id == request_id && !request.refused)
     }
 
-    /// How many times a request ran.
+    /// Number of times that a request ran.
     pub fn runs(&self, request_id: &str) -> u32 {
-        let book = mutex::lock(&self.book);
-        book.runs.get(request_id).copied().unwrap_or_default()
+        let records = mutex::lock(&self.records);
+        records.runs.get(request_id).copied().unwrap_or_default()
     }
 
-    /// Every promise that was broken, in order.
+    /// Every violation, in order of detection.
     pub fn violations(&self) -> Vec<Violation> {
-        mutex::lock(&self.book).violations.clone()
+        mutex::lock(&self.records).violations.clone()
     }
 
-    /// Most requests that a runner ever ran at once.
-    pub fn most_busy(&self, runner: &ids::InstanceId) -> u32 {
-        let book = mutex::lock(&self.book);
-        book.runners.get(runner).map_or(0, |state| state.most_busy)
+    /// Largest number of requests that a runner ran concurrently.
+    pub fn max_busy(&self, runner: &ids::InstanceId) -> u32 {
+        let records = mutex::lock(&self.records);
+        records
+            .runners
+            .get(runner)
+            .map_or(0, |state| state.max_busy)
     }
 
-    /// Requests that a runner runs now.
+    /// Number of requests that a runner runs now.
     pub fn busy(&self, runner: &ids::InstanceId) -> u32 {
-        let book = mutex::lock(&self.book);
-        book.runners.get(runner).map_or(0, |state| state.busy)
+        let records = mutex::lock(&self.records);
+        records.runners.get(runner).map_or(0, |state| state.busy)
     }
 
-    /// Connections open to a runner now.
+    /// Number of open connections to a runner.
     pub fn connections(&self, runner: &ids::InstanceId) -> u32 {
-        let book = mutex::lock(&self.book);
-        book.runners
+        let records = mutex::lock(&self.records);
+        records
+            .runners
             .get(runner)
             .map_or(0, |state| state.connections)
     }
@@ -199,12 +205,12 @@
     }
 
     pub(super) fn connected(&self, runner: &ids::InstanceId, limit: u32) {
-        let mut book = mutex::lock(&self.book);
-        let state = book.runners.entry(runner.clone()).or_default();
+        let mut records = mutex::lock(&self.records);
+        let state = records.runners.entry(runner.clone()).or_default();
         state.connections += 1;
         let open = state.connections;
         if open > limit {
-            book.violations.push(Violation::OverConnections {
+            records.violations.push(Violation::OverConnections {
                 runner: runner.clone(),
                 open,
             });
@@ -212,19 +218,19 @@
     }
 
     pub(super) fn disconnected(&self, runner: &ids::InstanceId) {
-        if let Some(state) = mutex::lock(&self.book).runners.get_mut(runner) {
+        if let Some(state) = mutex::lock(&self.records).runners.get_mut(runner) {
             state.connections -= 1;
         }
     }
 
-    /// Writes a line and returns its number.
+    /// Records a request and returns its index.
     pub(super) fn seen(&self, runner: &ids::InstanceId, head: Head) -> usize {
         let seen_us = self.now_us();
-        let mut book = mutex::lock(&self.book);
+        let mut records = mutex::lock(&self.records);
         if let Some(holder) = &head.holder {
-            book.judge_holder(runner, holder);
+            records.check_holder_epoch(runner, holder);
         }
-        book.requests.push(SeenRequest {
+        records.requests.push(SeenRequest {
             request_id: head.request_id,
             runner: runner.clone(),
             entry: head.entry,
@@ -235,64 +241,64 @@
             ended_us: None,
             refused: false,
         });
-        book.requests.len() - 1
+        records.requests.len() - 1
     }
 
     /// Takes a slot; `false` when all are in use.
-    pub(super) fn take_slot(&self, line: usize, slots: u32) -> bool {
-        let mut book = mutex::lock(&self.book);
-        let book = &mut *book;
-        let request = &mut book.requests[line];
-        let state = book.runners.entry(request.runner.clone()).or_default();
+    pub(super) fn take_slot(&self, request_index: usize, slots: u32) -> bool {
+        let mut records = mutex::lock(&self.records);
+        let records = &mut *records;
+        let request = &mut records.requests[request_index];
+        let state = records.runners.entry(request.runner.clone()).or_default();
         if state.busy >= slots {
             request.refused = true;
-            book.violations.push(Violation::OverSlots {
+            records.violations.push(Violation::OverSlots {
                 runner: request.runner.clone(),
                 request_id: request.request_id.clone(),
             });
             return false;
         }
         state.busy += 1;
-        state.most_busy = state.most_busy.max(state.busy);
+        state.max_busy = state.max_busy.max(state.busy);
         true
     }
 
-    pub(super) fn free_slot(&self, line: usize) {
+    pub(super) fn free_slot(&self, request_index: usize) {
         let ended_us = self.now_us();
-        let mut book = mutex::lock(&self.book);
-        let book = &mut *book;
-        let request = &mut book.requests[line];
+        let mut records = mutex::lock(&self.records);
+        let records = &mut *records;
+        let request = &mut records.requests[request_index];
         request.ended_us = Some(ended_us);
-        if let Some(state) = book.runners.get_mut(&request.runner) {
+        if let Some(state) = records.runners.get_mut(&request.runner) {
             state.busy -= 1;
         }
     }
 
-    pub(super) fn refused(&self, line: usize) {
-        mutex::lock(&self.book).requests[line].refused = true;
+    pub(super) fn refused(&self, request_index: usize) {
+        mutex::lock(&self.records).requests[request_index].refused = true;
     }
 
-    pub(super) fn started(&self, line: usize) {
+    pub(super) fn started(&self, request_index: usize) {
         let started_us = self.now_us();
-        let mut book = mutex::lock(&self.book);
-        let book = &mut *book;
-        let request = &mut book.requests[line];
+        let mut records = mutex::lock(&self.records);
+        let records = &mut *records;
+        let request = &mut records.requests[request_index];
         request.started_us = Some(started_us);
         if request.request_id.is_empty() {
             return;
         }
-        let runs = book.runs.entry(request.request_id.clone()).or_default();
+        let runs = records.runs.entry(request.request_id.clone()).or_default();
         *runs += 1;
         if *runs > 1 && !request.idempotent {
-            book.violations.push(Violation::RanTwice {
+            records.violations.push(Violation::RanTwice {
                 request_id: request.request_id.clone(),
             });
         }
     }
 }
 
-impl Book {
-    fn judge_holder(&mut self, runner: &ids::InstanceId, holder: &Holder) {
+impl Records {
+    fn check_holder_epoch(&mut self, runner: &ids::InstanceId, holder: &Holder) {
         let state = self.runners.entry(runner.clone()).or_default();
         let seen = state.epochs.entry(holder.shard.clone()).or_default();
         if holder.epoch < *seen {
--- a/crates/figscale-standin/src/runner/mod.rs
+++ b/crates/figscale-standin/src/runner/mod.rs
@@ -1,16 +1,16 @@
 //! Stand-in of a runner: an HTTP/1.1 upstream of a service with a few slots.
 //!
 //! `POST` to any path runs a request for the time in the header `x-run-ms`, or
-//! for one drawn from [`Config::run_time`], and answers a [`RunAnswer`] with a
-//! checksum. A request goes on when its connection breaks, as work on a real
-//! upstream does: its slot is busy until the run is over. Requests above the
-//! slots are refused without being run.
+//! for a time drawn from [`Config::run_time`], and responds with a [`RunAnswer`]
+//! and a checksum. A request keeps running when its connection breaks, as work
+//! on a real upstream does: its slot is busy until the run is over. Requests
+//! that arrive while all slots are busy are refused without being run.
 //!
-//! What it saw goes into a [`Ledger`], which may be shared by all runners of a
-//! test and is the judge of the promises. Over HTTP, for a stand-in in its own
-//! process, `GET /control/violations` tells what the judge found, `GET
-//! /control/requests` all that it saw, and `/control/faults` reads or sets
-//! [`Faults`].
+//! Every request received is recorded in a [`Ledger`], which all runners of a
+//! test may share and which checks the guarantees of the system. For a stand-in
+//! in its own process the same is available over HTTP: `GET
+//! /control/violations` returns the violations found, `GET /control/requests`
+//! all requests received, and `/control/faults` reads or sets [`Faults`].
 
 mod answer;
 mod api;
@@ -41,7 +41,7 @@
 pub use ledger::SeenRequest;
 pub use ledger::Violation;
 
-/// How long a request runs that does not say so itself.
+/// Run time of a request that does not specify one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RunTime {
     /// Always this long.
@@ -50,25 +50,25 @@
     Exponential(time::Duration),
 }
 
-/// How a stand-in runner starts.
+/// Configuration of a stand-in runner.
 #[derive(Clone)]
 pub struct Config {
-    /// Where to listen. Default: any free port of 127.0.0.1.
+    /// Address to listen on. Default: any free port of 127.0.0.1.
     pub listen: net::SocketAddr,
     /// Its name. Default: `runner-1`.
     pub id: ids::InstanceId,
-    /// Requests run at once. Default 8.
+    /// Number of requests run concurrently. Default 8.
     pub slots: u32,
-    /// Connections allowed at once. Default 60.
+    /// Number of concurrent connections allowed. Default 60.
     pub connections: u32,
-    /// Run time of a request that names none. Default: 20 ms.
+    /// Run time of a request that does not specify one. Default: 20 ms.
     pub run_time: RunTime,
-    /// Time between looks at its own usage, which `GET /usage` tells. Default
+    /// Interval at which the usage returned by `GET /usage` is sampled. Default
     /// 100 ms.
     pub usage_every: time::Duration,
     /// Seed of the run times. Default 1.
     pub seed: u64,
-    /// Where it records what it saw. Default: a ledger of its own.
+    /// Ledger that records the requests received. Default: a new one.
     pub ledger: Ledger,
 }
 
@@ -88,28 +88,28 @@
 }
 
 fn default_id() -> ids::InstanceId {
-    "runner-1".parse().expect("a legal name")
+    "runner-1".parse().expect("a valid name")
 }
 
-/// Faults that can be switched while it runs.
+/// Faults that can be injected while it runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
     /// Run times are multiplied by this. Default 1.
     pub slow_factor: f64,
-    /// Every request runs and is answered 500.
+    /// Every request runs and gets the status 500.
     pub fail: bool,
     /// Every request is refused without being run.
     pub refuse: bool,
-    /// Every answer tells that it is leaving.
+    /// Every response announces that the runner is leaving.
     pub leaving: bool,
-    /// Requests hold their slot and end only when this is off again.
+    /// Requests hold their slot and end only after this is switched off.
     pub hang: bool,
-    /// Answers break in the middle.
+    /// The connection is closed in the middle of the response body.
     pub cut_answer: bool,
-    /// Answers end in order, but before the length that they declare.
+    /// Response bodies end before the declared length, without an error.
     pub wrong_length: bool,
-    /// `GET /usage` goes on telling what it told last.
+    /// `GET /usage` keeps returning the last sample.
     pub stale_usage: bool,
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-/// What the parts of a stand-in share.
+/// State shared by the parts of the stand-in.
 pub(crate) struct Shared {
     id: ids::InstanceId,
     slots: u32,
@@ -136,31 +136,31 @@
     run_time: RunTime,
     ledger: Ledger,
     faults: watch::Sender<Faults>,
-    /// Set when the handle is dropped, which ends all runs.
+    /// Set when the handle is dropped; ends all runs.
     stopped: watch::Sender<bool>,
-    chance: sync::Mutex<rngs::SmallRng>,
+    rng: sync::Mutex<rngs::SmallRng>,
     usage: sync::Mutex<Usage>,
 }
 
-/// The last look at the runner's usage.
+/// The last sample of the runner's usage.
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     busy: u32,
-    taken_at: time::Instant,
+    sampled_at: time::Instant,
 }
 
-/// A running stand-in; dropping it ends it and what it runs.
+/// A running stand-in; dropping it stops it and the requests that it runs.
 pub struct Handle {
     server: http_server::Server,
     shared: sync::Arc<Shared>,
     ticker: task::JoinHandle<()>,
 }
 
-/// Starts a stand-in; returns once it listens.
+/// Starts the stand-in; returns once it listens.
 pub async fn start(config: Config) -> io::Result<Handle> {
     let usage = Usage {
         busy: 0,
-        taken_at: time::Instant::now(),
+        sampled_at: time::Instant::now(),
     };
     let shared = sync::Arc::new(Shared {
         id: config.id,
@@ -170,14 +170,14 @@
         ledger: config.ledger,
         faults: watch::Sender::new(Faults::default()),
         stopped: watch::Sender::new(false),
-        chance: sync::Mutex::new(rngs::SmallRng::seed_from_u64(config.seed)),
+        rng: sync::Mutex::new(rngs::SmallRng::seed_from_u64(config.seed)),
         usage: sync::Mutex::new(usage),
     });
     let counted = shared.clone();
     let connected = move || Connection::open(counted.clone());
     let app = api::router(shared.clone());
     let server = http_server::Server::start(config.listen, app, connected).await?;
-    let ticker = tokio::spawn(look_at_usage(shared.clone(), config.usage_every));
+    let ticker = tokio::spawn(sample_usage(shared.clone(), config.usage_every));
     Ok(Handle {
         server,
         shared,
@@ -201,14 +201,14 @@
     }
 }
 
-async fn look_at_usage(shared: sync::Arc<Shared>, every: time::Duration) {
+async fn sample_usage(shared: sync::Arc<Shared>, every: time::Duration) {
     let mut interval = tokio::time::interval(every);
     loop {
         interval.tick().await;
         if !shared.faults.borrow().stale_usage {
             let busy = shared.ledger.busy(&shared.id);
-            let taken_at = time::Instant::now();
-            *mutex::lock(&shared.usage) = Usage { busy, taken_at };
+            let sampled_at = time::Instant::now();
+            *mutex::lock(&shared.usage) = Usage { busy, sampled_at };
         }
     }
 }
@@ -216,7 +216,7 @@
 impl Shared {
     fn usage(&self) -> instances::RunnerUsage {
         let usage = *mutex::lock(&self.usage);
-        let age = usage.taken_at.elapsed();
+        let age = usage.sampled_at.elapsed();
         instances::RunnerUsage {
             busy: usage.busy,
             slots: self.slots,
@@ -234,7 +234,7 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> net::SocketAddr {
         self.server.address()
     }
@@ -244,17 +244,17 @@
         &self.shared.id
     }
 
-    /// Switches faults.
+    /// Changes the faults that are injected.
     pub fn change_faults(&self, change: impl FnOnce(&mut Faults)) {
         self.shared.faults.send_modify(change);
     }
 
-    /// What it saw.
+    /// The ledger of the requests that it received.
     pub fn ledger(&self) -> &Ledger {
         &self.shared.ledger
     }
 
-    /// Requests that it runs now.
+    /// Number of requests running now.
     pub fn busy(&self) -> u32 {
         self.shared.ledger.busy(&self.shared.id)
     }
--- a/crates/figscale-standin/tests/runner.rs
+++ b/crates/figscale-standin/tests/runner.rs
@@ -1,5 +1,5 @@
-//! The stand-in runner's answers can be verified, and its judge catches every
-//! broken promise.
+//! The stand-in runner's responses can be verified, and its ledger reports every
+//! violation.
 
 use std::time;
 
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use rstest::rstest;
 
-const LONG: time::Duration = time::Duration::from_secs(30);
+const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 async fn start(config: runner::Config) -> runner::Handle {
     runner::start(config).await.expect("it listens")
@@ -27,9 +27,9 @@
 async fn send(call: client::Call) -> client::Answer {
     let client = client::Client::default();
     client
-        .send_within(LONG, call)
+        .send_within(TEST_TIMEOUT, call)
         .await
-        .expect("a whole answer")
+        .expect("a complete response")
 }
 
 async fn wait_until(what: &str, holds: impl Fn() -> bool) {
@@ -38,11 +38,13 @@
             tokio::time::sleep(time::Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(LONG, waited).await.expect(what);
+    tokio::time::timeout(TEST_TIMEOUT, waited)
+        .await
+        .expect(what);
 }
 
 #[tokio::test]
-async fn an_answer_is_whole_and_its_own() {
+async fn a_response_is_complete_and_matches_its_request() {
     let runner = start(runner::Config::default()).await;
     let call = call(&runner, "r-1", 0)
         .header(headers::ENTRY, "quotes")
@@ -52,18 +54,18 @@
         answer.header(headers::CHECKSUM),
         runner::checksum(&answer.body)
     );
-    let told: runner::RunAnswer = answer.json().unwrap();
+    let run_answer: runner::RunAnswer = answer.json().unwrap();
     assert_eq!(
-        (told.request_id.as_str(), told.entry.as_str()),
+        (run_answer.request_id.as_str(), run_answer.entry.as_str()),
         ("r-1", "quotes")
     );
-    assert_eq!(told.body_checksum, runner::checksum(b"body of r-1"));
-    assert_eq!(told.filling.len(), 100_000);
+    assert_eq!(run_answer.body_checksum, runner::checksum(b"body of r-1"));
+    assert_eq!(run_answer.filling.len(), 100_000);
     assert!(runner.ledger().violations().is_empty());
 }
 
 #[tokio::test]
-async fn a_request_over_the_slots_is_refused_and_judged() {
+async fn a_request_over_the_slots_is_refused_and_reported() {
     let runner = start(runner::Config::default()).await;
     runner.change_faults(|faults| faults.hang = true);
     let eight = future::join_all((0..8).map(|n| send(call(&runner, &format!("r-{n}"), 0))));
@@ -85,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn connections_over_the_limit_are_judged() {
+async fn connections_over_the_limit_are_reported() {
     let config = runner::Config {
         connections: 2,
         ..runner::Config::default()
@@ -116,9 +118,12 @@
 
 #[rstest]
 #[case::idempotent("true", 0)]
-#[case::once_only("false", 1)]
+#[case::not_idempotent("false", 1)]
 #[tokio::test]
-async fn a_second_run_is_judged_by_its_mark(#[case] idempotent: &str, #[case] violations: usize) {
+async fn a_second_run_is_reported_unless_idempotent(
+    #[case] idempotent: &str,
+    #[case] violations: usize,
+) {
     let ledger = runner::Ledger::default();
     let mut runners = Vec::new();
     for name in ["runner-1", "runner-2"] {
@@ -137,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn a_holder_after_its_successor_is_judged() {
+async fn a_holder_after_its_successor_is_reported() {
     let runner = start(runner::Config::default()).await;
     let holders = ["runner/a@3", "runner/b@1", "runner/a@4", "runner/a@4"];
     for (number, holder) in holders.iter().enumerate() {
@@ -176,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn a_runner_that_ends_frees_its_slots_in_the_ledger() {
+async fn a_stopped_runner_frees_its_slots_in_the_ledger() {
     let runner = start(runner::Config::default()).await;
     let (ledger, id) = (runner.ledger().clone(), runner.id().clone());
     let answer = tokio::spawn(send(call(&runner, "r-1", 600_000)));
@@ -192,7 +197,7 @@
 #[case::cut(|f: &mut runner::Faults| f.cut_answer = true, None, true)]
 #[case::wrong_length(|f: &mut runner::Faults| f.wrong_length = true, None, true)]
 #[tokio::test]
-async fn faults_show_as_they_should(
+async fn faults_have_the_declared_effect(
     #[case] fault: fn(&mut runner::Faults),
     #[case] status: Option<u16>,
     #[case] ran: bool,
@@ -200,21 +205,23 @@
     let runner = start(runner::Config::default()).await;
     runner.change_faults(fault);
     let client = client::Client::default();
-    let answer = client.send_within(LONG, call(&runner, "r-1", 0)).await;
+    let answer = client
+        .send_within(TEST_TIMEOUT, call(&runner, "r-1", 0))
+        .await;
     assert_eq!(answer.ok().map(|answer| answer.status.as_u16()), status);
     assert_eq!(runner.ledger().runs("r-1") == 1, ran);
     assert_eq!(runner.ledger().may_have_run("r-1"), ran);
 }
 
 #[tokio::test]
-async fn usage_tells_what_runs_and_that_it_leaves() {
+async fn usage_reports_running_requests_and_leaving() {
     let runner = start(runner::Config::default()).await;
     runner.change_faults(|faults| {
         faults.hang = true;
         faults.leaving = true;
     });
     let run = send(call(&runner, "r-1", 0));
-    let looks = async {
+    let wait_until_busy = async {
         loop {
             let answer = send(client::Call::get(runner.address(), "/usage")).await;
             let usage: RunnerUsage = answer.json().unwrap();
@@ -224,7 +231,7 @@
             }
         }
     };
-    let (run, usage) = future::join(run, looks).await;
+    let (run, usage) = future::join(run, wait_until_busy).await;
     assert_eq!(run.header(headers::LEAVING), "1");
     assert!(usage.leaving && usage.slots == 8);
 }
