--- a/crates/figscale-standin/src/load/arrivals.rs
+++ b/crates/figscale-standin/src/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! When requests arrive, and which: the same for the same seed.
+//! The arrival times and parameters of requests, determined by the seed.
 
 use std::time;
 
@@ -8,18 +8,18 @@
 
 use super::Config;
 
-/// A request to come.
+/// A scheduled request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Time from the beginning.
+    /// Time since the start of the load.
     pub at: time::Duration,
-    /// Number of its class.
+    /// Index of its class.
     pub class: usize,
-    /// Number of its entry instance.
+    /// Index of its entry instance.
     pub target: usize,
-    /// Run time that it asks for, in whole milliseconds.
+    /// Requested run time.
     pub run_ms: u64,
-    /// Makes its body unlike every other.
+    /// Makes its body unique.
     pub nonce: u64,
 }
 
@@ -50,17 +50,18 @@
 }
 
 fn exponential(random: &mut rngs::StdRng, mean: f64) -> f64 {
-    let chance: f64 = random.random();
-    -mean * (1.0 - chance).ln()
+    let uniform: f64 = random.random();
+    -mean * (1.0 - uniform).ln()
 }
 
-/// An index with a chance by its weight; `None` when there is none to pick.
+/// Chooses an index with a probability proportional to its weight; `None` if there
+/// are no weights.
 fn pick(random: &mut rngs::StdRng, weights: &[f64]) -> Option<usize> {
     let total: f64 = weights.iter().sum();
-    let mut left = random.random::<f64>() * total;
+    let mut remaining = random.random::<f64>() * total;
     for (index, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return Some(index);
         }
     }
--- a/crates/figscale-standin/src/load/mod.rs
+++ b/crates/figscale-standin/src/load/mod.rs
@@ -1,11 +1,10 @@
-//! Open-loop load on entry instances, checked answer by answer.
+//! Open-loop load on entry instances; every response is verified.
 //!
-//! Requests arrive when a seeded Poisson process says so, whether or not
-//! earlier ones were answered, and latency is counted from that intended
-//! arrival. A stall of the system, or of this tool, is therefore seen by every
-//! request that fell into it, which is what correction for coordinated
-//! omission is about. Waiting time is latency less the run time that the
-//! request asked of its runner.
+//! Requests arrive by a seeded Poisson process, whether or not earlier ones have
+//! got their responses, and latency is measured from the intended arrival. A
+//! stall of the system, or of this tool, therefore shows in the latency of every
+//! request that was due during it, which avoids coordinated omission. Waiting
+//! time is latency minus the run time that the request specified.
 
 mod arrivals;
 mod report;
@@ -44,20 +43,20 @@
     pub mean_run_ms: f64,
     /// Whether requests are marked idempotent.
     pub idempotent: bool,
-    /// Time that callers are willing to wait; the entry's own when absent.
+    /// Time limit given by the callers; the budget of the entry if absent.
     #[serde(default)]
     pub budget_ms: Option<u64>,
-    /// Size of a request. Default 200.
+    /// Size of a request body. Default 200.
     #[serde(default = "default_body_bytes")]
     pub body_bytes: usize,
-    /// Filling of an answer. Default 500.
+    /// Padding of a response body. Default 500.
     #[serde(default = "default_answer_bytes")]
     pub answer_bytes: usize,
 }
 
-/// Size of a request that its class does not name, in bytes.
+/// Default size of a request body, in bytes.
 pub const DEFAULT_BODY_BYTES: usize = 200;
-/// Filling of an answer that its class does not name, in bytes.
+/// Default padding of a response body, in bytes.
 pub const DEFAULT_ANSWER_BYTES: usize = 500;
 
 fn default_body_bytes() -> usize {
@@ -71,30 +70,30 @@
 /// An entry instance with its share of the arrivals.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: net::SocketAddr,
-    /// Share, relative to other entry instances.
+    /// Share of the arrivals, relative to other entry instances.
     pub weight: f64,
 }
 
-/// What load to make.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Entry instances.
     pub targets: Vec<Target>,
     /// Classes.
     pub classes: Vec<Class>,
-    /// Arrivals a second, of all classes together.
+    /// Arrivals per second of all classes together.
     pub rate_per_s: f64,
-    /// Time in which requests arrive.
+    /// Period in which requests arrive.
     pub duration: time::Duration,
-    /// Longest wait for one answer.
+    /// Time limit of one request.
     pub patience: time::Duration,
     /// Seed of the arrivals.
     pub seed: u64,
 }
 
-/// Makes the load, waits for every answer, and reports.
+/// Makes the requests, waits for every response and returns the report.
 pub async fn run(config: &Config) -> Report {
     let client = client::Client::default();
     let classes = sync::Arc::new(config.classes.clone());
--- a/crates/figscale-standin/src/load/report.rs
+++ b/crates/figscale-standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a load showed: counts, and latency and waiting time by class.
+//! Results of a load: counts, and latency and waiting time by class.
 
 use std::fmt;
 use std::time;
@@ -32,15 +32,16 @@
 }
 
 impl Quantiles {
-    /// The points of these times.
+    /// The quantiles of these times.
     pub fn of(times: impl IntoIterator<Item = time::Duration>) -> Self {
-        // Three digits are within the bounds of the library.
+        // Cannot fail: the library supports 0 to 5 significant digits.
         let Ok(mut histogram) = Histogram::<u64>::new(DIGITS) else {
             return Self::default();
         };
         for time in times {
             let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-            // It grows by itself; only recording beyond all bounds fails.
+            // The histogram resizes itself, so that this fails only for values beyond
+            // the range of the library.
             let _ = histogram.record(micros);
         }
         let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
@@ -53,26 +54,26 @@
     }
 }
 
-/// What became of the requests of a class.
+/// Results of the requests of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassReport {
     /// Requests made.
     pub requests: u64,
-    /// Whole answers to the very request.
+    /// Complete responses that match the request.
     pub own: u64,
-    /// Broken answers, and answers to somebody else's request.
+    /// Corrupt responses, and responses to another request.
     pub wrong: u64,
-    /// Requests without an answer, or without its end.
+    /// Requests without a complete response.
     pub no_answer: u64,
     /// Failures by status and verdict, such as `503 not-run`.
     pub failed: IndexMap<String, u64>,
-    /// Failures that tell when to come back.
+    /// Failures that say when to retry.
     pub retry_after: u64,
-    /// Time from intended arrival to the end of the answer, of own answers.
+    /// Time from intended arrival to the end of the response, of matching responses.
     pub latency: Quantiles,
-    /// Latency less run time, of own answers.
+    /// Latency minus run time, of matching responses.
     pub wait: Quantiles,
-    /// Time to the final answer of requests that failed.
+    /// Time to the final response of failed requests.
     pub failed_latency: Quantiles,
 }
 
@@ -118,16 +119,16 @@
     }
 }
 
-/// What a load showed.
+/// Results of a load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// From the first arrival to the last answer.
+    /// Time from the start of the load to the last response.
     pub took_ms: u64,
     /// All classes together.
     pub all: ClassReport,
     /// By catalogue entry.
     pub classes: IndexMap<String, ClassReport>,
-    /// Every request, for a judge in the same process.
+    /// Every request, for an invariant checker in the same process.
     #[serde(skip)]
     pub outcomes: Vec<Outcome>,
 }
@@ -154,7 +155,8 @@
         }
     }
 
-    /// Requests that were told not to have run though a runner saw them.
+    /// Requests reported as not run although a runner received them and did not
+    /// refuse them.
     pub fn false_not_run(&self, ledger: &runner::Ledger) -> Vec<String> {
         let not_run = |outcome: &&Outcome| {
             matches!(
--- a/crates/figscale-standin/src/load/request.rs
+++ b/crates/figscale-standin/src/load/request.rs
@@ -1,4 +1,4 @@
-//! One request and the check of its answer.
+//! One request and the verification of its response.
 
 use std::net;
 use std::time;
@@ -14,40 +14,40 @@
 use crate::client;
 use crate::runner;
 
-/// What became of a request.
+/// Result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutcomeKind {
-    /// The whole answer to this very request.
+    /// A complete response that matches the request.
     Own,
-    /// An answer that is broken, or somebody else's.
+    /// A response that is corrupt or belongs to another request.
     Wrong(String),
-    /// An answer that tells of a failure.
+    /// A response that reports a failure.
     Failed {
         /// Status.
         status: StatusCode,
-        /// What it says of the run; `None` when it says nothing.
+        /// Whether the request ran; `None` if the response does not say so.
         verdict: Option<Verdict>,
-        /// Whether it tells when to come back.
+        /// Whether it says when to retry.
         retry_after: bool,
     },
-    /// No answer, or not to its end.
+    /// No response, or an incomplete one.
     NoAnswer(String),
 }
 
-/// A request with what became of it.
+/// A request and its result.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Request id.
     pub request_id: ids::RequestId,
-    /// Number of its class.
+    /// Index of its class.
     pub class: usize,
     /// Whether it was marked idempotent.
     pub idempotent: bool,
-    /// Run time that it asked for.
+    /// Requested run time.
     pub run: time::Duration,
-    /// Time from its intended arrival to the end of its answer.
+    /// Time from its intended arrival to the end of its response.
     pub latency: time::Duration,
-    /// What became of it.
+    /// Its result.
     pub kind: OutcomeKind,
 }
 
@@ -67,7 +67,7 @@
         let call = self.call(request_id, body.clone());
         let answer = self.client.send_within(self.patience, call).await;
         let kind = match answer {
-            Ok(answer) => judge(&answer, request_id, &body),
+            Ok(answer) => classify(&answer, request_id, &body),
             Err(error) => OutcomeKind::NoAnswer(error.to_string()),
         };
         Outcome {
@@ -82,8 +82,8 @@
 
     fn body(&self, request_id: ids::RequestId) -> Bytes {
         let mut text = format!("{request_id} {:016x} ", self.arrival.nonce);
-        let filling = self.class.body_bytes.saturating_sub(text.len());
-        text.push_str(&"-".repeat(filling));
+        let padding_len = self.class.body_bytes.saturating_sub(text.len());
+        text.push_str(&"-".repeat(padding_len));
         text.into()
     }
 
@@ -103,7 +103,7 @@
     }
 }
 
-fn judge(answer: &client::Answer, request_id: ids::RequestId, body: &[u8]) -> OutcomeKind {
+fn classify(answer: &client::Answer, request_id: ids::RequestId, body: &[u8]) -> OutcomeKind {
     if !answer.status.is_success() {
         return OutcomeKind::Failed {
             status: answer.status,
@@ -112,17 +112,20 @@
         };
     }
     if answer.header(headers::CHECKSUM) != runner::checksum(&answer.body) {
-        return OutcomeKind::Wrong("the checksum does not match".to_owned());
+        return OutcomeKind::Wrong("checksum of the response does not match".to_owned());
     }
-    let told: runner::RunAnswer = match answer.json() {
-        Ok(told) => told,
+    let run_answer: runner::RunAnswer = match answer.json() {
+        Ok(run_answer) => run_answer,
         Err(error) => return OutcomeKind::Wrong(error.to_string()),
     };
-    if told.request_id != request_id.to_string() {
-        return OutcomeKind::Wrong(format!("it is the answer to {}", told.request_id));
+    if run_answer.request_id != request_id.to_string() {
+        return OutcomeKind::Wrong(format!(
+            "response belongs to request {}",
+            run_answer.request_id
+        ));
     }
-    if told.body_checksum != runner::checksum(body) {
-        return OutcomeKind::Wrong("the runner got another body".to_owned());
+    if run_answer.body_checksum != runner::checksum(body) {
+        return OutcomeKind::Wrong("the runner received a different request body".to_owned());
     }
     OutcomeKind::Own
 }
--- a/crates/figscale-standin/tests/load.rs
+++ b/crates/figscale-standin/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool sees what a caller would see, and is not fooled.
+//! The load tool measures what a caller would see, and detects wrong responses.
 
 use std::net;
 use std::time;
@@ -39,7 +39,7 @@
     }
 }
 
-async fn wide_runner() -> runner::Handle {
+async fn unlimited_runner() -> runner::Handle {
     let config = runner::Config {
         slots: 10_000,
         connections: 10_000,
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn arrivals_keep_to_seed_rate_and_shares() {
+fn arrivals_follow_seed_rate_and_weights() {
     let address = net::SocketAddr::from(([127, 0, 0, 1], 1));
     let config = load::Config {
         duration: time::Duration::from_secs(20),
@@ -69,8 +69,8 @@
 }
 
 #[tokio::test]
-async fn every_answer_is_counted_by_class() {
-    let runner = wide_runner().await;
+async fn every_response_is_counted_by_class() {
+    let runner = unlimited_runner().await;
     let report = load::run(&config(&[(runner.address(), 1.0)])).await;
     assert_eq!(report.all.own, report.all.requests, "{report}");
     let by_class: u64 = report.classes.values().map(|class| class.own).sum();
@@ -81,7 +81,7 @@
 
 #[tokio::test]
 async fn classes_of_one_entry_are_counted_together() {
-    let runner = wide_runner().await;
+    let runner = unlimited_runner().await;
     let config = load::Config {
         classes: vec![class("quotes", 1.0), class("quotes", 1.0)],
         ..config(&[(runner.address(), 1.0)])
@@ -90,9 +90,9 @@
     assert_eq!(report.classes["quotes"].requests, report.all.requests);
 }
 
-/// What a dishonest server answers to a request id and a body: status, body
-/// and checksum. Each lie is wrong in one thing only.
-type Lie = fn(&str, &[u8]) -> (StatusCode, String, String);
+/// Response of a faulty server to a request id and a body: status, body and
+/// checksum. Each case is wrong in one respect only.
+type WrongResponse = fn(&str, &[u8]) -> (StatusCode, String, String);
 
 fn other_request(_: &str, body: &[u8]) -> (StatusCode, String, String) {
     answer("somebody-elses", body)
@@ -120,10 +120,10 @@
     (StatusCode::OK, body, checksum)
 }
 
-async fn liar(lie: Lie) -> net::SocketAddr {
+async fn wrong_server(wrong_response: WrongResponse) -> net::SocketAddr {
     let handler = move |headers: http::HeaderMap, body: bytes::Bytes| async move {
         let id = headers[headers::REQUEST_ID].to_str();
-        let (status, body, checksum) = lie(id.expect("text"), &body);
+        let (status, body, checksum) = wrong_response(id.expect("text"), &body);
         (status, [(headers::CHECKSUM, checksum)], body)
     };
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await;
@@ -135,8 +135,8 @@
 }
 
 #[tokio::test]
-async fn the_whole_truth_passes_for_an_own_answer() {
-    let report = load::run(&config(&[(liar(answer).await, 1.0)])).await;
+async fn a_correct_response_is_accepted() {
+    let report = load::run(&config(&[(wrong_server(answer).await, 1.0)])).await;
     assert_eq!(report.all.own, report.all.requests, "{report}");
 }
 
@@ -145,14 +145,14 @@
 #[case::other_body(other_body)]
 #[case::damaged(damaged)]
 #[tokio::test]
-async fn a_wrong_answer_is_found(#[case] lie: Lie) {
-    let report = load::run(&config(&[(liar(lie).await, 1.0)])).await;
+async fn a_wrong_response_is_detected(#[case] wrong_response: WrongResponse) {
+    let report = load::run(&config(&[(wrong_server(wrong_response).await, 1.0)])).await;
     assert_eq!(report.all.wrong, report.all.requests, "{report}");
 }
 
 #[tokio::test]
 async fn failures_are_counted_by_status_and_verdict() {
-    let runner = wide_runner().await;
+    let runner = unlimited_runner().await;
     runner.change_faults(|faults| faults.refuse = true);
     let report = load::run(&config(&[(runner.address(), 1.0)])).await;
     assert_eq!(report.all.failed["503 no-verdict"], report.all.requests);
@@ -163,8 +163,8 @@
 }
 
 #[tokio::test]
-async fn a_false_not_run_is_found() {
-    let runner = wide_runner().await;
+async fn a_false_not_run_is_detected() {
+    let runner = unlimited_runner().await;
     let mut report = load::run(&config(&[(runner.address(), 1.0)])).await;
     assert!(report.false_not_run(runner.ledger()).is_empty());
     report.outcomes[0].kind = load::OutcomeKind::Failed {
@@ -177,8 +177,8 @@
 }
 
 #[tokio::test]
-async fn arrivals_do_not_wait_for_answers() {
-    let runner = wide_runner().await;
+async fn arrivals_do_not_wait_for_responses() {
+    let runner = unlimited_runner().await;
     runner.change_faults(|faults| faults.hang = true);
     let config = config(&[(runner.address(), 1.0)]);
     let all = load::arrivals(&config).count();
@@ -188,7 +188,8 @@
         }
         runner.change_faults(|faults| faults.hang = false);
     };
-    // A loop that waits for answers never gets all of them to run.
+    // A closed loop, which waits for responses, would never get all of them to
+    // run.
     let all_run = tokio::time::timeout(time::Duration::from_secs(30), all_run);
     let (report, all_ran) = tokio::select! {
         both = async { tokio::join!(load::run(&config), all_run) } => both,
@@ -199,8 +200,8 @@
 }
 
 #[tokio::test]
-async fn a_stall_of_the_path_is_seen_by_every_request_that_fell_into_it() {
-    let runner = wide_runner().await;
+async fn a_stall_of_the_path_shows_in_every_request_due_during_it() {
+    let runner = unlimited_runner().await;
     let proxy = proxy::start(proxy::Config::to(runner.address())).await;
     let proxy = proxy.expect("it listens");
     proxy.change_faults(|faults| faults.to_target.freeze = true);
@@ -210,18 +211,19 @@
     };
     let config = config(&[(proxy.address(), 1.0)]);
     let (report, ()) = tokio::join!(load::run(&config), stall);
-    // The last arrival is at 300 ms, so each waited for 300 ms or more.
+    // The stall ends at 600 ms and the last arrival is before 300 ms, so that each
+    // request waits for at least 300 ms.
     assert_eq!(report.all.own, report.all.requests, "{report}");
     assert!(report.outcomes.iter().all(|o| o.latency.as_millis() >= 300));
 }
 
 #[tokio::test]
 async fn a_stall_of_the_tool_itself_is_counted_as_latency() {
-    let runner = wide_runner().await;
+    let runner = unlimited_runner().await;
     let config = config(&[(runner.address(), 1.0)]);
     let early = |arrival: &load::Arrival| arrival.at.as_millis() < 100;
     let early = load::arrivals(&config).filter(early).count();
-    // The test has one thread, so that this stops the load tool.
+    // The test runs on one thread, so that this blocks the load tool.
     let stall = async { std::thread::sleep(time::Duration::from_millis(300)) };
     let (report, ()) = tokio::join!(load::run(&config), stall);
     let slow = report
@@ -232,7 +234,7 @@
 }
 
 #[test]
-fn quantiles_are_those_of_the_times() {
+fn quantiles_match_the_recorded_times() {
     let times = (1..=1_000).map(time::Duration::from_millis);
     let found = load::Quantiles::of(times);
     let near = |found: f64, expected: f64| (found / expected - 1.0).abs() < 0.01;
