--- a/crates/figscale-standin/src/experiment/capacity/catalogue.rs
+++ b/crates/figscale-standin/src/experiment/capacity/catalogue.rs
@@ -29,8 +29,8 @@
     Ok(format!("owner-{number}").parse()?)
 }
 
-/// A catalogue of so many owners with four entries each; another `version`
-/// differs in the weight of one owner.
+/// A catalogue of `owners` owners with four entries each. Successive versions
+/// differ in the weights of owners only.
 pub(super) fn of(owners: usize, version: usize) -> eyre::Result<catalogue::Catalogue> {
     let mut all = catalogue::Catalogue::default();
     for number in 0..owners {
@@ -45,7 +45,7 @@
     Ok(all)
 }
 
-/// Asks for a catalogue against a base revision.
+/// Request to apply a catalogue on top of a base revision.
 pub(super) fn change(
     base: ids::Revision,
     catalogue: catalogue::Catalogue,
--- a/crates/figscale-standin/src/experiment/capacity/entry.rs
+++ b/crates/figscale-standin/src/experiment/capacity/entry.rs
@@ -1,4 +1,4 @@
-//! A real entry process, with a proxy on each of its links that counts bytes.
+//! A real entry process, with a proxy that counts bytes on each of its links.
 
 use std::env;
 use std::fs;
@@ -16,10 +16,10 @@
 use crate::ports;
 use crate::proxy;
 
-/// Secret that the entry instances show each other.
+/// Secret with which the entry instances authenticate to each other.
 const PEER_TOKEN: &str = "a-secret-of-the-experiment-only";
 
-/// Where an entry instance is reached.
+/// Addresses and failure domain of an entry instance.
 #[derive(Clone, Debug)]
 pub(super) struct Addresses {
     pub(super) member: ids::MemberId,
@@ -31,30 +31,30 @@
 
 /// The links of an entry instance.
 struct Links {
-    /// From it to the platform.
+    /// From the instance to the platform.
     store: proxy::Handle,
-    /// From all others to it.
+    /// From all other entry instances to this one.
     peers: proxy::Handle,
 }
 
-/// A running entry process; dropping it ends it.
+/// A running entry process; dropping it kills the process.
 pub(super) struct Entry {
     pub(super) addresses: Addresses,
     child: process::Child,
     links: Links,
 }
 
-/// What an entry process used and what passed along its links up to a moment.
+/// Resources used by an entry process and bytes on its links since its start.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Look {
+pub(super) struct Sample {
     pub(super) used: usage::Used,
     pub(super) store_bytes: u64,
     pub(super) peer_bytes: u64,
 }
 
 impl Addresses {
-    /// Free addresses for entry instance `number`.
-    pub(super) fn pick(number: usize, domains: usize) -> eyre::Result<Self> {
+    /// Reserves free addresses for entry instance `number`.
+    pub(super) fn reserve(number: usize, domains: usize) -> eyre::Result<Self> {
         Ok(Self {
             member: format!("entry-{}", number + 1).parse()?,
             failure_domain: format!("domain-{}", number % domains + 1).parse()?,
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Its line in the platform's list.
+    /// Its entry in the platform's instance list.
     pub(super) fn line(&self) -> eyre::Result<instances::Instance> {
         Ok(instances::Instance {
             id: self.member.as_str().parse()?,
@@ -140,13 +140,16 @@
     })
 }
 
-/// The `figscale` program beside this one.
+/// Path of the `figscale` program in the folder of this one.
 fn program() -> eyre::Result<path::PathBuf> {
     let this = env::current_exe()?;
-    let program = this.parent().ok_or_eyre("no folder")?.join("figscale");
+    let program = this
+        .parent()
+        .ok_or_eyre("the path of this program has no parent folder")?
+        .join("figscale");
     eyre::ensure!(
         program.exists(),
-        "{} is missing: cargo build --release -p figscale",
+        "{} not found; build it with: cargo build --release -p figscale",
         program.display()
     );
     Ok(program)
@@ -163,13 +166,13 @@
         Ok(self.child.try_wait()?.is_some())
     }
 
-    /// What it has used up to now.
-    pub(super) fn look(&self) -> eyre::Result<Look> {
+    /// Samples its resource usage and traffic.
+    pub(super) fn sample(&self) -> eyre::Result<Sample> {
         let bytes = |link: &proxy::Handle| {
             let traffic = link.traffic();
             traffic.to_target_bytes + traffic.to_client_bytes
         };
-        Ok(Look {
+        Ok(Sample {
             used: usage::Used::by(self.child.id())?,
             store_bytes: bytes(&self.links.store),
             peer_bytes: bytes(&self.links.peers),
@@ -179,7 +182,7 @@
 
 impl Drop for Entry {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/figscale-standin/src/experiment/capacity/faults.rs
+++ b/crates/figscale-standin/src/experiment/capacity/faults.rs
@@ -1,4 +1,5 @@
-//! Entry processes that go, and the time until their shards have holders again.
+//! Stops or kills entry processes and measures the time until their shards have
+//! holders again.
 
 use std::process;
 use std::time;
@@ -9,25 +10,25 @@
 use super::fleet;
 use super::load;
 
-/// Longest wait for the shards of those that went.
+/// Time limit for new holders of the shards.
 const TAKEOVER_LIMIT: time::Duration = time::Duration::from_secs(40);
-/// Longest wait for the end of a process that was asked to end.
+/// Time limit for the exit of a process after the termination signal.
 const STOP_LIMIT: time::Duration = time::Duration::from_secs(35);
-/// Time between looks.
-const LOOK: time::Duration = time::Duration::from_millis(20);
+/// Interval of the checks.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// What happened after entry processes went.
+/// Result of the takeover after entry processes were removed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Takeover {
-    /// Time until every shard had a holder among the others.
+    /// Time until every shard had a holder among the remaining processes.
     pub(super) time: time::Duration,
-    /// Tasks that ran before.
+    /// Number of running tasks before.
     pub(super) running_before: usize,
-    /// Fewest tasks that ran at any look.
+    /// Smallest number of running tasks at any check.
     pub(super) running_least: usize,
 }
 
-/// Kills these entry processes at once and waits for the takeover.
+/// Kills these entry processes and waits for the takeover.
 pub(super) async fn kill(
     fleet: &mut fleet::Fleet,
     members: &[ids::MemberId],
@@ -40,7 +41,8 @@
     takeover(fleet, members, running_before).await
 }
 
-/// Asks an entry process to end in order, and waits for its end.
+/// Sends an entry process the termination signal, then waits for its exit and the
+/// takeover.
 pub(super) async fn replace(
     fleet: &mut fleet::Fleet,
     member: &ids::MemberId,
@@ -51,17 +53,20 @@
         .iter()
         .position(|e| e.addresses.member == *member);
     let Some(index) = found else {
-        eyre::bail!("there is no {member}");
+        eyre::bail!("no entry process {member}");
     };
     let mut entry = fleet.entries.remove(index);
     let status = process::Command::new("kill")
         .args(["-TERM", &entry.pid().to_string()])
         .status()?;
-    eyre::ensure!(status.success(), "kill failed");
+    eyre::ensure!(status.success(), "kill -TERM failed");
     let began = time::Instant::now();
     while !entry.has_ended()? {
-        eyre::ensure!(began.elapsed() < STOP_LIMIT, "{member} does not end");
-        tokio::time::sleep(LOOK).await;
+        eyre::ensure!(
+            began.elapsed() < STOP_LIMIT,
+            "{member} did not exit within {STOP_LIMIT:?}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let stopped = began.elapsed();
     let rest = takeover(fleet, std::slice::from_ref(member), running_before).await?;
@@ -73,18 +78,18 @@
 
 async fn takeover(
     fleet: &fleet::Fleet,
-    gone: &[ids::MemberId],
+    removed: &[ids::MemberId],
     running_before: usize,
 ) -> eyre::Result<Takeover> {
     let began = time::Instant::now();
     let mut running_least = load::running(fleet);
-    while !all_held_by_others(fleet, gone) {
+    while !all_held_by_others(fleet, removed) {
         eyre::ensure!(
             began.elapsed() < TAKEOVER_LIMIT,
-            "not all shards have a holder again within {TAKEOVER_LIMIT:?}"
+            "shards without a holder {TAKEOVER_LIMIT:?} after the removal"
         );
         running_least = running_least.min(load::running(fleet));
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(Takeover {
         time: began.elapsed(),
@@ -93,7 +98,7 @@
     })
 }
 
-fn all_held_by_others(fleet: &fleet::Fleet, gone: &[ids::MemberId]) -> bool {
+fn all_held_by_others(fleet: &fleet::Fleet, removed: &[ids::MemberId]) -> bool {
     let Some(value) = fleet.platform.read("claims") else {
         return false;
     };
@@ -102,7 +107,7 @@
     };
     let by_other = |shard: &claims::Shard| {
         let holder = shard.holder.as_ref();
-        holder.is_some_and(|holder| !gone.contains(&holder.id))
+        holder.is_some_and(|holder| !removed.contains(&holder.id))
     };
     claims.shards.values().all(by_other)
 }
--- a/crates/figscale-standin/src/experiment/capacity/fit.rs
+++ b/crates/figscale-standin/src/experiment/capacity/fit.rs
@@ -1,42 +1,43 @@
-//! A straight line through measured points, by least squares.
+//! Linear regression by least squares through measured points.
 
 use serde::Serialize;
 
-/// A measured figure at a size.
+/// A measured value at a size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Point {
     /// Size.
     pub size: f64,
-    /// Figure.
+    /// Value.
     pub value: f64,
 }
 
-/// A line: figure = at rest + slope x size.
+/// A line: value = at rest + slope x size.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Figure at size 0.
+    /// Value at size 0.
     pub at_rest: f64,
-    /// Growth of the figure by one unit of size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// Root of the mean square of the distances between points and line.
+    /// Root mean square of the vertical distances between points and line.
     pub residual: f64,
 }
 
 impl Line {
-    /// The line through these points; `None` below two different sizes.
+    /// The line through these points; `None` if there are fewer than two different
+    /// sizes.
     pub fn through(points: &[Point]) -> Option<Self> {
         let count = points.len() as f64;
         let mean = |of: fn(&Point) -> f64| points.iter().map(of).sum::<f64>() / count;
         let (size, value) = (mean(|p| p.size), mean(|p| p.value));
-        let spread: f64 = points.iter().map(|p| (p.size - size).powi(2)).sum();
-        if points.len() < 2 || spread == 0.0 {
+        let sxx: f64 = points.iter().map(|p| (p.size - size).powi(2)).sum();
+        if points.len() < 2 || sxx == 0.0 {
             return None;
         }
-        let together: f64 = points
+        let sxy: f64 = points
             .iter()
             .map(|p| (p.size - size) * (p.value - value))
             .sum();
-        let slope = together / spread;
+        let slope = sxy / sxx;
         let at_rest = value - slope * size;
         let distance = |p: &Point| (p.value - at_rest - slope * p.size).powi(2);
         let residual = (points.iter().map(distance).sum::<f64>() / count).sqrt();
@@ -47,7 +48,7 @@
         })
     }
 
-    /// The figure at a size.
+    /// The value at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.at_rest + self.slope * size
     }
--- a/crates/figscale-standin/src/experiment/capacity/fleet.rs
+++ b/crates/figscale-standin/src/experiment/capacity/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet to measure: stand-ins in this process, entry instances in their own.
+//! The measured fleet: stand-ins run in this process, each entry instance in its
+//! own.
 
 use std::env;
 use std::fs;
@@ -22,25 +23,25 @@
 use crate::runner;
 use crate::worker;
 
-/// Failure domains, as at the target.
+/// Number of failure domains, as at the target size.
 pub(super) const DOMAINS: usize = 7;
-/// Instances in a rack.
+/// Number of instances in a rack.
 const RACK_LEN: usize = 6;
-/// Runners of the one service.
+/// Number of runners of the service.
 const RUNNERS: usize = 50;
-/// Longest wait until the shards have their holders.
+/// Time limit for the claims to settle.
 const SETTLE_LIMIT: time::Duration = time::Duration::from_secs(60);
-/// Longest wait for the first catalogue.
+/// Time limit for the first catalogue.
 const CATALOGUE_LIMIT: time::Duration = time::Duration::from_secs(10);
-/// Time without a change of the claims after which they are settled.
-const SETTLED: time::Duration = time::Duration::from_secs(2);
-/// Time between looks.
-const LOOK: time::Duration = time::Duration::from_millis(50);
-/// Time between a worker's looks at its tasks: coarser than in tests, since
-/// hundreds of them share this process.
+/// Time without a change after which the claims count as settled.
+const SETTLED_AFTER: time::Duration = time::Duration::from_secs(2);
+/// Interval of the checks.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
+/// Interval at which a worker checks its tasks: longer than in tests, since
+/// hundreds of workers share this process.
 const WORKER_TICK: time::Duration = time::Duration::from_millis(50);
 
-/// How large a fleet is.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Size {
     pub(super) entries: usize,
@@ -48,7 +49,7 @@
     pub(super) owners: usize,
 }
 
-/// A running fleet; dropping it ends everything.
+/// A running fleet; dropping it stops all its parts.
 pub(super) struct Fleet {
     pub(super) size: Size,
     pub(super) platform: platform::Handle,
@@ -69,7 +70,7 @@
     pub(super) all: usize,
 }
 
-/// A folder that is removed at the end.
+/// A folder that is removed when this is dropped.
 struct Folder(path::PathBuf);
 
 impl Folder {
@@ -92,7 +93,8 @@
     rack: ids::RackName,
 }
 
-/// Racks are filled one after the other and lie in the domains in turn.
+/// Racks are filled one after the other and assigned to the failure domains
+/// round-robin.
 fn place(number: usize) -> eyre::Result<Place> {
     let rack = number / RACK_LEN;
     Ok(Place {
@@ -102,7 +104,7 @@
 }
 
 impl Fleet {
-    /// Starts a fleet with a catalogue in force; returns once the claims have settled.
+    /// Starts a fleet, waits until the claims have settled and applies a catalogue.
     pub(super) async fn start(size: Size) -> eyre::Result<Self> {
         let mut lines = Vec::new();
         let tasks = worker::TaskLedger::default();
@@ -110,7 +112,7 @@
         let workers = start_workers(size.workers, &tasks, &mut lines).await?;
         let runners = start_runners(&requests, &mut lines).await?;
         let addresses: Vec<_> = (0..size.entries)
-            .map(|number| entry::Addresses::pick(number, DOMAINS))
+            .map(|number| entry::Addresses::reserve(number, DOMAINS))
             .collect::<eyre::Result<_>>()?;
         for one in &addresses {
             lines.push(one.line()?);
@@ -135,13 +137,13 @@
             _runners: runners,
             _folder: folder,
         };
-        fleet.settle().await?;
-        fleet.begin_catalogue().await?;
+        fleet.wait_until_settled().await?;
+        fleet.apply_first_catalogue().await?;
         Ok(fleet)
     }
 
-    /// Waits until every shard has a holder and the claims stand still.
-    async fn settle(&self) -> eyre::Result<()> {
+    /// Waits until every shard has a holder and the claims no longer change.
+    async fn wait_until_settled(&self) -> eyre::Result<()> {
         let began = time::Instant::now();
         let mut last = (ids::Revision(0), began);
         loop {
@@ -150,19 +152,19 @@
             if revision != last.0 {
                 last = (revision, time::Instant::now());
             }
-            let whole = found.is_some_and(|value| self.is_whole(&value.bytes));
-            if whole && last.1.elapsed() >= SETTLED {
+            let complete = found.is_some_and(|value| self.is_complete(&value.bytes));
+            if complete && last.1.elapsed() >= SETTLED_AFTER {
                 return Ok(());
             }
             eyre::ensure!(
                 began.elapsed() < SETTLE_LIMIT,
                 "the claims have not settled within {SETTLE_LIMIT:?}"
             );
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn is_whole(&self, bytes: &[u8]) -> bool {
+    fn is_complete(&self, bytes: &[u8]) -> bool {
         let Ok(claims) = serde_json::from_slice::<claims::Claims>(bytes) else {
             return false;
         };
@@ -172,8 +174,8 @@
             && claims.shards.values().all(held)
     }
 
-    /// Applies the first catalogue; its revision stays 0 where none is accepted.
-    async fn begin_catalogue(&mut self) -> eyre::Result<()> {
+    /// Applies the first catalogue; the revision stays 0 if it is not accepted.
+    async fn apply_first_catalogue(&mut self) -> eyre::Result<()> {
         let began = time::Instant::now();
         loop {
             let wanted = catalogue::of(self.size.owners, 0)?;
@@ -184,7 +186,7 @@
                     return Ok(());
                 }
                 Err(error) if began.elapsed() > CATALOGUE_LIMIT => {
-                    eprintln!("no catalogue: {error:#}");
+                    eprintln!("first catalogue not accepted: {error:#}");
                     return Ok(());
                 }
                 Err(_) => tokio::time::sleep(time::Duration::from_millis(500)).await,
@@ -205,7 +207,7 @@
         keys.into_iter().map(size).collect()
     }
 
-    /// Size of the catalogue's document, its history included.
+    /// Size of the catalogue's document, including its history.
     pub(super) fn catalogue_bytes(&self) -> usize {
         self.documents().get("catalogue").copied().unwrap_or(0)
     }
@@ -221,14 +223,14 @@
         }
     }
 
-    /// Size of the platform's list as it is sent.
+    /// Size of the platform's instance list on the wire.
     pub(super) async fn instance_list_bytes(&self) -> eyre::Result<usize> {
         let call = client::Call::get(self.platform.address(), "/v1/instances");
         Ok(client::Client::default().send(call).await?.body.len())
     }
 
-    /// Where callers reach the entry instances.
-    pub(super) fn callers(&self) -> Vec<net::SocketAddr> {
+    /// Addresses of the entry instances for callers.
+    pub(super) fn caller_addresses(&self) -> Vec<net::SocketAddr> {
         self.entries.iter().map(|e| e.addresses.caller).collect()
     }
 }
--- a/crates/figscale-standin/src/experiment/capacity/load.rs
+++ b/crates/figscale-standin/src/experiment/capacity/load.rs
@@ -1,4 +1,5 @@
-//! Known loads on a fleet: requests, task starts, running tasks and changes.
+//! Defined loads on a fleet: requests, task starts, running tasks and changes of
+//! the catalogue.
 
 use std::time;
 
@@ -12,26 +13,26 @@
 use crate::cell::Operator;
 use crate::load;
 
-/// Owners that make requests.
+/// Largest number of owners that make requests.
 const CALLERS: usize = 10;
 /// Mean run time of a request.
 const REQUEST_RUN_MS: f64 = 10.0;
-/// Time between submissions of jobs.
+/// Interval of the submissions of jobs.
 const SUBMIT_EVERY: time::Duration = time::Duration::from_millis(250);
-/// Tasks of one job of running tasks.
+/// Number of tasks of a job of long tasks.
 const JOB_LEN: usize = 50;
-/// Run time of a task that ends while it is measured.
+/// Run time of a task that ends during a measurement.
 const SHORT_RUN_MS: u64 = 1_000;
-/// Run time of a task that does not.
+/// Run time of a task that outlasts the measurements.
 const LONG_RUN_MS: u64 = 3_600_000;
 /// Run time of an urgent task.
 const URGENT_RUN_MS: u64 = 500;
-/// Longest wait for an urgent task to start.
+/// Time limit for the start of an urgent task.
 const URGENT_LIMIT: time::Duration = time::Duration::from_secs(10);
-/// Time between looks.
-const LOOK: time::Duration = time::Duration::from_millis(5);
+/// Interval of the checks.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
-/// Makes requests through all entry instances for a while.
+/// Makes requests through all entry instances for `duration`.
 pub(super) fn requests(
     fleet: &fleet::Fleet,
     rate_per_s: f64,
@@ -55,7 +56,7 @@
     };
     let callers = CALLERS.min(fleet.size.owners);
     let config = load::Config {
-        targets: fleet.callers().into_iter().map(target).collect(),
+        targets: fleet.caller_addresses().into_iter().map(target).collect(),
         classes: (0..callers).map(class).collect::<eyre::Result<_>>()?,
         rate_per_s,
         duration,
@@ -65,7 +66,7 @@
     Ok(tokio::spawn(async move { load::run(&config).await }))
 }
 
-/// Operators at all entry instances.
+/// Operator clients of all entry instances.
 fn operators(fleet: &fleet::Fleet) -> Vec<Operator> {
     let addresses = fleet.entries.iter().map(|entry| entry.addresses.operator);
     addresses.map(Operator::new).collect()
@@ -94,14 +95,14 @@
     Ok(format!("job-{}", uuid::Uuid::now_v7()).parse()?)
 }
 
-/// What became of submissions.
+/// Numbers of accepted and refused submissions.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Submitted {
     pub(super) accepted: usize,
     pub(super) refused: usize,
 }
 
-/// Submits jobs of short tasks at a steady rate for a while.
+/// Submits jobs of short tasks at a constant rate for `duration`.
 pub(super) fn starts(
     fleet: &fleet::Fleet,
     rate_per_s: f64,
@@ -147,15 +148,15 @@
         Ok(()) => sum.accepted += 1,
         Err(error) => {
             if sum.refused == 0 {
-                eprintln!("a job was not accepted: {error:#}");
+                eprintln!("job not accepted: {error:#}");
             }
             sum.refused += 1;
         }
     }
 }
 
-/// Submits urgent jobs of one task, one after the other, for a while; returns
-/// the times from submission until each was seen to run.
+/// Submits urgent jobs of one task one after the other for `duration`; returns
+/// the times from submission until each was no longer queued.
 pub(super) fn urgent(
     fleet: &fleet::Fleet,
     duration: time::Duration,
@@ -184,14 +185,15 @@
     while operator.job(&id).await?.state == jobs::JobState::Queued {
         eyre::ensure!(
             began.elapsed() < URGENT_LIMIT,
-            "an urgent task did not start within {URGENT_LIMIT:?}"
+            "urgent task did not start within {URGENT_LIMIT:?}"
         );
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(began.elapsed())
 }
 
-/// Submits jobs of long tasks until so many run; returns how many do by then.
+/// Submits jobs of long tasks until `wanted` tasks run or `limit` has passed;
+/// returns the number of running tasks.
 pub(super) async fn run_tasks(
     fleet: &fleet::Fleet,
     wanted: usize,
@@ -213,12 +215,12 @@
         number += 1;
     }
     while running(fleet) < wanted && began.elapsed() < limit {
-        tokio::time::sleep(LOOK * 20).await;
+        tokio::time::sleep(POLL_INTERVAL * 20).await;
     }
     Ok(running(fleet))
 }
 
-/// Tasks that run now.
+/// Number of running tasks.
 pub(super) fn running(fleet: &fleet::Fleet) -> usize {
     let of_worker = |worker: &crate::worker::Handle| {
         let report = worker.report();
@@ -230,21 +232,21 @@
     fleet.workers.iter().map(of_worker).sum()
 }
 
-/// Tasks started since the beginning.
+/// Number of tasks started since the fleet was started.
 pub(super) fn started(fleet: &fleet::Fleet) -> u64 {
     fleet.workers.iter().map(|w| w.record().starts).sum()
 }
 
-/// Waits until no task runs.
+/// Waits until no task runs, at most for `limit`.
 pub(super) async fn wait_until_idle(fleet: &fleet::Fleet, limit: time::Duration) {
     let began = time::Instant::now();
     while running(fleet) > 0 && began.elapsed() < limit {
-        tokio::time::sleep(LOOK * 20).await;
+        tokio::time::sleep(POLL_INTERVAL * 20).await;
     }
 }
 
-/// Applies a change; returns the time from its acceptance until it was seen in
-/// force everywhere, `None` when that took longer than `limit`.
+/// Applies a change of the catalogue; returns the time from its acceptance until
+/// it was in force at all entry instances, `None` if that took longer than `limit`.
 pub(super) async fn change(
     fleet: &mut fleet::Fleet,
     owners: usize,
@@ -262,13 +264,13 @@
         if status.in_force.values().filter(in_force).count() == fleet.size.entries {
             return Ok(Some(accepted.elapsed()));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(None)
 }
 
-/// Applies changes at a steady rate for a while, without asking where they are
-/// in force; returns how many were accepted.
+/// Applies changes of the catalogue at a constant rate for `duration`, without
+/// checking where they are in force; returns the number of accepted changes.
 pub(super) async fn changes(
     fleet: &mut fleet::Fleet,
     rate_per_s: f64,
--- a/crates/figscale-standin/src/experiment/capacity/measure.rs
+++ b/crates/figscale-standin/src/experiment/capacity/measure.rs
@@ -1,4 +1,4 @@
-//! One measured row: what each entry process used over a while.
+//! One measured row: resource usage of the entry processes during an interval.
 
 use std::time;
 
@@ -11,17 +11,17 @@
 use super::usage;
 use crate::platform;
 
-/// What was measured over a while; each figure is for one entry process, unless
-/// its name says otherwise.
+/// Measurements of an interval. Each figure is per entry process, unless its name
+/// says otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct Row {
-    /// What grows.
+    /// Name of the quantity that is varied.
     pub(super) series: &'static str,
-    /// How large it was.
+    /// Value of that quantity.
     pub(super) size: f64,
     pub(super) entries: usize,
     pub(super) workers: usize,
-    /// Mean and largest of the processes.
+    /// Mean and maximum over the processes.
     pub(super) cpu_percent: f64,
     pub(super) cpu_percent_most: f64,
     /// Mean over the control threads only.
@@ -39,14 +39,14 @@
     pub(super) store_calls_per_s_all: IndexMap<String, f64>,
     /// Load average of the machine at the end.
     pub(super) load_average: f64,
-    /// Figures that only this series has.
+    /// Additional figures of this series.
     pub(super) more: IndexMap<String, f64>,
 }
 
-/// A moment from which a row is measured.
+/// Start of the interval of a row.
 pub(super) struct Start {
     at: time::Instant,
-    looks: Vec<entry::Look>,
+    samples: Vec<entry::Sample>,
     worker_bytes: u64,
     counts: IndexMap<platform::CallKind, platform::Counts>,
 }
@@ -66,28 +66,36 @@
 }
 
 impl Start {
-    /// Begins to measure.
+    /// Starts an interval.
     pub(super) fn now(fleet: &fleet::Fleet) -> eyre::Result<Self> {
-        let looks = fleet.entries.iter().map(entry::Entry::look);
+        let samples = fleet.entries.iter().map(entry::Entry::sample);
         Ok(Self {
-            looks: looks.collect::<eyre::Result<_>>()?,
+            samples: samples.collect::<eyre::Result<_>>()?,
             worker_bytes: worker_bytes(fleet),
             counts: calls(fleet),
             at: time::Instant::now(),
         })
     }
 
-    /// Begins to measure those that stay when these members go.
-    pub(super) fn now_without(fleet: &fleet::Fleet, gone: &[ids::MemberId]) -> eyre::Result<Self> {
-        let stays = |entry: &&entry::Entry| !gone.contains(&entry.addresses.member);
-        let looks = fleet.entries.iter().filter(stays).map(entry::Entry::look);
+    /// Starts an interval that measures only the entry processes that remain when
+    /// `removed` are stopped.
+    pub(super) fn now_without(
+        fleet: &fleet::Fleet,
+        removed: &[ids::MemberId],
+    ) -> eyre::Result<Self> {
+        let remains = |entry: &&entry::Entry| !removed.contains(&entry.addresses.member);
+        let samples = fleet
+            .entries
+            .iter()
+            .filter(remains)
+            .map(entry::Entry::sample);
         Ok(Self {
-            looks: looks.collect::<eyre::Result<_>>()?,
+            samples: samples.collect::<eyre::Result<_>>()?,
             ..Self::now(fleet)?
         })
     }
 
-    /// What was used since.
+    /// The measurements since the start.
     pub(super) fn row(
         self,
         fleet: &fleet::Fleet,
@@ -96,31 +104,31 @@
     ) -> eyre::Result<Row> {
         let end = Self::now(fleet)?;
         let passed_s = end.at.duration_since(self.at).as_secs_f64();
-        let count = self.looks.len() as f64;
+        let count = self.samples.len() as f64;
         let each_kb_per_s = |bytes: u64| bytes as f64 / 1e3 / passed_s / count;
-        let sum = |looks: &[entry::Look], of: fn(&entry::Look) -> u64| -> u64 {
-            looks.iter().map(of).sum()
+        let sum = |samples: &[entry::Sample], of: fn(&entry::Sample) -> u64| -> u64 {
+            samples.iter().map(of).sum()
         };
-        let grown = |of| sum(&end.looks, of) - sum(&self.looks, of);
+        let increase = |of| sum(&end.samples, of) - sum(&self.samples, of);
         let mut row = Row {
             series,
             size,
             entries: fleet.entries.len(),
             workers: fleet.size.workers,
-            store_kb_per_s: each_kb_per_s(grown(|look| look.store_bytes)),
-            peer_kb_per_s: each_kb_per_s(grown(|look| look.peer_bytes)),
+            store_kb_per_s: each_kb_per_s(increase(|sample| sample.store_bytes)),
+            peer_kb_per_s: each_kb_per_s(increase(|sample| sample.peer_bytes)),
             worker_kb_per_s: each_kb_per_s(end.worker_bytes - self.worker_bytes),
             load_average: usage::load_average(),
             ..Row::default()
         };
-        row.add_shares(&self.looks, &end.looks);
+        row.add_shares(&self.samples, &end.samples);
         row.add_calls(&self.counts, &end.counts, passed_s);
         Ok(row)
     }
 }
 
 impl Row {
-    fn add_shares(&mut self, start: &[entry::Look], end: &[entry::Look]) {
+    fn add_shares(&mut self, start: &[entry::Sample], end: &[entry::Sample]) {
         let pairs = start.iter().zip(end);
         let shares: Vec<_> = pairs
             .map(|(start, end)| end.used.since(&start.used))
@@ -155,7 +163,7 @@
         }
     }
 
-    /// Adds a figure that only this series has.
+    /// Adds a figure specific to this series.
     pub(super) fn with(mut self, name: &str, value: f64) -> Self {
         self.more.insert(name.to_owned(), value);
         self
--- a/crates/figscale-standin/src/experiment/capacity/mod.rs
+++ b/crates/figscale-standin/src/experiment/capacity/mod.rs
@@ -1,14 +1,14 @@
-//! What an entry instance costs by the size of what it looks after.
+//! Resource usage of an entry instance as a function of the size of its cell.
 //!
-//! Real entry processes run on loopback between stand-ins in this process.
-//! Each series lets one size grow and measures each process over a while: its
-//! processor time and memory by `/proc`, and the bytes on its links to the
-//! store and to its peers by a proxy on each. A line through each series by
-//! least squares gives figure = at rest + slope x size, from which
-//! docs/CAPACITY.md works out the target size.
+//! Real entry processes run on loopback with stand-ins in this process. Each
+//! series varies one size and measures every entry process for an interval:
+//! processor time and memory from `/proc`, and the bytes on its links to the
+//! store and to its peers with a proxy on each link. A least-squares line through
+//! each series gives figure = at rest + slope x size, from which docs/CAPACITY.md
+//! derives the figures for the target size.
 //!
-//! A step that fails, and one that would begin too late, is told and left out;
-//! what was measured is printed all the same.
+//! A step that fails, or that would begin after the time limit, is reported and
+//! skipped; the other measurements are printed nevertheless.
 
 mod catalogue;
 mod entry;
@@ -25,12 +25,13 @@
 
 use measure::Row;
 
-/// What to measure, and for how long.
+/// Sizes to measure and time limits.
 #[derive(Clone, Debug)]
 struct Plan {
-    /// Numbers of entry instances at rest, with the fewest workers.
+    /// Numbers of entry instances without load, with the smallest number of
+    /// workers.
     entries: Vec<usize>,
-    /// Numbers of workers at rest, with [`Plan::usual_entries`].
+    /// Numbers of workers without load, with [`Plan::usual_entries`].
     workers: Vec<usize>,
     usual_entries: usize,
     owners: Vec<usize>,
@@ -38,9 +39,9 @@
     change_rates: Vec<f64>,
     start_rates: Vec<f64>,
     running: Vec<usize>,
-    /// Time of each measurement.
+    /// Duration of each measurement.
     window: time::Duration,
-    /// Time after which no step begins.
+    /// Time after which no further step is begun.
     limit: time::Duration,
 }
 
@@ -76,23 +77,23 @@
     }
 }
 
-/// Longest wait for tasks to end.
+/// Time limit for all tasks to end.
 const IDLE_LIMIT: time::Duration = time::Duration::from_secs(25);
 
-/// Measures everything and prints the table.
+/// Runs all series and prints the table.
 pub(super) async fn measure(quick: bool) -> eyre::Result<super::Lines> {
     let plan = if quick { Plan::quick() } else { Plan::full() };
     let load_before = usage::load_average();
     let mut run = Run {
-        end: time::Instant::now() + plan.limit,
+        deadline: time::Instant::now() + plan.limit,
         plan,
         rows: Vec::new(),
-        left_out: Vec::new(),
+        skipped_steps: Vec::new(),
     };
-    run.everything().await;
+    run.measure_all().await;
     let lines = table::fit_all(&run.rows);
     eprintln!("{}", table::markdown(&run.rows, &lines));
-    for step in &run.left_out {
+    for step in &run.skipped_steps {
         eprintln!("not measured: {step}");
     }
     Ok(vec![serde_json::json!({
@@ -102,19 +103,19 @@
         "load_average_before": load_before,
         "rows": run.rows,
         "lines": lines,
-        "not_measured": run.left_out,
+        "not_measured": run.skipped_steps,
     })])
 }
 
 struct Run {
     plan: Plan,
-    end: time::Instant,
+    deadline: time::Instant,
     rows: Vec<Row>,
-    left_out: Vec<String>,
+    skipped_steps: Vec<String>,
 }
 
 impl Run {
-    async fn everything(&mut self) {
+    async fn measure_all(&mut self) {
         let plan = self.plan.clone();
         let owners = plan.owners.last().copied().unwrap_or(1);
         let fewest = plan.workers.first().copied().unwrap_or(1);
@@ -124,8 +125,8 @@
                 workers: fewest,
                 owners,
             };
-            if let Some(fleet) = self.fleet(size).await {
-                self.rest(&fleet, "entries at rest", *entries).await;
+            if let Some(fleet) = self.start_fleet(size).await {
+                self.idle(&fleet, "entries at rest", *entries).await;
             }
         }
         for workers in &plan.workers {
@@ -134,10 +135,10 @@
                 workers: *workers,
                 owners,
             };
-            let Some(mut fleet) = self.fleet(size).await else {
+            let Some(mut fleet) = self.start_fleet(size).await else {
                 continue;
             };
-            self.rest(&fleet, "workers at rest", *workers).await;
+            self.idle(&fleet, "workers at rest", *workers).await;
             if Some(workers) == plan.workers.last() {
                 self.under_load(&mut fleet).await;
             }
@@ -159,7 +160,7 @@
             self.add(&format!("{rate} changes/s"), row);
         }
         for rate in plan.start_rates {
-            if self.is_late("task starts") {
+            if self.skip_if_late("task starts") {
                 break;
             }
             let row = series::starts(fleet, rate, plan.window).await;
@@ -167,7 +168,7 @@
             load::wait_until_idle(fleet, IDLE_LIMIT).await;
         }
         for count in plan.running {
-            if self.is_late("running tasks") {
+            if self.skip_if_late("running tasks") {
                 break;
             }
             let row = series::running(fleet, count, plan.window).await;
@@ -176,15 +177,15 @@
         self.under_faults(fleet).await;
     }
 
-    /// Ends entry processes while the last number of tasks runs.
+    /// Stops and kills entry processes under the last number of running tasks.
     async fn under_faults(&mut self, fleet: &mut fleet::Fleet) {
-        if self.is_late("entry processes that go") {
+        if self.skip_if_late("entry processes that go") {
             return;
         }
         let row = series::replaced(fleet, self.plan.window).await;
         self.add("an entry process replaced", row);
         for count in [1, 2] {
-            if self.is_late("entry processes killed") {
+            if self.skip_if_late("entry processes killed") {
                 return;
             }
             let row = series::killed(fleet, count, self.plan.window).await;
@@ -192,28 +193,28 @@
         }
     }
 
-    async fn fleet(&mut self, size: fleet::Size) -> Option<fleet::Fleet> {
-        if self.is_late(&format!("{size:?}")) {
+    async fn start_fleet(&mut self, size: fleet::Size) -> Option<fleet::Fleet> {
+        if self.skip_if_late(&format!("{size:?}")) {
             return None;
         }
         match fleet::Fleet::start(size).await {
             Ok(fleet) => Some(fleet),
             Err(error) => {
-                self.left_out.push(format!("{size:?}: {error:#}"));
+                self.skipped_steps.push(format!("{size:?}: {error:#}"));
                 None
             }
         }
     }
 
-    async fn rest(&mut self, fleet: &fleet::Fleet, series: &'static str, size: usize) {
-        let row = series::rest(fleet, series, size, self.plan.window).await;
+    async fn idle(&mut self, fleet: &fleet::Fleet, series: &'static str, size: usize) {
+        let row = series::idle(fleet, series, size, self.plan.window).await;
         self.add(series, row);
     }
 
-    fn is_late(&mut self, step: &str) -> bool {
-        let late = time::Instant::now() >= self.end;
+    fn skip_if_late(&mut self, step: &str) -> bool {
+        let late = time::Instant::now() >= self.deadline;
         if late {
-            self.left_out.push(format!("{step}: no time was left"));
+            self.skipped_steps.push(format!("{step}: no time was left"));
         }
         late
     }
@@ -224,7 +225,7 @@
                 eprintln!("measured {step}: {:.2} % of a core", row.cpu_percent);
                 self.rows.push(row);
             }
-            Err(error) => self.left_out.push(format!("{step}: {error:#}")),
+            Err(error) => self.skipped_steps.push(format!("{step}: {error:#}")),
         }
     }
 }
--- a/crates/figscale-standin/src/experiment/capacity/series.rs
+++ b/crates/figscale-standin/src/experiment/capacity/series.rs
@@ -1,4 +1,5 @@
-//! The rows of each series: the load is made, then the processes are measured.
+//! Measures the rows of each series: applies the load, then measures the entry
+//! processes.
 
 use std::time;
 
@@ -12,16 +13,16 @@
 use super::measure::Row;
 use super::measure::Start;
 
-/// Time that a load goes on before it is measured.
+/// Time between the start of a load and the start of the measurement.
 const WARM_UP: time::Duration = time::Duration::from_secs(1);
-/// Longest wait for tasks to start.
+/// Time limit for the start of tasks.
 const TASKS_LIMIT: time::Duration = time::Duration::from_secs(25);
-/// Longest wait for a change to be in force everywhere.
+/// Time limit for a change to be in force at all entry instances.
 const CHANGE_LIMIT: time::Duration = time::Duration::from_secs(5);
-/// Changes whose way is timed for each number of owners.
+/// Number of changes timed for each number of owners.
 const TIMED_CHANGES: usize = 5;
 
-pub(super) async fn rest(
+pub(super) async fn idle(
     fleet: &fleet::Fleet,
     series: &'static str,
     size: usize,
@@ -38,8 +39,8 @@
         .with("instance list bytes", list as f64))
 }
 
-fn need_catalogue(fleet: &fleet::Fleet) -> eyre::Result<()> {
-    eyre::ensure!(fleet.revision.0 > 0, "no catalogue is in force");
+fn ensure_catalogue(fleet: &fleet::Fleet) -> eyre::Result<()> {
+    eyre::ensure!(fleet.revision.0 > 0, "no catalogue was accepted");
     Ok(())
 }
 
@@ -48,7 +49,7 @@
     rate_per_s: f64,
     window: time::Duration,
 ) -> eyre::Result<Row> {
-    need_catalogue(fleet)?;
+    ensure_catalogue(fleet)?;
     let load = load::requests(fleet, rate_per_s, window + 2 * WARM_UP)?;
     tokio::time::sleep(WARM_UP).await;
     let start = Start::now(fleet)?;
@@ -65,7 +66,7 @@
 }
 
 pub(super) async fn changes_in_force(fleet: &mut fleet::Fleet, owners: usize) -> eyre::Result<Row> {
-    need_catalogue(fleet)?;
+    ensure_catalogue(fleet)?;
     let start = Start::now(fleet)?;
     let mut times_ms = Vec::new();
     let mut late = 0;
@@ -79,16 +80,16 @@
     let document = fleet.catalogue_bytes();
     let slowest = times_ms.iter().copied().fold(0.0, f64::max);
     times_ms.sort_by(f64::total_cmp);
-    let middle = times_ms.get(times_ms.len() / 2).copied().unwrap_or(0.0);
+    let median = times_ms.get(times_ms.len() / 2).copied().unwrap_or(0.0);
     Ok(row
-        .with("in force ms, median", middle)
+        .with("in force ms, median", median)
         .with("in force ms, slowest", slowest)
         .with("later than the limit", f64::from(late))
         .with("catalogue bytes", catalogue_len(owners)? as f64)
         .with("catalogue document bytes", document as f64))
 }
 
-/// Bytes of the catalogue alone, without the history beside it.
+/// Size of the catalogue without its history, in bytes.
 fn catalogue_len(owners: usize) -> eyre::Result<usize> {
     Ok(serde_json::to_vec(&catalogue::of(owners, 0)?)?.len())
 }
@@ -98,7 +99,7 @@
     rate_per_s: f64,
     window: time::Duration,
 ) -> eyre::Result<Row> {
-    need_catalogue(fleet)?;
+    ensure_catalogue(fleet)?;
     let start = Start::now(fleet)?;
     let accepted = load::changes(fleet, rate_per_s, window).await;
     let row = start.row(fleet, "changes/s", accepted as f64 / window.as_secs_f64())?;
@@ -111,10 +112,11 @@
     rate_per_s: f64,
     window: time::Duration,
 ) -> eyre::Result<Row> {
-    need_catalogue(fleet)?;
+    ensure_catalogue(fleet)?;
     let load = load::starts(fleet, rate_per_s, window + 2 * WARM_UP);
     let urgent = load::urgent(fleet, window + 2 * WARM_UP);
-    // The tasks of the first second must end before starts and ends balance.
+    // Starts and ends are balanced only after the tasks of the first second have
+    // ended.
     tokio::time::sleep(2 * WARM_UP).await;
     let before = load::started(fleet);
     let began = time::Instant::now();
@@ -148,7 +150,7 @@
     count: usize,
     window: time::Duration,
 ) -> eyre::Result<Row> {
-    need_catalogue(fleet)?;
+    ensure_catalogue(fleet)?;
     let began = time::Instant::now();
     load::run_tasks(fleet, count, TASKS_LIMIT).await?;
     let took = began.elapsed();
@@ -181,7 +183,10 @@
     count: usize,
     window: time::Duration,
 ) -> eyre::Result<Row> {
-    eyre::ensure!(fleet.entries.len() > 2 * count, "too few are left");
+    eyre::ensure!(
+        fleet.entries.len() > 2 * count,
+        "too few entry processes would remain"
+    );
     let members: Vec<_> = fleet.entries[fleet.entries.len() - count..]
         .iter()
         .map(|entry| entry.addresses.member.clone())
@@ -192,7 +197,10 @@
 }
 
 fn last_member(fleet: &fleet::Fleet) -> eyre::Result<ids::MemberId> {
-    let last = fleet.entries.last().ok_or_eyre("no entry instance")?;
+    let last = fleet
+        .entries
+        .last()
+        .ok_or_eyre("no entry process is left")?;
     Ok(last.addresses.member.clone())
 }
 
--- a/crates/figscale-standin/src/experiment/capacity/table.rs
+++ b/crates/figscale-standin/src/experiment/capacity/table.rs
@@ -1,4 +1,4 @@
-//! The measured rows as Markdown, with a line through each series.
+//! The measured rows as a Markdown table, with a fitted line for each series.
 
 use std::fmt::Write as _;
 
@@ -25,8 +25,9 @@
     ("refused, all", |row| row.store_refused_all as f64),
 ];
 
-/// Series during which nothing else happens than what grows; in the others,
-/// asking costs as much as what is asked for.
+/// Series in which only the varied quantity causes load. In the others, polling
+/// for the result costs as much as the measured operation, so no line is fitted
+/// to the columns.
 const SERIES_AT_A_STEADY_RATE: &[&str] = &[
     "entries at rest",
     "workers at rest",
@@ -36,7 +37,7 @@
     "running tasks",
 ];
 
-/// A line through the rows of a series.
+/// A line fitted to a column of a series.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Fitted {
     series: &'static str,
@@ -44,7 +45,7 @@
     line: fit::Line,
 }
 
-/// The lines through every column of every series.
+/// The lines fitted to the figures of every series.
 pub(super) fn fit_all(rows: &[measure::Row]) -> Vec<Fitted> {
     let mut by_series = IndexMap::<_, Vec<&measure::Row>>::new();
     for row in rows {
@@ -144,7 +145,7 @@
     }
 }
 
-/// A figure with three digits.
+/// Formats a figure with three digits.
 fn short(value: f64) -> String {
     match value.abs() {
         0.0 => "0".to_owned(),
--- a/crates/figscale-standin/src/experiment/mod.rs
+++ b/crates/figscale-standin/src/experiment/mod.rs
@@ -1,8 +1,8 @@
 //! Measured scenarios, by name.
 //!
-//! A scenario is a plain function that is given a seed and returns lines of
-//! JSON, each with its parameters beside its figures, so that a line stands for
-//! itself when it is quoted. To add one, write a module beside this one and a
+//! A scenario is a function that takes a seed and returns lines of JSON. Each line
+//! contains its parameters besides its figures, so that it can be quoted on its
+//! own. To add one, write a module beside this one and a
 //! line in [`SCENARIOS`]. A scenario measures its baseline in the same run.
 
 pub mod capacity;
@@ -20,9 +20,9 @@
 pub struct Scenario {
     /// Name on the command line.
     pub name: &'static str,
-    /// What it measures, against what.
+    /// What it measures and the baseline.
     pub help: &'static str,
-    /// Measures it, with a seed.
+    /// Runs it with a seed.
     pub measure: fn(u64) -> Measured,
 }
 
--- a/crates/figscale-standin/src/experiment/tools.rs
+++ b/crates/figscale-standin/src/experiment/tools.rs
@@ -1,4 +1,4 @@
-//! What the tools themselves cost, which bounds what they can measure.
+//! Overhead of the tools themselves, which limits what they can measure.
 
 use std::net;
 use std::time;
@@ -11,19 +11,19 @@
 use crate::proxy;
 use crate::runner;
 
-/// More slots and connections than any load here asks for.
-const WIDE: u32 = 100_000;
-/// Time of each measurement.
+/// More slots, connections and calls per second than any load here needs.
+const UNLIMITED: u32 = 100_000;
+/// Duration of each measurement.
 const DURATION: time::Duration = time::Duration::from_secs(5);
-/// Clients of the platform at once.
+/// Number of concurrent clients of the platform.
 const CLIENTS: usize = 16;
 
-/// Latency of requests that run for no time, straight to a runner and through
-/// the proxy.
+/// Latency of requests with a run time of zero, sent directly to a runner and
+/// through the proxy.
 pub(super) async fn load_tool(seed: u64) -> eyre::Result<Lines> {
     let runner = runner::start(runner::Config {
-        slots: WIDE,
-        connections: WIDE,
+        slots: UNLIMITED,
+        connections: UNLIMITED,
         ..runner::Config::default()
     })
     .await?;
@@ -64,11 +64,11 @@
     })
 }
 
-/// Calls a second that the stand-in platform answers when its rates are lifted.
+/// Calls per second that the stand-in platform serves without rate limits.
 pub(super) async fn platform_tool() -> eyre::Result<Lines> {
     let platform = platform::start(platform::Config {
-        writes_per_s: f64::from(WIDE),
-        reads_per_s: f64::from(WIDE),
+        writes_per_s: f64::from(UNLIMITED),
+        reads_per_s: f64::from(UNLIMITED),
         ..platform::Config::default()
     })
     .await?;
--- a/crates/figscale-standin/tests/capacity_fit.rs
+++ b/crates/figscale-standin/tests/capacity_fit.rs
@@ -1,4 +1,4 @@
-//! Lines through measured points.
+//! Least-squares lines through measured points.
 
 use figscale_standin::experiment::capacity::fit;
 use rstest::rstest;
@@ -15,8 +15,8 @@
 #[rstest]
 #[case::exact(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)], 3.0, 2.0, 0.0)]
 #[case::flat(&[(1.0, 5.0), (9.0, 5.0)], 5.0, 0.0, 0.0)]
-#[case::beside_the_line(&[(0.0, 1.0), (0.0, -1.0), (2.0, 1.0), (2.0, -1.0)], 0.0, 0.0, 1.0)]
-fn a_line_is_the_nearest_one(
+#[case::points_off_the_line(&[(0.0, 1.0), (0.0, -1.0), (2.0, 1.0), (2.0, -1.0)], 0.0, 0.0, 1.0)]
+fn the_line_has_least_squares(
     #[case] all: &[(f64, f64)],
     #[case] at_rest: f64,
     #[case] slope: f64,
@@ -34,6 +34,6 @@
 #[case::none(&[])]
 #[case::one(&[(1.0, 2.0)])]
 #[case::one_size(&[(1.0, 2.0), (1.0, 3.0)])]
-fn no_line_without_two_sizes(#[case] all: &[(f64, f64)]) {
+fn no_line_with_fewer_than_two_sizes(#[case] all: &[(f64, f64)]) {
     assert_eq!(fit::Line::through(&points(all)), None);
 }
