--- a/crates/figscale-standin/src/runner/ledger.rs
+++ b/crates/figscale-standin/src/runner/ledger.rs
@@ -61,7 +61,7 @@
     pub holder: Option<Holder>,
     /// When its head arrived, in microseconds.
     pub seen_us: u64,
-    /// When it began to run: its body was whole and a slot was free.
+    /// When it began to run: its body was complete and a slot was free.
     pub started_us: Option<u64>,
     /// When its run ended.
     pub ended_us: Option<u64>,
