--- a/crates/figscale-core/src/fleet/check.rs
+++ b/crates/figscale-core/src/fleet/check.rs
@@ -33,14 +33,14 @@
     let earlier = |after: &u32| usize::try_from(*after).is_ok_and(|after| after < number);
     if !step.after.iter().all(earlier) {
         return Some(format!(
-            "step {number} depends on a step that is not before it"
+            "step {number} waits for a step that is not before it"
         ));
     }
     // Filler tasks run on processor time that other tasks leave unused. They
     // disturb tasks that serve requests, and would have to be throttled from
     // one moment to the next.
     step.filler
-        .then(|| format!("step {number}: filler tasks are not supported"))
+        .then(|| format!("step {number}: tasks that fill are not supported"))
 }
 
 fn too_many_tasks(job: &fleet::JobDescription) -> Option<String> {
--- a/crates/figscale/src/fleet/advice.rs
+++ b/crates/figscale/src/fleet/advice.rs
@@ -37,7 +37,7 @@
     expected: time::Duration,
 ) -> eyre::Result<Vec<fleet::Ticket>> {
     let Some(address) = context.fleet.advice_address else {
-        eyre::bail!("no address of an advisory service is configured");
+        eyre::bail!("no advisory service in the settings");
     };
     let service = advice::Advice::new(context.client.clone(), address);
     Ok(service
--- a/crates/figscale/src/fleet/entry/dispatch.rs
+++ b/crates/figscale/src/fleet/entry/dispatch.rs
@@ -64,7 +64,7 @@
         return pending(context, call, queue).await;
     }
     let Ok(job) = id.parse::<fleet::JobId>() else {
-        return reply::not_found(call, "invalid job id");
+        return reply::not_found(call, "not a job id");
     };
     let caller = || Caller::Customer(customer.clone());
     let leader_call = match call.method {
--- a/crates/figscale/src/fleet/entry/reply.rs
+++ b/crates/figscale/src/fleet/entry/reply.rs
@@ -30,9 +30,9 @@
         let cause = "the key is missing or unknown";
         return rejected(call, http::StatusCode::UNAUTHORIZED, cause);
     }
-    let cause = "cannot verify that the key is still valid";
+    let cause = "it cannot be told whether the key still holds";
     log_rejected(call, cause);
-    let text = format!("{cause}; the call had no effect");
+    let text = format!("{cause}; the call has done nothing");
     let status = http::StatusCode::SERVICE_UNAVAILABLE;
     refuse_with_retry(status, UNAVAILABLE_RETRY_AFTER_MS, text)
 }
@@ -53,7 +53,7 @@
     cause: &'static str,
     retry_after_ms: u64,
 ) -> response::Response {
-    let text = format!("{cause}; the job was not accepted and never runs");
+    let text = format!("{cause}; the job was not taken and never runs");
     refuse_with_retry(status, retry_after_ms, text)
 }
 
--- a/crates/figscale/src/fleet/entry/submit.rs
+++ b/crates/figscale/src/fleet/entry/submit.rs
@@ -57,22 +57,18 @@
         // An earlier call that was not answered may still arrive, and then no
         // refusal can say that the job never runs.
         Some(LeaderAnswer::Refused { retry_after_ms }) if verdict == Verdict::NotRun => {
-            let cause = "queued work ahead of the job would take too long";
+            let cause = "the work in front of it would last too long";
             return reply::refuse_job(http::StatusCode::TOO_MANY_REQUESTS, cause, retry_after_ms);
         }
         Some(LeaderAnswer::IdTaken) => {
-            return reply::rejected(
-                call,
-                http::StatusCode::CONFLICT,
-                "the job id is already in use",
-            );
+            return reply::rejected(call, http::StatusCode::CONFLICT, "the id is taken");
         }
         Some(LeaderAnswer::TooLarge) => {
-            let cause = "a gang exceeds its customer's limit on running work";
+            let cause = "a gang needs more than its customer may ever have running";
             return reply::rejected(call, http::StatusCode::BAD_REQUEST, cause);
         }
         Some(LeaderAnswer::StoreAway { retry_after_ms }) if verdict == Verdict::NotRun => {
-            let cause = "the store is unavailable";
+            let cause = "the store is away";
             let status = http::StatusCode::SERVICE_UNAVAILABLE;
             let refusal = reply::refuse_job(status, cause, retry_after_ms);
             (events::fleet::JOB_REFUSED, cause, refusal)
@@ -99,8 +95,8 @@
 fn unanswered_cause(answer: Option<&LeaderAnswer>, verdict: Verdict) -> &'static str {
     match answer {
         Some(LeaderAnswer::Overloaded) => "the leader is overloaded",
-        Some(_) => "an earlier call to the leader was not answered",
-        None if verdict == Verdict::NotRun => "no leader found in time",
+        Some(_) => "an earlier call of the leader had no answer",
+        None if verdict == Verdict::NotRun => "no leader in time",
         None => "the leader did not answer in time",
     }
 }
--- a/crates/figscale/src/fleet/operators/catalogue.rs
+++ b/crates/figscale/src/fleet/operators/catalogue.rs
@@ -40,8 +40,8 @@
 }
 
 async fn managed_in_store() -> answer::Refusal {
-    let text = "the catalogue of this cell is the configuration in the platform's store; \
-                change it and read its history there";
+    let text = "the catalogue of this cell is the configuration in the platform's store: \
+                change it, and look up earlier ones, there";
     answer::invalid(text).into()
 }
 
--- a/crates/figscale/src/fleet/operators/jobs.rs
+++ b/crates/figscale/src/fleet/operators/jobs.rs
@@ -131,16 +131,14 @@
     match ask_leader(&context, &call).await {
         (Some(LeaderAnswer::Accepted), _) => Ok(Json(show(&context, job).await?)),
         (Some(LeaderAnswer::Refused { retry_after_ms }), Verdict::NotRun) => {
-            let text = "queued work ahead of the job would take too long; the job was not accepted";
+            let text = "the work in front of it would last too long; it was not taken";
             Err(retry_later(text, retry_after_ms).into())
         }
-        (Some(LeaderAnswer::StoreAway { retry_after_ms }), Verdict::NotRun) => Err(retry_later(
-            "the store is unavailable; the job was not accepted",
-            retry_after_ms,
-        )
-        .into()),
+        (Some(LeaderAnswer::StoreAway { retry_after_ms }), Verdict::NotRun) => {
+            Err(retry_later("the store is away; it was not taken", retry_after_ms).into())
+        }
         // An earlier attempt may have been accepted, so this is never reported as
-        // "not accepted".
+        // "not taken".
         _ => Err(unanswered(Verdict::MayHaveRun).into()),
     }
 }
@@ -164,11 +162,11 @@
 /// The job in the scheduler's form, with one step.
 fn description_of(spec: schema::JobSpec) -> Result<fleet::JobDescription, operator::OperatorError> {
     if !spec.idempotent {
-        let text = "idempotent: expected true; this cell retries failed tasks";
+        let text = "idempotent: expected true; tasks of this cell run again after a failure";
         return Err(answer::invalid(text));
     }
     if spec.deadline_ms.is_some() {
-        let text = "deadline_ms: not supported here; the queue's latency objective applies";
+        let text = "deadline_ms: not supported here; the latency objective of the queue holds";
         return Err(answer::invalid(text));
     }
     let step = fleet::StepDescription {
