--- a/crates/figscale-core/src/fleet/advice.rs
+++ b/crates/figscale-core/src/fleet/advice.rs
@@ -15,10 +15,10 @@
 use super::action::Action;
 use super::action::Note;
 use super::action::Question;
-use super::draft::Breadth;
-use super::draft::UnassignedQuery;
 use super::job;
 use super::pass;
+use super::query::Breadth;
+use super::query::UnassignedQuery;
 use super::scheduler;
 
 /// Longer queries may not use the channels reserved for short ones. Queries for
@@ -39,12 +39,12 @@
 impl scheduler::Scheduler {
     /// Adds an entry instance that can query the advisory service.
     pub fn member_joined(&mut self, member: &ids::MemberId) {
-        self.lanes.by_member.entry(member.clone()).or_default();
+        self.channels.by_member.entry(member.clone()).or_default();
     }
 
     /// Removes an entry instance, and with it the query that it had in flight.
     pub fn member_left(&mut self, member: &ids::MemberId) {
-        let channel = self.lanes.by_member.shift_remove(member);
+        let channel = self.channels.by_member.shift_remove(member);
         if let Some(task) = channel.and_then(|channel| channel.in_flight)
             && let Some(step) = self.step_of(&task)
         {
@@ -63,7 +63,7 @@
         good: Option<Vec<fleet::Ticket>>,
         now: time::Instant,
     ) {
-        if let Some(channel) = self.lanes.by_member.get_mut(&question.member)
+        if let Some(channel) = self.channels.by_member.get_mut(&question.member)
             && channel.in_flight == Some(question.task)
         {
             channel.in_flight = None;
@@ -83,7 +83,7 @@
         } else if good.is_none() {
             return;
         }
-        self.lanes.record_response(good.is_some());
+        self.channels.record_response(good.is_some());
         let Some(good) = good else {
             step.advice.not_before = Some(now + RETRY_PAUSE);
             step.advice.promise = None;
@@ -117,7 +117,7 @@
         }
         self.actions.push(Action::Tell(note));
         if all_unknown {
-            self.lanes.learn(&queue.name, fraction);
+            self.channels.learn(&queue.name, fraction);
         }
     }
 
@@ -135,7 +135,7 @@
     /// otherwise always take it first. With several channels such steps get one
     /// without this.
     fn send_overdue_queries(&mut self, pass: &pass::Pass) {
-        if self.lanes.long_query_channels() > 1 {
+        if self.channels.long_query_channels() > 1 {
             return;
         }
         let overdue = pass.unplaced.iter();
@@ -167,7 +167,7 @@
     ) {
         if self.may_query(&candidate.task)
             && let Some(query) = self.next_query(candidate, breadth, pass)
-            && let Some(member) = self.lanes.free(query.expected > LONG_QUERY)
+            && let Some(member) = self.channels.free(query.expected > LONG_QUERY)
         {
             self.send_query(candidate.task, query, member, pass.now);
         }
@@ -175,7 +175,7 @@
 
     fn send_query_round(&mut self, pass: &pass::Pass, breadth: Breadth) {
         for candidate in &pass.unplaced {
-            if self.lanes.free(false).is_none() {
+            if self.channels.free(false).is_none() {
                 return;
             }
             // Steps other than gangs need the same query in both rounds.
@@ -200,7 +200,7 @@
         member: ids::MemberId,
         now: time::Instant,
     ) {
-        if let Some(channel) = self.lanes.by_member.get_mut(&member) {
+        if let Some(channel) = self.channels.by_member.get_mut(&member) {
             channel.in_flight = Some(task);
         }
         let answered_at = now + query.expected;
@@ -235,7 +235,7 @@
             .is_some_and(|step| step.advice.asking.is_some());
         job.queue.advice.is_some_and(|policy| {
             let long = duration(&policy, 1) > LONG_QUERY;
-            !in_flight && self.lanes.free(long).is_some()
+            !in_flight && self.channels.free(long).is_some()
         })
     }
 }
--- a/crates/figscale-core/src/fleet/standing.rs
+++ b/crates/figscale-core/src/fleet/candidacy.rs
@@ -17,13 +17,14 @@
 
 use std::time;
 
-use super::silence;
+use super::leader_loss;
 
 /// A weaker instance runs for leader this much later than its heartbeat shows
 /// that the leader is gone. A stronger one may notice a whole heartbeat interval
 /// later and runs within 40 ms, and its election takes about 20 ms, or up to
 /// 60 ms with many candidates.
-const WEAKER_CANDIDACY_DELAY: time::Duration = silence::HELLO_PAUSE.saturating_add(ELECTION_TIME);
+const WEAKER_CANDIDACY_DELAY: time::Duration =
+    leader_loss::HEARTBEAT_INTERVAL.saturating_add(ELECTION_TIME);
 const ELECTION_TIME: time::Duration = time::Duration::from_millis(100);
 /// Percentage of the strongest instance's processor capacity that counts as
 /// equal to it.
@@ -39,14 +40,14 @@
 
 /// What an instance knows of the leader when it finds no leader's key.
 #[derive(Clone, Copy, Debug)]
-pub struct Sight {
+pub struct LeaderEvidence {
     /// Time since the leader last responded to this instance.
     pub answered_ago: Option<time::Duration>,
     /// Whether a leader was known to this instance.
     pub knows_leader: bool,
     /// Whether the store did not respond at some time since a leader's key was
     /// last seen.
-    pub store_was_away: bool,
+    pub store_was_unavailable: bool,
 }
 
 /// Whether there may be a leader although its key is gone.
@@ -55,16 +56,14 @@
 /// unavailable to it before, the key may have expired through that outage. Such
 /// an instance that ran for leader at once deposed a leader that was about to
 /// accept 60 jobs.
-pub fn may_be_led(observation: Sight) -> bool {
-    let answers = observation
-        .answered_ago
-        .is_some_and(|ago| ago < RENEWAL_GRACE);
-    answers || (!observation.knows_leader && observation.store_was_away)
+pub fn may_have_leader(evidence: LeaderEvidence) -> bool {
+    let answers = evidence.answered_ago.is_some_and(|ago| ago < RENEWAL_GRACE);
+    answers || (!evidence.knows_leader && evidence.store_was_unavailable)
 }
 
 /// How much later than the strongest instance an instance runs for leader. Both
 /// capacities are in thousandths of a core.
-pub fn standing_delay(own_millis: u64, strongest_millis: u64) -> time::Duration {
+pub fn candidacy_delay(own_millis: u64, strongest_millis: u64) -> time::Duration {
     match own_millis * 100 >= strongest_millis * EQUAL_PERCENT {
         true => time::Duration::ZERO,
         false => WEAKER_CANDIDACY_DELAY,
--- a/crates/figscale-core/src/fleet/lanes.rs
+++ b/crates/figscale-core/src/fleet/channels.rs
@@ -33,7 +33,7 @@
 
 /// All channels to the service.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Lanes {
+pub(crate) struct AdviceChannels {
     pub(crate) by_member: IndexMap<ids::MemberId, AdviceChannel>,
     /// Fraction of the workers that may run a step, by queue.
     approved_fractions: IndexMap<String, f64>,
@@ -41,7 +41,7 @@
     without_response: usize,
 }
 
-impl Lanes {
+impl AdviceChannels {
     pub(crate) fn approved_fraction(&self, queue: &str) -> f64 {
         self.approved_fractions
             .get(queue)
--- a/crates/figscale-core/src/fleet/proof.rs
+++ b/crates/figscale-core/src/fleet/config_proof.rs
@@ -31,7 +31,7 @@
 
 /// What a stamp shows about the configuration known here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum StampOutcome {
     /// It was still the newest, as of the stamp.
     Confirmed,
     /// There is a newer one.
@@ -61,21 +61,21 @@
 
     /// Records a revision delivered by a watch. That says which revision is
     /// known, but not that it is still the newest now.
-    pub fn seen(&mut self, revision: u64) {
+    pub fn record_watched(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
     /// Applies a stamp that another instance returned for a request sent at
     /// `asked_at`.
-    pub fn told(&mut self, stamp: ProofStamp, asked_at: time::Duration) -> Told {
+    pub fn told(&mut self, stamp: ProofStamp, asked_at: time::Duration) -> StampOutcome {
         if stamp.revision > self.revision {
-            return Told::Outdated;
+            return StampOutcome::Outdated;
         }
         let age = time::Duration::from_millis(stamp.age_ms);
         if let Some(proven_at) = asked_at.checked_sub(age) {
             self.confirm(proven_at);
         }
-        Told::Confirmed
+        StampOutcome::Confirmed
     }
 
     /// The proof to forward to another instance; `None` if there is none.
--- a/crates/figscale-core/src/fleet/crashes.rs
+++ b/crates/figscale-core/src/fleet/crashes.rs
@@ -262,7 +262,7 @@
     ) -> Vec<(worker::RunKey, Loss)> {
         let worker = self.workers.get(id);
         let last_contact = worker.and_then(|worker| worker.lease.read_at());
-        let unresponsive_since = worker.and_then(|worker| worker.silent_since);
+        let unresponsive_since = worker.and_then(|worker| worker.unresponsive_since);
         let young: Vec<&worker::RunKey> = runs
             .iter()
             .filter(|(_, run)| run.age_at(last_contact) <= CRASH_WINDOW)
--- a/crates/figscale-core/src/fleet/health.rs
+++ b/crates/figscale-core/src/fleet/health.rs
@@ -60,15 +60,15 @@
         } else {
             MAX_FAILURES_IN_A_ROW
         };
-        if self.failed_jobs.len() < needed || self.is_set_aside(now) {
+        if self.failed_jobs.len() < needed || self.is_out_of_use(now) {
             return false;
         }
-        self.set_aside(now);
+        self.eject(now);
         true
     }
 
     /// Ejects the worker for a while.
-    pub(crate) fn set_aside(&mut self, now: time::Instant) {
+    pub(crate) fn eject(&mut self, now: time::Instant) {
         let time = FIRST_EJECTION * 2_u32.saturating_pow(self.relapses.min(4));
         self.out_of_use_until = Some(now + time.min(MAX_EJECTION));
         self.relapses += 1;
@@ -86,7 +86,7 @@
     /// each consecutive pause.
     pub(crate) fn pause(&mut self, time: time::Duration, now: time::Instant) {
         // Starts refused at the same time count as one.
-        if !self.is_set_aside(now) {
+        if !self.is_out_of_use(now) {
             self.pauses = self.pauses.saturating_add(1);
         }
         let doublings = self.pauses.saturating_sub(1).min(MAX_DOUBLINGS);
@@ -96,13 +96,13 @@
         }
     }
 
-    pub(crate) fn is_set_aside(&self, now: time::Instant) -> bool {
+    pub(crate) fn is_out_of_use(&self, now: time::Instant) -> bool {
         self.out_of_use_until.is_some_and(|until| now < until)
     }
 
     /// Whether another task may be sent beside `running` others.
     pub(crate) fn admits(&self, running: usize, now: time::Instant) -> bool {
-        !self.is_set_aside(now) && (!self.on_probation || running == 0)
+        !self.is_out_of_use(now) && (!self.on_probation || running == 0)
     }
 
     /// Whether tasks have succeeded here lately and none has failed since.
--- a/crates/figscale-core/src/fleet/silence.rs
+++ b/crates/figscale-core/src/fleet/leader_loss.rs
@@ -18,7 +18,7 @@
 /// Time without a response after which a leader may be lost. Peers send it a
 /// heartbeat every 250 ms, so all of them have missed a response by then. A
 /// leader that is five times slower than usual responds within 50 ms.
-pub const SILENCE: time::Duration = time::Duration::from_millis(400);
+pub const UNRESPONSIVE_AFTER: time::Duration = time::Duration::from_millis(400);
 
 /// A leader whose last response was slow is allowed this multiple of that
 /// response time in addition.
@@ -27,17 +27,17 @@
 /// was.
 const MAX_TIME_WITHOUT_RESPONSE: time::Duration = time::Duration::from_millis(3_000);
 
-/// Time between heartbeats. Together with [`SILENCE`] it determines how soon a
-/// leader without power is replaced: within 0.45 to 0.7 s, instead of the 1.1
-/// to 1.5 s of its lease.
-pub const HELLO_PAUSE: time::Duration = time::Duration::from_millis(250);
+/// Time between heartbeats. Together with [`UNRESPONSIVE_AFTER`] it determines
+/// how soon a leader without power is replaced: within 0.45 to 0.7 s, instead of
+/// the 1.1 to 1.5 s of its lease.
+pub const HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(250);
 /// Timeout of a heartbeat.
-pub const HELLO_TIMEOUT: time::Duration = time::Duration::from_millis(400);
+pub const HEARTBEAT_TIMEOUT: time::Duration = time::Duration::from_millis(400);
 /// A response to a heartbeat that is as late as this still shows that the
 /// leader is alive.
-pub const LATE_ANSWER: time::Duration = time::Duration::from_millis(1_000);
+pub const LATE_RESPONSE: time::Duration = time::Duration::from_millis(1_000);
 /// Timeout of the query to a peer for what it knows of the leader.
-pub const SIGHTING_TIMEOUT: time::Duration = time::Duration::from_millis(250);
+pub const LEADER_QUERY_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
 /// Up to this number, each instance does its periodic work, such as heartbeats
 /// or checks whether the store is back, at the full rate. Above it the rate of
@@ -52,23 +52,23 @@
 /// Maximum number of peers that are queried for what they know of the leader.
 /// Each of a thousand instances sends such queries when it misses a response,
 /// and the leader itself is among those queried.
-pub const MAX_PEERS_ASKED: usize = 16;
+pub const MAX_PEERS_QUERIED: usize = 16;
 
 /// Interval of periodic work for each of `instances` instances, where a single
 /// one would use `pause`.
-pub fn spread_over(pause: time::Duration, instances: usize) -> time::Duration {
+pub fn scaled_interval(pause: time::Duration, instances: usize) -> time::Duration {
     let instances = u32::try_from(instances.max(INSTANCES_AT_FULL_RATE)).unwrap_or(u32::MAX);
     pause.saturating_mul(instances) / INSTANCES_AT_FULL_RATE as u32
 }
 
 /// Time between the heartbeats of one of this many instances.
-pub fn hello_pause(instances: usize) -> time::Duration {
-    spread_over(HELLO_PAUSE, instances)
+pub fn heartbeat_interval(instances: usize) -> time::Duration {
+    scaled_interval(HEARTBEAT_INTERVAL, instances)
 }
 
 /// Time without a heartbeat after which one of this many instances is gone.
-pub fn member_silence(instances: usize) -> time::Duration {
-    MIN_MEMBER_TIMEOUT.max(hello_pause(instances) * MISSED_HEARTBEATS)
+pub fn member_timeout(instances: usize) -> time::Duration {
+    MIN_MEMBER_TIMEOUT.max(heartbeat_interval(instances) * MISSED_HEARTBEATS)
 }
 
 /// How long the winner of an election may say that it does not lead yet before
@@ -109,19 +109,19 @@
 /// peer that has seen the leader become slow waits longer for its next
 /// response.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     last: time::Duration,
 }
 
-impl AnswerTimes {
+impl ResponseTimes {
     /// Records the response time of the leader.
     pub fn note(&mut self, took: time::Duration) {
         self.last = took;
     }
 
     /// Time without a response after which the leader may be lost.
-    pub fn allowed_silence(&self) -> time::Duration {
-        (SILENCE + self.last * SLOW_RESPONSE_FACTOR).min(MAX_TIME_WITHOUT_RESPONSE)
+    pub fn response_limit(&self) -> time::Duration {
+        (UNRESPONSIVE_AFTER + self.last * SLOW_RESPONSE_FACTOR).min(MAX_TIME_WITHOUT_RESPONSE)
     }
 }
 
@@ -134,15 +134,17 @@
     /// instance for the leader.
     Unknown,
     /// Time since the leader last responded to the peer.
-    Heard(time::Duration),
+    LastResponse(time::Duration),
 }
 
 /// Whether a leader is lost that last responded to this instance
 /// `answered_ago` ago, given the views of all other peers. `allowed` is the time
 /// that it may take to respond.
 pub fn is_lost(answered_ago: time::Duration, peers: &[PeerView], allowed: time::Duration) -> bool {
-    let has_contact = |view: &&PeerView| matches!(view, PeerView::Heard(ago) if *ago < allowed);
-    let lacks_contact = |view: &&PeerView| matches!(view, PeerView::Heard(ago) if *ago >= allowed);
+    let has_contact =
+        |view: &&PeerView| matches!(view, PeerView::LastResponse(ago) if *ago < allowed);
+    let lacks_contact =
+        |view: &&PeerView| matches!(view, PeerView::LastResponse(ago) if *ago >= allowed);
     let without_contact = peers.iter().filter(lacks_contact).count();
     let any_has_contact = answered_ago < allowed || peers.iter().any(|view| has_contact(&view));
     // More than half of all instances, this one included, and never this one
--- a/crates/figscale-core/src/fleet/fitness.rs
+++ b/crates/figscale-core/src/fleet/machine_health.rs
@@ -34,7 +34,7 @@
 
 /// Time between samples, three of which make a span. At 25 samples a second an
 /// instance used 0.0012 of a core more on quiet days, out of 0.0074.
-pub const BEAT: time::Duration = time::Duration::from_millis(66);
+pub const SAMPLE_INTERVAL: time::Duration = time::Duration::from_millis(66);
 
 /// Samples are evaluated together over this time, since single ones may be
 /// disturbed.
@@ -70,7 +70,7 @@
 
 /// Why a leader on a slow machine hands over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lag {
+pub struct HandoverLag {
     /// Mean of the median lags of the latest spans.
     pub late: time::Duration,
     /// How long the machine has been slow.
@@ -79,12 +79,12 @@
 
 /// A change of the state of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum MachineHealthChange {
     /// It became slow; the computation takes this multiple of its usual
     /// duration.
     Slow(u64),
     /// It is normal again, after it was slow for this time.
-    Well(time::Duration),
+    Normal(time::Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -99,7 +99,7 @@
 
 /// What an instance has measured of its own machine.
 #[derive(Clone, Debug, Default)]
-pub struct Fitness {
+pub struct MachineHealth {
     /// Samples of the current span: lag and duration.
     samples: Vec<(time::Duration, time::Duration)>,
     span_started: Option<time::Instant>,
@@ -110,15 +110,15 @@
     slow_since: Option<time::Instant>,
 }
 
-impl Fitness {
+impl MachineHealth {
     /// Adds a sample: how late its timer fired, and how long the computation
     /// took.
-    pub fn beat(
+    pub fn add_sample(
         &mut self,
         late: time::Duration,
         took: time::Duration,
         now: time::Instant,
-    ) -> Option<Turn> {
+    ) -> Option<MachineHealthChange> {
         let begun = *self.span_started.get_or_insert(now);
         self.samples.push((late, took));
         if now < begun + SPAN {
@@ -164,15 +164,17 @@
         quantile(&mut durations, 4)
     }
 
-    fn state_change(&mut self, ratio: u64, now: time::Instant) -> Option<Turn> {
+    fn state_change(&mut self, ratio: u64, now: time::Instant) -> Option<MachineHealthChange> {
         match self.slow_since {
             None if self.last_spans_are(SLOW_SPANS, |span| span.ratio >= SLOW_RATIO) => {
                 self.slow_since = self.slow_run_since;
-                Some(Turn::Slow(ratio))
+                Some(MachineHealthChange::Slow(ratio))
             }
             Some(since) if self.last_spans_are(NORMAL_SPANS, |span| span.ratio < SLOW_RATIO) => {
                 self.slow_since = None;
-                Some(Turn::Well(now.saturating_duration_since(since)))
+                Some(MachineHealthChange::Normal(
+                    now.saturating_duration_since(since),
+                ))
             }
             _ => None,
         }
@@ -183,14 +185,14 @@
     }
 
     /// What is left of a processor capacity, in thousandths of a core.
-    pub fn left_of(&self, millis: u64) -> u64 {
+    pub fn capacity_left(&self, millis: u64) -> u64 {
         let last = self.spans.back().filter(|_| self.slow_since.is_some());
         last.map_or(millis, |span| millis / span.ratio.max(SLOW_RATIO))
     }
 
     /// The lag that is reason for a leader to hand over to an instance with
     /// clearly more capacity left, if there is such a lag.
-    pub fn lasting_lag(&self, now: time::Instant) -> Option<Lag> {
+    pub fn handover_lag(&self, now: time::Instant) -> Option<HandoverLag> {
         let age = now.saturating_duration_since(self.slow_since?);
         let recent = self.spans.iter().rev().take(LAG_SPANS);
         let slow = recent.take_while(|span| span.ratio >= SLOW_RATIO);
@@ -203,7 +205,7 @@
             true => time::Duration::ZERO,
             false => HANDOVER_AFTER,
         };
-        (late >= MIN_HANDOVER_LAG && age >= needed).then_some(Lag { late, age })
+        (late >= MIN_HANDOVER_LAG && age >= needed).then_some(HandoverLag { late, age })
     }
 }
 
--- a/crates/figscale-core/src/fleet/plan.rs
+++ b/crates/figscale-core/src/fleet/plan.rs
@@ -21,8 +21,8 @@
 use super::action::Note;
 use super::customers;
 use super::job;
+use super::open_workers;
 use super::pass;
-use super::places;
 use super::scheduler;
 use super::worker;
 
@@ -327,16 +327,16 @@
     ) -> Option<Vec<fleet::WorkerId>> {
         let open = self.open_workers(&candidate.task, description, candidate.rank, pass);
         if !description.same_rack {
-            return places::assign_fullest_first(open, description, description.count);
+            return open_workers::assign_fullest_first(open, description, description.count);
         }
-        let mut by_rack: IndexMap<&str, Vec<places::OpenWorker<'_>>> = IndexMap::new();
+        let mut by_rack: IndexMap<&str, Vec<open_workers::OpenWorker<'_>>> = IndexMap::new();
         for place in &open {
             by_rack.entry(place.rack).or_default().push(place.clone());
         }
-        let in_one = by_rack
-            .into_values()
-            .find_map(|rack| places::assign_fullest_first(rack, description, description.count));
-        in_one.or_else(|| places::assign_fullest_first(open, description, description.count))
+        let in_one = by_rack.into_values().find_map(|rack| {
+            open_workers::assign_fullest_first(rack, description, description.count)
+        });
+        in_one.or_else(|| open_workers::assign_fullest_first(open, description, description.count))
     }
 
     /// Reserves the workers that become free first until a gang fits.
@@ -366,11 +366,11 @@
             return;
         }
         let max_early_queries =
-            (self.lanes.by_member.len() / CHANNELS_PER_EARLY_GANG).max(MIN_EARLY_GANGS);
+            (self.channels.by_member.len() / CHANNELS_PER_EARLY_GANG).max(MIN_EARLY_GANGS);
         candidate.may_query_early = pass.reserving_gangs < max_early_queries || is_aging;
         pass.reserving_gangs += usize::from(reservation.is_none());
         candidate.reservation = reservation.map(|mut reservation| {
-            let soon = !self.lanes.service_is_unavailable()
+            let soon = !self.channels.service_is_unavailable()
                 && self.starts_soon(&candidate.task, &reservation, pass.now);
             if soon || is_aging || may_reserve {
                 pass.reserve(candidate.task, &reservation);
--- a/crates/figscale-core/src/fleet/draft.rs
+++ b/crates/figscale-core/src/fleet/query.rs
@@ -219,7 +219,7 @@
         };
         let need = job::occupied(description);
         let max_members = reserve::max_members_per_worker(description);
-        let approved_fraction = self.lanes.approved_fraction(&job.queue.name);
+        let approved_fraction = self.channels.approved_fraction(&job.queue.name);
         pass.count_scans(pass.usable.len());
         let usable = pass.usable.iter();
         let usable = usable.filter_map(|position| self.workers.get_index(*position));
@@ -269,7 +269,7 @@
         wanted_slots: f64,
         queue: &fleet::Queue,
     ) -> Vec<fleet::WorkerId> {
-        let approved_fraction = self.lanes.approved_fraction(&queue.name);
+        let approved_fraction = self.channels.approved_fraction(&queue.name);
         let at_least = queue.advice.as_ref().map_or(MIN_QUERIED, cheap_workers);
         let mut queried = Vec::new();
         let mut expected_slots = 0.0;
--- a/crates/figscale-core/src/fleet/records.rs
+++ b/crates/figscale-core/src/fleet/records.rs
@@ -45,8 +45,8 @@
         let ends = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.taken_in > worker.acknowledged);
-        let ends = ends.map(|(id, worker)| (id.clone(), worker.taken_in));
+            .filter(|(_, worker)| worker.applied > worker.acknowledged);
+        let ends = ends.map(|(id, worker)| (id.clone(), worker.applied));
         self.unsaved.add_ends(ends.collect());
         records
     }
@@ -124,7 +124,7 @@
 
     /// Whether there are records to be written or ends to be acknowledged.
     pub fn has_records(&self) -> bool {
-        let unacknowledged = |worker: &worker::Worker| worker.taken_in > worker.acknowledged;
+        let unacknowledged = |worker: &worker::Worker| worker.applied > worker.acknowledged;
         self.unsaved.ready().next().is_some()
             || self.workers.values().any(unacknowledged)
             || !self.workers_record_in_flight && self.workers_record_dirty
@@ -134,7 +134,7 @@
     pub fn has_unacknowledged(&self, id: &fleet::WorkerId) -> bool {
         self.workers
             .get(id)
-            .is_some_and(|worker| worker.taken_in > worker.acknowledged)
+            .is_some_and(|worker| worker.applied > worker.acknowledged)
     }
 
     /// Confirms that all of `records` are in the store.
--- a/crates/figscale-core/src/fleet/carriers.rs
+++ b/crates/figscale-core/src/fleet/relay_choice.rs
@@ -9,19 +9,20 @@
 
 /// A relay that could forward the calls of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Carrier {
+pub struct RelayCandidate {
     /// It is in the worker's failure domain.
-    pub near: bool,
+    pub in_failure_domain: bool,
     /// It was recently slow or unresponsive.
-    pub set_aside: bool,
+    pub ejected: bool,
     /// Hash of the names of relay and worker; spreads workers over relays.
     pub hash: u64,
 }
 
 /// Position of the relay that forwards the calls of a worker; `None` if there
 /// is none. An ejected relay is chosen only if all are ejected.
-pub fn choose_carrier(carriers: impl IntoIterator<Item = Carrier>) -> Option<usize> {
+pub fn choose_relay(carriers: impl IntoIterator<Item = RelayCandidate>) -> Option<usize> {
     let carriers = carriers.into_iter().enumerate();
-    let best = carriers.max_by_key(|(_, carrier)| (!carrier.set_aside, carrier.near, carrier.hash));
+    let best = carriers
+        .max_by_key(|(_, carrier)| (!carrier.ejected, carrier.in_failure_domain, carrier.hash));
     best.map(|(position, _)| position)
 }
--- a/crates/figscale-core/src/fleet/report.rs
+++ b/crates/figscale-core/src/fleet/report.rs
@@ -45,7 +45,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.heard(report.clock_ms, now);
+        worker.record_contact(report.clock_ms, now);
         let replaced = worker.replaced;
         let first = !worker.reported;
         worker.reported = true;
@@ -76,10 +76,10 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if run.number <= worker.taken_in {
+        if run.number <= worker.applied {
             return;
         }
-        worker.take_in(run.number, run.task.job);
+        worker.record_end(run.number, run.task.job);
         let key = (run.task, run.attempt);
         worker.remove_run(&key);
         self.retract_loss(id, &key);
--- a/crates/figscale-core/src/fleet/scheduler.rs
+++ b/crates/figscale-core/src/fleet/scheduler.rs
@@ -10,13 +10,13 @@
 
 use super::action::Action;
 use super::action::Note;
+use super::channels;
 use super::customers;
 use super::health;
 use super::job;
-use super::lanes;
 use super::maps;
+use super::starvation;
 use super::unsaved;
-use super::waits;
 use super::worker;
 
 /// Configuration of a scheduler; the platform's bounds come from settings.
@@ -94,7 +94,7 @@
     /// Jobs in progress, oldest first.
     pub(crate) open: IndexSet<fleet::JobId>,
     pub(crate) workers: maps::WorkerMap<worker::Worker>,
-    pub(crate) lanes: lanes::Lanes,
+    pub(crate) channels: channels::AdviceChannels,
     /// Limits on what customers may have running.
     pub(crate) terms: customers::Terms,
     /// Workers of an earlier term that have not reported in this one, each with
@@ -114,7 +114,7 @@
     /// Changes that are not known to be in the store.
     pub(crate) unsaved: unsaved::Unsaved,
     /// Starvation report: ready steps that have nothing running.
-    pub(crate) waits: waits::Waits,
+    pub(crate) starvation: starvation::Starvation,
     /// Cost of the last placement pass; see [`Counts::pass_looks`].
     pub(crate) pass_looks: usize,
     pub(crate) actions: Vec<Action>,
@@ -128,7 +128,7 @@
             jobs: IndexMap::new(),
             open: IndexSet::new(),
             workers: maps::WorkerMap::default(),
-            lanes: lanes::Lanes::default(),
+            channels: channels::AdviceChannels::default(),
             terms: customers::Terms::default(),
             unheard: maps::WorkerMap::default(),
             recovering: false,
@@ -137,7 +137,7 @@
             workers_record_outdated: false,
             workers_record_dirty: false,
             unsaved: unsaved::Unsaved::default(),
-            waits: waits::Waits::default(),
+            starvation: starvation::Starvation::default(),
             pass_looks: 0,
             actions: Vec::new(),
         }
@@ -155,7 +155,7 @@
         Counts {
             open_jobs: open().count(),
             queued_jobs: open().filter(|job| !job.started).count(),
-            waiting_steps: self.waits.steps,
+            waiting_steps: self.starvation.steps,
             pass_looks: self.pass_looks,
             runs: self.workers.values().map(|worker| worker.runs.len()).sum(),
             usable_workers: self.workers.values().filter(usable).count(),
@@ -242,8 +242,8 @@
     /// and packing sends many of them to the same worker.
     pub fn worker_doubted(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let worker = self.workers.get_mut(id);
-        if let Some(worker) = worker.filter(|worker| worker.silent_since.is_none()) {
-            worker.silent_since = Some(now);
+        if let Some(worker) = worker.filter(|worker| worker.unresponsive_since.is_none()) {
+            worker.unresponsive_since = Some(now);
             self.record_possible_crash(id, now);
         }
     }
@@ -268,7 +268,7 @@
         self.add_due_rounds(now, wall_ms);
         self.drop_old_outcomes(wall_ms);
         self.check_recovery(now);
-        self.look_at_waits(now);
+        self.report_starvation(now);
     }
 
     fn end_expired_leases(&mut self, now: time::Instant) {
--- a/crates/figscale-core/src/fleet/starts.rs
+++ b/crates/figscale-core/src/fleet/starts.rs
@@ -50,7 +50,7 @@
         now: time::Instant,
     ) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.heard(clock_ms, now);
+            worker.record_contact(clock_ms, now);
             worker.health.started();
             if let Some(run) = worker.runs.get_mut(&key) {
                 let known = run.confirmed_clock_ms.unwrap_or(0);
--- a/crates/figscale-core/src/fleet/waits.rs
+++ b/crates/figscale-core/src/fleet/starvation.rs
@@ -36,7 +36,7 @@
 
 /// Result of the last scan.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Waits {
+pub(crate) struct Starvation {
     scanned_at: Option<time::Instant>,
     /// First tasks of the steps that were ready and had nothing running.
     idle: IndexSet<fleet::TaskId>,
@@ -61,14 +61,14 @@
 impl scheduler::Scheduler {
     /// Counts the starved steps and reports the oldest of them, if a scan is
     /// due.
-    pub(crate) fn look_at_waits(&mut self, now: time::Instant) {
+    pub(crate) fn report_starvation(&mut self, now: time::Instant) {
         let recent = |scanned_at| now < scanned_at + SCAN_INTERVAL;
-        if self.waits.scanned_at.is_some_and(recent) {
+        if self.starvation.scanned_at.is_some_and(recent) {
             return;
         }
         let idle = self.idle_steps();
         let mut waiting = self.waiting_long(&idle, now);
-        self.waits = Waits {
+        self.starvation = Starvation {
             scanned_at: Some(now),
             idle,
             steps: waiting.len(),
@@ -118,7 +118,9 @@
         idle: &IndexSet<fleet::TaskId>,
         now: time::Instant,
     ) -> Vec<(time::Instant, fleet::TaskId)> {
-        let still = idle.iter().filter(|task| self.waits.idle.contains(*task));
+        let still = idle
+            .iter()
+            .filter(|task| self.starvation.idle.contains(*task));
         let submitted = still.filter_map(|task| {
             let job = self.jobs.get(&task.job)?;
             Some((job.submitted, *task))
--- a/crates/figscale-core/src/fleet/stops.rs
+++ b/crates/figscale-core/src/fleet/stops.rs
@@ -165,10 +165,10 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.health.is_set_aside(now) {
+        if worker.health.is_out_of_use(now) {
             return;
         }
-        worker.health.set_aside(now);
+        worker.health.eject(now);
         let note = Note::WorkerSetAside {
             worker: id.clone(),
             cause,
--- a/crates/figscale-core/src/fleet/worker.rs
+++ b/crates/figscale-core/src/fleet/worker.rs
@@ -71,12 +71,12 @@
     /// Whether it has reported in this term.
     pub(crate) reported: bool,
     /// Since when a call has failed or is overdue, without a report since.
-    pub(crate) silent_since: Option<time::Instant>,
+    pub(crate) unresponsive_since: Option<time::Instant>,
     pub(crate) lease: lease::Lease,
     pub(crate) health: health::Health,
     pub(crate) runs: IndexMap<RunKey, Run>,
     /// Highest number of a task's end that was applied.
-    pub(crate) taken_in: u64,
+    pub(crate) applied: u64,
     /// Highest number of a task's end whose effects are in the store.
     pub(crate) acknowledged: u64,
     /// Numbers and jobs of the ends in between.
@@ -105,11 +105,11 @@
             replaced: false,
             recorded: false,
             reported: false,
-            silent_since: None,
+            unresponsive_since: None,
             lease: lease::Lease::default(),
             health: health::Health::default(),
             runs: IndexMap::new(),
-            taken_in: 0,
+            applied: 0,
             acknowledged: 0,
             unacknowledged: VecDeque::new(),
             used: fleet::Room::default(),
@@ -118,8 +118,8 @@
     }
 
     /// Records the end of a task of this job as applied.
-    pub(crate) fn take_in(&mut self, number: u64, job: fleet::JobId) {
-        self.taken_in = number;
+    pub(crate) fn record_end(&mut self, number: u64, job: fleet::JobId) {
+        self.applied = number;
         self.unacknowledged.push_back((number, job));
     }
 
@@ -198,9 +198,9 @@
     }
 
     /// Records a report or response of the worker.
-    pub(crate) fn heard(&mut self, clock_ms: u64, now: time::Instant) {
+    pub(crate) fn record_contact(&mut self, clock_ms: u64, now: time::Instant) {
         self.lease.read(clock_ms, now);
-        self.silent_since = None;
+        self.unresponsive_since = None;
     }
 
     /// Whether new work may be sent. `max_silence` bounds the time since the
@@ -220,7 +220,7 @@
                 .entry_read_at
                 .is_some_and(|at| now <= at + max_entry_age);
         let listed = self.unlisted_at.is_none_or(|at| now < at + UNLISTED_GRACE);
-        let known = listed && self.reported && self.silent_since.is_none();
+        let known = listed && self.reported && self.unresponsive_since.is_none();
         let open = known && !self.entry.draining && !self.replaced && !self.is_quarantined();
         up_to_date && open && self.health.admits(self.runs.len(), now)
     }
@@ -244,7 +244,7 @@
     /// Whether nothing is known to run here, and every end known is in the
     /// store.
     pub(crate) fn is_settled(&self) -> bool {
-        self.runs.is_empty() && self.taken_in == self.acknowledged
+        self.runs.is_empty() && self.applied == self.acknowledged
     }
 
     /// Number of runs of the same step and occurrence as `task` here.
--- a/crates/figscale-core/tests/fleet/carriers.rs
+++ b/crates/figscale-core/tests/fleet/carriers.rs
@@ -1,12 +1,12 @@
 //! Choice of a worker's relay while relays seem slow because the leader itself
 //! is late.
 
-use figscale_core::fleet::Carrier;
-use figscale_core::fleet::choose_carrier;
+use figscale_core::fleet::RelayCandidate;
+use figscale_core::fleet::choose_relay;
 
-const NEAR: Carrier = Carrier {
-    near: true,
-    set_aside: false,
+const NEAR: RelayCandidate = RelayCandidate {
+    in_failure_domain: true,
+    ejected: false,
     hash: 7,
 };
 
@@ -16,27 +16,30 @@
 /// for 3 s.
 #[test]
 fn workers_of_a_slow_relay_use_the_next_relay() {
-    let slow = Carrier {
-        set_aside: true,
+    let slow = RelayCandidate {
+        ejected: true,
         hash: 9,
         ..NEAR
     };
-    let far = Carrier {
-        near: false,
+    let far = RelayCandidate {
+        in_failure_domain: false,
         hash: 8,
         ..NEAR
     };
-    assert_eq!(choose_carrier([far, NEAR, slow]), Some(1));
-    assert_eq!(choose_carrier([slow, far]), Some(1));
-    assert_eq!(choose_carrier([slow, Carrier { hash: 5, ..slow }]), Some(0));
-    assert_eq!(choose_carrier([]), None);
+    assert_eq!(choose_relay([far, NEAR, slow]), Some(1));
+    assert_eq!(choose_relay([slow, far]), Some(1));
+    assert_eq!(
+        choose_relay([slow, RelayCandidate { hash: 5, ..slow }]),
+        Some(0)
+    );
+    assert_eq!(choose_relay([]), None);
 }
 
 /// Guards against workers that all change their relay when one relay joins or
 /// leaves.
 #[test]
 fn a_worker_keeps_its_relay_while_others_come_and_go() {
-    let with = |hash| Carrier { hash, ..NEAR };
-    assert_eq!(choose_carrier([with(3), with(9), with(4)]), Some(1));
-    assert_eq!(choose_carrier([with(9), with(4)]), Some(0));
+    let with = |hash| RelayCandidate { hash, ..NEAR };
+    assert_eq!(choose_relay([with(3), with(9), with(4)]), Some(1));
+    assert_eq!(choose_relay([with(9), with(4)]), Some(0));
 }
--- a/crates/figscale-core/tests/fleet/fitness.rs
+++ b/crates/figscale-core/tests/fleet/fitness.rs
@@ -10,12 +10,12 @@
 
 use std::time;
 
-use figscale_core::fleet::BEAT;
-use figscale_core::fleet::Fitness;
-use figscale_core::fleet::Lag;
-use figscale_core::fleet::Turn;
+use figscale_core::fleet::HandoverLag;
+use figscale_core::fleet::MachineHealth;
+use figscale_core::fleet::MachineHealthChange;
+use figscale_core::fleet::SAMPLE_INTERVAL;
+use figscale_core::fleet::candidacy_delay;
 use figscale_core::fleet::is_clearly_stronger;
-use figscale_core::fleet::standing_delay;
 use rstest::rstest;
 
 const OWN_MILLIS: u64 = 250;
@@ -27,12 +27,12 @@
 
 /// An instance that samples its machine, with its findings.
 struct Instance {
-    fitness: Fitness,
+    fitness: MachineHealth,
     begun: time::Instant,
     now: time::Instant,
-    turns: Vec<Turn>,
+    turns: Vec<MachineHealthChange>,
     /// When it would first have handed over as a leader, and why.
-    handed_over: Option<(time::Duration, Lag)>,
+    handed_over: Option<(time::Duration, HandoverLag)>,
 }
 
 impl Instance {
@@ -40,7 +40,7 @@
     fn steady() -> Self {
         let now = time::Instant::now();
         let mut instance = Self {
-            fitness: Fitness::default(),
+            fitness: MachineHealth::default(),
             begun: now,
             now,
             turns: Vec::new(),
@@ -61,9 +61,10 @@
     fn take_sample(&mut self, late_us: u64, took_us: u64) {
         let late = time::Duration::from_micros(late_us);
         let took = time::Duration::from_micros(took_us);
-        self.now += BEAT + late;
-        self.turns.extend(self.fitness.beat(late, took, self.now));
-        let lag = self.fitness.lasting_lag(self.now);
+        self.now += SAMPLE_INTERVAL + late;
+        self.turns
+            .extend(self.fitness.add_sample(late, took, self.now));
+        let lag = self.fitness.handover_lag(self.now);
         let stronger = is_clearly_stronger(OWN_MILLIS, self.remaining_millis());
         if let Some(lag) = lag.filter(|_| stronger && self.handed_over.is_none()) {
             self.handed_over = Some((self.now - self.begun, lag));
@@ -71,7 +72,7 @@
     }
 
     fn remaining_millis(&self) -> u64 {
-        self.fitness.left_of(OWN_MILLIS)
+        self.fitness.capacity_left(OWN_MILLIS)
     }
 }
 
@@ -145,16 +146,19 @@
 #[test]
 fn a_slow_instance_delays_its_candidacy_until_it_stays_normal() {
     let mut instance = Instance::steady();
-    assert!(standing_delay(instance.remaining_millis(), OWN_MILLIS).is_zero());
+    assert!(candidacy_delay(instance.remaining_millis(), OWN_MILLIS).is_zero());
     instance.sample_for(600, 1_600, SLOW_US);
-    assert!(!standing_delay(instance.remaining_millis(), OWN_MILLIS).is_zero());
+    assert!(!candidacy_delay(instance.remaining_millis(), OWN_MILLIS).is_zero());
     // A single normal span is not enough.
     instance.sample_for(5_000, 1_600, SLOW_US);
     instance.sample_for(500, ON_TIME_US, BASELINE_US);
-    assert!(!standing_delay(instance.remaining_millis(), OWN_MILLIS).is_zero());
+    assert!(!candidacy_delay(instance.remaining_millis(), OWN_MILLIS).is_zero());
     instance.sample_for(1_000, ON_TIME_US, BASELINE_US);
-    assert!(standing_delay(instance.remaining_millis(), OWN_MILLIS).is_zero());
-    assert!(matches!(instance.turns[..], [Turn::Slow(5), Turn::Well(_)]));
+    assert!(candidacy_delay(instance.remaining_millis(), OWN_MILLIS).is_zero());
+    assert!(matches!(
+        instance.turns[..],
+        [MachineHealthChange::Slow(5), MachineHealthChange::Normal(_)]
+    ));
 }
 
 #[test]
@@ -165,8 +169,8 @@
         instance.remaining_millis()
     };
     let (better, worse) = (slow(BASELINE_US * 3), slow(BASELINE_US * 6));
-    assert!(standing_delay(better, better).is_zero());
-    assert!(!standing_delay(worse, better).is_zero());
+    assert!(candidacy_delay(better, better).is_zero());
+    assert!(!candidacy_delay(worse, better).is_zero());
 }
 
 /// A machine that stays slow is judged by its new pace.
@@ -180,7 +184,7 @@
 #[test]
 fn a_new_process_does_not_judge_its_machine() {
     let now = time::Instant::now();
-    let fitness = Fitness::default();
+    let fitness = MachineHealth::default();
     let mut instance = Instance {
         fitness,
         begun: now,
--- a/crates/figscale-core/tests/fleet/proof.rs
+++ b/crates/figscale-core/tests/fleet/proof.rs
@@ -5,7 +5,7 @@
 
 use figscale_core::fleet::ConfigProof;
 use figscale_core::fleet::ProofStamp;
-use figscale_core::fleet::Told;
+use figscale_core::fleet::StampOutcome;
 
 use crate::kit::ms;
 
@@ -32,7 +32,7 @@
 fn a_watch_event_does_not_extend_a_proof() {
     let mut proof = ConfigProof::default();
     proof.read(7, ms(1_000));
-    proof.seen(8);
+    proof.record_watched(8);
     assert_eq!(proof.revision(), 8);
     assert!(!proof.holds(BOUND, ms(6_000)));
 }
@@ -60,7 +60,7 @@
     let stamp = leader.stamp(ms(103_000)).unwrap();
     let mut entry = ConfigProof::default();
     entry.read(7, ms(10_000));
-    assert_eq!(entry.told(stamp, ms(20_000)), Told::Confirmed);
+    assert_eq!(entry.told(stamp, ms(20_000)), StampOutcome::Confirmed);
     assert!(entry.holds(BOUND, ms(21_600)), "the stamp was 3 s old");
     assert!(!entry.holds(BOUND, ms(22_000)));
 }
@@ -76,13 +76,13 @@
         revision: 8,
         age_ms: 0,
     };
-    assert_eq!(entry.told(newer, ms(16_000)), Told::Outdated);
+    assert_eq!(entry.told(newer, ms(16_000)), StampOutcome::Outdated);
     assert!(!entry.holds(BOUND, ms(16_000)));
     let older = ProofStamp {
         revision: 6,
         age_ms: 0,
     };
-    assert_eq!(entry.told(older, ms(16_000)), Told::Confirmed);
+    assert_eq!(entry.told(older, ms(16_000)), StampOutcome::Confirmed);
     assert!(
         entry.holds(BOUND, ms(16_000)),
         "the known revision includes it"
--- a/crates/figscale-core/tests/fleet/silence.rs
+++ b/crates/figscale-core/tests/fleet/silence.rs
@@ -2,21 +2,21 @@
 
 use std::time;
 
-use figscale_core::fleet::AnswerTimes;
-use figscale_core::fleet::HELLO_PAUSE;
-use figscale_core::fleet::HELLO_TIMEOUT;
+use figscale_core::fleet::HEARTBEAT_INTERVAL;
+use figscale_core::fleet::HEARTBEAT_TIMEOUT;
+use figscale_core::fleet::LEADER_QUERY_TIMEOUT;
 use figscale_core::fleet::NotLeading;
 use figscale_core::fleet::PeerView;
-use figscale_core::fleet::SIGHTING_TIMEOUT;
-use figscale_core::fleet::SILENCE;
-use figscale_core::fleet::hello_pause;
+use figscale_core::fleet::ResponseTimes;
+use figscale_core::fleet::UNRESPONSIVE_AFTER;
+use figscale_core::fleet::heartbeat_interval;
 use figscale_core::fleet::is_lost;
-use figscale_core::fleet::member_silence;
+use figscale_core::fleet::member_timeout;
 use figscale_types::fleet::Epoch;
 use rstest::rstest;
 
-const MISSED: PeerView = PeerView::Heard(SILENCE);
-const HEARD: PeerView = PeerView::Heard(time::Duration::from_millis(399));
+const MISSED: PeerView = PeerView::LastResponse(UNRESPONSIVE_AFTER);
+const HEARD: PeerView = PeerView::LastResponse(time::Duration::from_millis(399));
 const UNREACHABLE: PeerView = PeerView::Unreachable;
 const UNKNOWN: PeerView = PeerView::Unknown;
 
@@ -30,13 +30,17 @@
 #[case::there_is_no_other(&[], false)]
 #[case::the_only_other_misses_it(&[MISSED], true)]
 fn a_leader_is_lost_once_most_peers_agree(#[case] peers: &[PeerView], #[case] lost: bool) {
-    assert_eq!(is_lost(SILENCE, peers, SILENCE), lost);
+    assert_eq!(is_lost(UNRESPONSIVE_AFTER, peers, UNRESPONSIVE_AFTER), lost);
 }
 
 #[test]
 fn a_leader_that_responds_here_is_not_lost() {
-    let heard = SILENCE - time::Duration::from_millis(1);
-    assert!(!is_lost(heard, &[MISSED, MISSED, MISSED], SILENCE));
+    let heard = UNRESPONSIVE_AFTER - time::Duration::from_millis(1);
+    assert!(!is_lost(
+        heard,
+        &[MISSED, MISSED, MISSED],
+        UNRESPONSIVE_AFTER
+    ));
 }
 
 /// Guards against time that counts for the wrong election winner. After all
@@ -66,15 +70,15 @@
 #[test]
 fn an_unresponsive_leader_is_detected_before_its_lease_ends() {
     let shortest_lease = time::Duration::from_millis(1_100);
-    let missed = HELLO_PAUSE + HELLO_TIMEOUT;
+    let missed = HEARTBEAT_INTERVAL + HEARTBEAT_TIMEOUT;
     assert!(
-        missed >= SILENCE,
+        missed >= UNRESPONSIVE_AFTER,
         "a peer would still report a recent response"
     );
-    assert!(missed + SIGHTING_TIMEOUT < time::Duration::from_millis(1_000));
-    assert!(missed + SIGHTING_TIMEOUT < shortest_lease);
-    let quick = AnswerTimes::default().allowed_silence();
-    assert!(is_lost(missed, &[PeerView::Heard(missed); 2], quick));
+    assert!(missed + LEADER_QUERY_TIMEOUT < time::Duration::from_millis(1_000));
+    assert!(missed + LEADER_QUERY_TIMEOUT < shortest_lease);
+    let quick = ResponseTimes::default().response_limit();
+    assert!(is_lost(missed, &[PeerView::LastResponse(missed); 2], quick));
 }
 
 /// Guards against heartbeats to the leader that grow with the number of
@@ -82,12 +86,13 @@
 /// core.
 #[test]
 fn heartbeats_of_many_instances_are_bounded() {
-    let per_second = |instances: usize| instances as f64 / hello_pause(instances).as_secs_f64();
-    assert_eq!(hello_pause(8), HELLO_PAUSE);
-    assert_eq!(hello_pause(97), HELLO_PAUSE);
+    let per_second =
+        |instances: usize| instances as f64 / heartbeat_interval(instances).as_secs_f64();
+    assert_eq!(heartbeat_interval(8), HEARTBEAT_INTERVAL);
+    assert_eq!(heartbeat_interval(97), HEARTBEAT_INTERVAL);
     for instances in [128, 300, 1_000, 3_000] {
         assert!(per_second(instances) <= 513.0, "{instances} instances");
-        assert!(member_silence(instances) >= hello_pause(instances) * 4);
+        assert!(member_timeout(instances) >= heartbeat_interval(instances) * 4);
     }
 }
 
@@ -102,11 +107,11 @@
 /// process that had ended.
 #[test]
 fn a_leader_that_becomes_slow_is_not_lost() {
-    let mut times = AnswerTimes::default();
+    let mut times = ResponseTimes::default();
     for took in [50, 150, 300, 500, 700].map(time::Duration::from_millis) {
-        let allowed = times.allowed_silence();
-        let unanswered_for = HELLO_PAUSE + took;
-        let peers = [PeerView::Heard(unanswered_for); 20];
+        let allowed = times.response_limit();
+        let unanswered_for = HEARTBEAT_INTERVAL + took;
+        let peers = [PeerView::LastResponse(unanswered_for); 20];
         assert!(
             !is_lost(unanswered_for, &peers, allowed),
             "{took:?} {allowed:?}"
@@ -118,9 +123,9 @@
 /// A slow leader is also replaced once it does not respond at all.
 #[test]
 fn a_slow_leader_without_power_is_replaced() {
-    let mut times = AnswerTimes::default();
+    let mut times = ResponseTimes::default();
     times.note(time::Duration::from_secs(10));
     let unanswered_for = time::Duration::from_secs(3);
-    let peers = [PeerView::Heard(unanswered_for); 20];
-    assert!(is_lost(unanswered_for, &peers, times.allowed_silence()));
+    let peers = [PeerView::LastResponse(unanswered_for); 20];
+    assert!(is_lost(unanswered_for, &peers, times.response_limit()));
 }
--- a/crates/figscale-core/tests/fleet/standing.rs
+++ b/crates/figscale-core/tests/fleet/standing.rs
@@ -3,11 +3,11 @@
 
 use std::time;
 
-use figscale_core::fleet::HELLO_PAUSE;
-use figscale_core::fleet::Sight;
+use figscale_core::fleet::HEARTBEAT_INTERVAL;
+use figscale_core::fleet::LeaderEvidence;
+use figscale_core::fleet::candidacy_delay;
 use figscale_core::fleet::is_clearly_stronger;
-use figscale_core::fleet::may_be_led;
-use figscale_core::fleet::standing_delay;
+use figscale_core::fleet::may_have_leader;
 use rstest::rstest;
 
 const LARGE: u64 = 500;
@@ -24,7 +24,7 @@
     #[case] strongest: u64,
     #[case] waits: bool,
 ) {
-    assert_eq!(standing_delay(own, strongest).is_zero(), !waits);
+    assert_eq!(candidacy_delay(own, strongest).is_zero(), !waits);
 }
 
 #[rstest]
@@ -48,10 +48,10 @@
 /// delay was only 0.15 s.
 #[test]
 fn a_strong_instance_that_detects_the_loss_last_still_runs_first() {
-    let detection = HELLO_PAUSE;
+    let detection = HEARTBEAT_INTERVAL;
     let spread = time::Duration::from_millis(40);
     let election = time::Duration::from_millis(60);
-    assert!(standing_delay(SMALL, LARGE) >= detection + spread + election);
+    assert!(candidacy_delay(SMALL, LARGE) >= detection + spread + election);
 }
 
 /// The store is unavailable for 4 s and leases expire meanwhile, while
@@ -65,13 +65,13 @@
 fn a_leader_may_exist_without_its_key(
     #[case] answered_ms_ago: Option<u64>,
     #[case] knows_leader: bool,
-    #[case] store_was_away: bool,
+    #[case] store_was_unavailable: bool,
     #[case] expected: bool,
 ) {
-    let observation = Sight {
+    let evidence = LeaderEvidence {
         answered_ago: answered_ms_ago.map(time::Duration::from_millis),
         knows_leader,
-        store_was_away,
+        store_was_unavailable,
     };
-    assert_eq!(may_be_led(observation), expected);
+    assert_eq!(may_have_leader(evidence), expected);
 }
--- a/crates/figscale/src/fleet/election.rs
+++ b/crates/figscale/src/fleet/election.rs
@@ -66,7 +66,7 @@
         // The cause is logged by the call to the store.
         if followed.is_err() {
             leadership::update_silently(&context, |known| known.store_was_unavailable = true);
-            let pause = scheduling::spread_over(RETRY_PAUSE, context.store.instances());
+            let pause = scheduling::scaled_interval(RETRY_PAUSE, context.store.instances());
             tokio::time::sleep(pause).await;
         }
     }
@@ -164,7 +164,7 @@
         false => JITTER_SPAN.mul_f64(fraction * 0.75 + 0.25),
     };
     let strongest_millis = context.leadership.borrow().strongest_millis;
-    jitter + scheduling::standing_delay(fitness::cpu_millis(context), strongest_millis)
+    jitter + scheduling::candidacy_delay(fitness::cpu_millis(context), strongest_millis)
 }
 
 /// Whether there is a leader.
@@ -190,16 +190,16 @@
             Vacancy::Unknown
         };
     }
-    let may_be_led = scheduling::may_be_led(scheduling::Sight {
+    let may_have_leader = scheduling::may_have_leader(scheduling::LeaderEvidence {
         answered_ago: known
             .answered_as_leader_at
             .map(|at| now.saturating_duration_since(at)),
         knows_leader: known.leader.is_some(),
-        store_was_away: known.store_was_unavailable,
+        store_was_unavailable: known.store_was_unavailable,
     });
     let until = known
         .vacant_since
-        .filter(|_| may_be_led)
+        .filter(|_| may_have_leader)
         .map(|since| since + scheduling::RENEWAL_GRACE);
     match until.filter(|until| now < *until) {
         Some(until) => Vacancy::In(until - now),
@@ -278,7 +278,7 @@
         return;
     }
     let own_millis = fitness::cpu_millis(context);
-    let delay = scheduling::standing_delay(own_millis, heads.strongest_millis);
+    let delay = scheduling::candidacy_delay(own_millis, heads.strongest_millis);
     tokio::time::sleep(delay).await;
 }
 
--- a/crates/figscale/src/fleet/fitness.rs
+++ b/crates/figscale/src/fleet/fitness.rs
@@ -16,7 +16,7 @@
 const WARM_UP_STEPS: u64 = 1_000;
 
 /// The samples of this instance, shared between tasks.
-pub(crate) type Shared = sync::Arc<sync::Mutex<fleet::Fitness>>;
+pub(crate) type Shared = sync::Arc<sync::Mutex<fleet::MachineHealth>>;
 
 /// Starts the sampling task.
 pub(super) fn start(context: &Context) {
@@ -26,42 +26,42 @@
 /// CPU capacity with which this instance could lead now, in thousandths of a core:
 /// its configured share, less on a machine that has become slow.
 pub(super) fn cpu_millis(context: &Context) -> u64 {
-    mutex::lock(&context.fitness).left_of(context.fleet.cpu_millis())
+    mutex::lock(&context.fitness).capacity_left(context.fleet.cpu_millis())
 }
 
 /// The lag because of which this instance should hand over leadership, if another
 /// instance can take it.
-pub(super) fn lasting_lag(context: &Context) -> Option<fleet::Lag> {
-    mutex::lock(&context.fitness).lasting_lag(context.clock.now())
+pub(super) fn handover_lag(context: &Context) -> Option<fleet::HandoverLag> {
+    mutex::lock(&context.fitness).handover_lag(context.clock.now())
 }
 
 async fn sample_periodically(context: Context) {
     loop {
         let begun = context.clock.now();
-        tokio::time::sleep(fleet::BEAT).await;
+        tokio::time::sleep(fleet::SAMPLE_INTERVAL).await;
         let woken = context.clock.now();
-        let late = woken.saturating_duration_since(begun + fleet::BEAT);
+        let late = woken.saturating_duration_since(begun + fleet::SAMPLE_INTERVAL);
         compute(WARM_UP_STEPS);
         let computing = context.clock.now();
         compute(STEPS);
         let now = context.clock.now();
         let took = now.saturating_duration_since(computing);
-        let change = mutex::lock(&context.fitness).beat(late, took, now);
+        let change = mutex::lock(&context.fitness).add_sample(late, took, now);
         if let Some(change) = change {
             log_change(change, late, took);
         }
     }
 }
 
-fn log_change(change: fleet::Turn, late: time::Duration, took: time::Duration) {
+fn log_change(change: fleet::MachineHealthChange, late: time::Duration, took: time::Duration) {
     match change {
-        fleet::Turn::Slow(times) => crate::event!(
+        fleet::MachineHealthChange::Slow(times) => crate::event!(
             events::fleet::INSTANCE_SLOW,
             times = times,
             took_us = took.as_micros(),
             late_us = late.as_micros()
         ),
-        fleet::Turn::Well(after) => crate::event!(
+        fleet::MachineHealthChange::Normal(after) => crate::event!(
             events::fleet::INSTANCE_WELL,
             slow_ms = after.as_millis(),
             took_us = took.as_micros()
--- a/crates/figscale/src/fleet/follow.rs
+++ b/crates/figscale/src/fleet/follow.rs
@@ -63,7 +63,7 @@
         asked_at: time::Duration,
     ) {
         let applied = mutex::lock(&self.proof).told(stamp, asked_at);
-        if applied == scheduling::Told::Outdated {
+        if applied == scheduling::StampOutcome::Outdated {
             self.outdated.notify_one();
         }
     }
@@ -134,7 +134,7 @@
 /// A pause that grows with the number of instances, so that all of them together
 /// do not call the store more often.
 fn scaled(context: &Context, pause: time::Duration) -> time::Duration {
-    scheduling::spread_over(pause, context.store.instances())
+    scheduling::scaled_interval(pause, context.store.instances())
 }
 
 /// Whether the leader's answers to heartbeats report new versions to this instance.
@@ -189,7 +189,9 @@
             );
         }
     }
-    context.config_proof.change(|proof| proof.seen(revision));
+    context
+        .config_proof
+        .change(|proof| proof.record_watched(revision));
 }
 
 fn put_in_force(context: &Context, revision: u64, table: fleet::QueueTable) {
--- a/crates/figscale/src/fleet/membership.rs
+++ b/crates/figscale/src/fleet/membership.rs
@@ -129,7 +129,7 @@
 
 async fn heartbeat_loop(context: Context) {
     let mut not_leading = fleet::NotLeading::default();
-    let answer_times = sync::Arc::new(sync::Mutex::new(fleet::AnswerTimes::default()));
+    let answer_times = sync::Arc::new(sync::Mutex::new(fleet::ResponseTimes::default()));
     let mut changes = context.leadership.subscribe();
     loop {
         let known = changes.borrow_and_update().clone();
@@ -140,14 +140,14 @@
             if outcome != Outcome::NotLeading {
                 not_leading.reset();
             }
-            let allowed = mutex::lock(&answer_times).allowed_silence();
+            let allowed = mutex::lock(&answer_times).response_limit();
             let cause = cause_of_end(&context, &leader, outcome, allowed, &mut not_leading).await;
             if let Some(cause) = cause {
                 mark_ended(&context, &leader, known.key_revision, cause);
             }
         }
         // A new leader gets a heartbeat at once.
-        let pause = fleet::hello_pause(context.store.instances());
+        let pause = fleet::heartbeat_interval(context.store.instances());
         let _ = tokio::time::timeout(pause, changes.changed()).await;
     }
 }
@@ -242,7 +242,7 @@
 }
 
 /// How quickly the leader answers.
-type SharedAnswerTimes = sync::Arc<sync::Mutex<fleet::AnswerTimes>>;
+type SharedAnswerTimes = sync::Arc<sync::Mutex<fleet::ResponseTimes>>;
 
 /// Sends one heartbeat to the leader. An overdue one continues in the background
 /// beside the next, since a late answer also shows that the leader is alive.
@@ -257,7 +257,7 @@
     }
     let heartbeat = call_leader(context.clone(), leader.clone(), answer_times.clone());
     let heartbeat = tokio::spawn(heartbeat);
-    match tokio::time::timeout(fleet::HELLO_TIMEOUT, heartbeat).await {
+    match tokio::time::timeout(fleet::HEARTBEAT_TIMEOUT, heartbeat).await {
         Ok(Ok(outcome)) => outcome,
         Ok(Err(_)) | Err(_) => Outcome::NoResponse,
     }
@@ -289,7 +289,7 @@
         let service = calls::LEADER_SERVICE;
         let answer = context
             .peers
-            .call(leader.address, service, &call, fleet::LATE_ANSWER)
+            .call(leader.address, service, &call, fleet::LATE_RESPONSE)
             .await;
         let took = context.clock.now().saturating_duration_since(begun);
         match answer {
@@ -303,7 +303,7 @@
                 if error.is_refused() {
                     return Outcome::Ended;
                 }
-                if took >= fleet::HELLO_TIMEOUT / 2 {
+                if took >= fleet::HEARTBEAT_TIMEOUT / 2 {
                     return Outcome::NoResponse;
                 }
             }
@@ -347,7 +347,7 @@
         context.store.set_roster(others);
     }
     let same = context.leadership.borrow().leader.as_ref() == Some(leader);
-    if took > fleet::HELLO_TIMEOUT && same {
+    if took > fleet::HEARTBEAT_TIMEOUT && same {
         record_contact(context, true);
     }
     Outcome::Welcome
@@ -383,12 +383,12 @@
 async fn ask_peers(context: &Context, leader: &leadership::Leader) -> Vec<fleet::PeerView> {
     let mut others = context.store.roster();
     others.retain(|address| *address != leader.address);
-    others.truncate(fleet::MAX_PEERS_ASKED);
+    others.truncate(fleet::MAX_PEERS_QUERIED);
     let calls = others.into_iter().map(|other| {
         let peers = context.peers.clone();
         async move {
             peers
-                .call(other, WHO_LEADS, &WhoLeads, fleet::SIGHTING_TIMEOUT)
+                .call(other, WHO_LEADS, &WhoLeads, fleet::LEADER_QUERY_TIMEOUT)
                 .await
         }
     });
@@ -411,7 +411,7 @@
 fn peer_view(observation: &LeaderObservation, leader: &leadership::Leader) -> fleet::PeerView {
     let same = observation.leader.as_ref() == Some(leader);
     match observation.heard_ms_ago {
-        Some(ago) if same => fleet::PeerView::Heard(time::Duration::from_millis(ago)),
+        Some(ago) if same => fleet::PeerView::LastResponse(time::Duration::from_millis(ago)),
         _ => fleet::PeerView::Unknown,
     }
 }
--- a/crates/figscale/src/fleet/relay/mod.rs
+++ b/crates/figscale/src/fleet/relay/mod.rs
@@ -112,12 +112,12 @@
         let carriers = self
             .relays
             .iter()
-            .map(|(member, relay)| scheduling::Carrier {
-                near: relay.failure_domain.as_str() == failure_domain,
-                set_aside: is_large(workers) && relay.link.is_ejected(now),
+            .map(|(member, relay)| scheduling::RelayCandidate {
+                in_failure_domain: relay.failure_domain.as_str() == failure_domain,
+                ejected: is_large(workers) && relay.link.is_ejected(now),
                 hash: hash::hash(&[member.as_str(), worker.as_str()]),
             });
-        let position = scheduling::choose_carrier(carriers)?;
+        let position = scheduling::choose_relay(carriers)?;
         let (_, relay) = self.relays.get_index(position)?;
         (is_large(workers) || !relay.link.is_ejected(now)).then(|| relay.link.clone())
     }
--- a/crates/figscale/src/fleet/term/members.rs
+++ b/crates/figscale/src/fleet/term/members.rs
@@ -145,7 +145,7 @@
 
     /// Starts a hand-over if a member is clearly stronger than this instance.
     fn yield_to_stronger(&mut self, id: &ids::MemberId, cpu_millis: u64) {
-        let lag = fitness::lasting_lag(&self.context);
+        let lag = fitness::handover_lag(&self.context);
         // The capacity of a slow machine is reduced only if it also lags.
         let own_millis = match lag {
             Some(_) => fitness::cpu_millis(&self.context),
@@ -178,7 +178,7 @@
     /// Removes the instances whose heartbeats stopped, and ends the term if most of
     /// them have been missing for too long.
     pub(super) fn drop_unresponsive_members(&mut self, now: time::Instant) {
-        let max_silence = fleet::member_silence(self.members.len());
+        let max_silence = fleet::member_timeout(self.members.len());
         let unresponsive = |member: &Member| now > member.heartbeat_at + max_silence;
         let lost: Vec<ids::MemberId> = self
             .members
