--- a/crates/figscale-core/examples/fleet_cost.rs
+++ b/crates/figscale-core/examples/fleet_cost.rs
@@ -68,7 +68,7 @@
             };
             let mut bench = bench(&setup)?;
             let pass = micros(&mut bench, |_| (), plan);
-            let scanned = bench.0.counts(bench.1).pass_looks;
+            let scanned = bench.0.counts(bench.1).pass_scans;
             let cores = cpu_millis / 1_000;
             println!("{workers:7}  {advised:6}  {cores:10}  {pass:20.1}  {scanned:5}");
         }
@@ -141,7 +141,7 @@
     let now = time::Instant::now();
     let mut scheduler = Scheduler::new(Config {
         // Accept the whole backlog.
-        max_of_objective_percent: 1_000_000,
+        max_percent_of_objective: 1_000_000,
         ..Config::default()
     });
     for number in 0..40 {
@@ -225,7 +225,7 @@
 /// Responds to each query that two workers in three may run the step.
 fn respond_to_queries(scheduler: &mut Scheduler, now: time::Instant) {
     for action in scheduler.take_actions() {
-        let Action::Ask(query) = action else {
+        let Action::QueryAdvice(query) = action else {
             continue;
         };
         let good = query.workers.iter().enumerate();
--- a/crates/figscale-core/src/fleet/action.rs
+++ b/crates/figscale-core/src/fleet/action.rs
@@ -8,7 +8,7 @@
 
 /// A query to the advisory service, sent through one entry instance.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Question {
+pub struct AdviceQuery {
     /// Entry instance that sends the query; each has at most one in flight.
     pub member: ids::MemberId,
     /// First task of the step.
@@ -39,16 +39,16 @@
         attempt: u32,
     },
     /// Query the advisory service.
-    Ask(Question),
+    QueryAdvice(AdviceQuery),
     /// End this term: a worker has received orders of a later one.
     StepDown,
     /// Write an entry to the log.
-    Tell(Note),
+    Log(LogEntry),
 }
 
 /// A log entry: a decision, or a change in what is known of jobs and workers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum LogEntry {
     /// A job has ended.
     JobEnded {
         /// The job.
@@ -76,7 +76,7 @@
         slack: Option<time::Duration>,
     },
     /// A step has been ready for long and has nothing running.
-    StepWaits {
+    StepStarved {
         /// First task of the step.
         task: fleet::TaskId,
         /// Time since the job's submission.
@@ -96,7 +96,7 @@
         asking: bool,
     },
     /// The advisory service responded which workers may run a step.
-    AdviceGiven {
+    AdviceReceived {
         /// First task of the step.
         task: fleet::TaskId,
         /// Entry instance that sent the query.
@@ -108,7 +108,7 @@
     },
     /// A run on an unresponsive or replaced worker is abandoned: it is taken as
     /// ended without a report.
-    RunGivenUp {
+    RunAbandoned {
         /// The task.
         task: fleet::TaskId,
         /// Attempt of the task.
@@ -153,7 +153,7 @@
         refusal: fleet::StartRefusal,
     },
     /// A worker is ejected: it receives no new work for a while.
-    WorkerSetAside {
+    WorkerEjected {
         /// The worker.
         worker: fleet::WorkerId,
         /// Reason for the ejection.
@@ -177,13 +177,13 @@
     },
     /// A worker recorded in an earlier term never reported in this one, and its
     /// lease is over.
-    WorkerUnheard {
+    WorkerNeverReported {
         /// The worker.
         worker: fleet::WorkerId,
     },
     /// An orphan run, which belongs to no open job or is not the current run of
     /// its task, is stopped.
-    StrayRun {
+    OrphanRun {
         /// The task.
         task: fleet::TaskId,
         /// Attempt of the task.
--- a/crates/figscale-core/src/fleet/admission.rs
+++ b/crates/figscale-core/src/fleet/admission.rs
@@ -61,7 +61,7 @@
     /// Longest time that a job may wait for other work and still be accepted.
     fn max_queueing_time(&self, job: &job::Job, now: time::Instant) -> time::Duration {
         let objective = job.objective_at.saturating_duration_since(job.submitted);
-        let longest = objective * self.config.max_of_objective_percent / 100;
+        let longest = objective * self.config.max_percent_of_objective / 100;
         let end_by = job.submitted + longest;
         let rounds = job.rounds.iter();
         let remaining = rounds.map(|round| round.remaining_ms(&job.description));
--- a/crates/figscale-core/src/fleet/advice.rs
+++ b/crates/figscale-core/src/fleet/advice.rs
@@ -13,8 +13,8 @@
 use figscale_types::ids;
 
 use super::action::Action;
-use super::action::Note;
-use super::action::Question;
+use super::action::AdviceQuery;
+use super::action::LogEntry;
 use super::job;
 use super::pass;
 use super::query::Breadth;
@@ -48,7 +48,7 @@
         if let Some(task) = channel.and_then(|channel| channel.in_flight)
             && let Some(step) = self.step_of(&task)
         {
-            step.advice.asking = None;
+            step.advice.pending_query = None;
         }
     }
 
@@ -59,7 +59,7 @@
     /// Applies the response to a query; `None` if there was no response.
     pub fn advice_answered(
         &mut self,
-        question: &Question,
+        question: &AdviceQuery,
         good: Option<Vec<fleet::Ticket>>,
         now: time::Instant,
     ) {
@@ -77,16 +77,16 @@
         };
         // The queried instance may have left since, and the step may have sent
         // another query through another one.
-        let current = step.advice.asking.as_ref();
+        let current = step.advice.pending_query.as_ref();
         if current.is_some_and(|sent| sent.member == question.member) {
-            step.advice.asking = None;
+            step.advice.pending_query = None;
         } else if good.is_none() {
             return;
         }
         self.channels.record_response(good.is_some());
         let Some(good) = good else {
             step.advice.not_before = Some(now + RETRY_PAUSE);
-            step.advice.promise = None;
+            step.advice.commitment = None;
             return;
         };
         let valid_ms = queue.advice.map_or(0, |advice| advice.valid_ms);
@@ -101,7 +101,7 @@
             step.advice.verdicts.insert(worker.clone(), false);
         }
         let fraction = good.len() as f64 / queried;
-        let note = Note::AdviceGiven {
+        let note = LogEntry::AdviceReceived {
             task: question.task,
             member: question.member.clone(),
             asked: question.workers.len(),
@@ -115,7 +115,7 @@
             };
             step.advice.tickets.insert(ticket.worker, held);
         }
-        self.actions.push(Action::Tell(note));
+        self.actions.push(Action::Log(note));
         if all_unknown {
             self.channels.learn(&queue.name, fraction);
         }
@@ -146,11 +146,11 @@
             let Some(advice) = self.step_of(&candidate.task).map(|step| &mut step.advice) else {
                 continue;
             };
-            let Some(expected) = expected.filter(|_| advice.asking.is_none()) else {
-                advice.lane_wanted_since = None;
+            let Some(expected) = expected.filter(|_| advice.pending_query.is_none()) else {
+                advice.channel_wanted_since = None;
                 continue;
             };
-            let since = *advice.lane_wanted_since.get_or_insert(pass.now);
+            let since = *advice.channel_wanted_since.get_or_insert(pass.now);
             if pass.now >= since + expected * MAX_CHANNEL_WAIT {
                 self.send_query_if_possible(candidate, Breadth::Needed, pass);
             }
@@ -203,20 +203,20 @@
         if let Some(channel) = self.channels.by_member.get_mut(&member) {
             channel.in_flight = Some(task);
         }
-        let answered_at = now + query.expected;
+        let response_due_at = now + query.expected;
         if let Some(step) = self.step_of(&task) {
-            step.advice.lane_wanted_since = None;
-            step.advice.asking = Some(job::Asking {
+            step.advice.channel_wanted_since = None;
+            step.advice.pending_query = Some(job::PendingQuery {
                 member: member.clone(),
                 workers: query.workers.iter().cloned().collect(),
-                answered_at,
+                response_due_at,
             });
-            step.advice.promise = query.reservation.map(|reservation| job::Promise {
+            step.advice.commitment = query.reservation.map(|reservation| job::Commitment {
                 reservation,
-                until: answered_at + RESPONSE_SLACK,
+                until: response_due_at + RESPONSE_SLACK,
             });
         }
-        self.actions.push(Action::Ask(Question {
+        self.actions.push(Action::QueryAdvice(AdviceQuery {
             member,
             task,
             workers: query.workers,
@@ -232,7 +232,7 @@
         };
         let in_flight = job
             .step(task)
-            .is_some_and(|step| step.advice.asking.is_some());
+            .is_some_and(|step| step.advice.pending_query.is_some());
         job.queue.advice.is_some_and(|policy| {
             let long = duration(&policy, 1) > LONG_QUERY;
             !in_flight && self.channels.free(long).is_some()
--- a/crates/figscale-core/src/fleet/crashes.rs
+++ b/crates/figscale-core/src/fleet/crashes.rs
@@ -26,7 +26,7 @@
 use serde::Serialize;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::job;
 use super::lease::millis;
 use super::scheduler;
@@ -379,7 +379,7 @@
         let Some(history) = history.filter(|history| has_to_fail(history)) else {
             return;
         };
-        self.actions.push(Action::Tell(Note::TaskCrashesWorkers {
+        self.actions.push(Action::Log(LogEntry::TaskCrashesWorkers {
             task: *task,
             losses: history.attempts(|_| true),
         }));
--- a/crates/figscale-core/src/fleet/customers.rs
+++ b/crates/figscale-core/src/fleet/customers.rs
@@ -178,7 +178,7 @@
                 left.used = left.used.plus(&run.room);
             }
         }
-        if !self.unheard.is_empty() {
+        if !self.not_yet_reported.is_empty() {
             self.add_unreported(&mut left);
         }
         Headroom {
@@ -189,7 +189,7 @@
 
     /// Adds what may be running on workers that have not reported in this term.
     fn add_unreported(&self, left: &mut IndexMap<CustomerName, LimitAndUse>) {
-        let unheard = self.unreported_room();
+        let unreported_room = self.unreported_room();
         let mut recorded: IndexMap<&CustomerName, fleet::Room> = IndexMap::new();
         for job in self.jobs.values().filter(|job| job.loaded) {
             if let Some(customer) = &job.customer {
@@ -199,7 +199,7 @@
         }
         for (customer, room) in recorded {
             if let Some(left) = left.get_mut(customer) {
-                left.used = left.used.plus(&room.least(&unheard));
+                left.used = left.used.plus(&room.least(&unreported_room));
             }
         }
     }
@@ -209,11 +209,11 @@
     fn unreported_room(&self) -> fleet::Room {
         let rooms = self.workers.values().map(|worker| worker.entry.room);
         let largest = rooms.fold(fleet::Room::default(), |largest, room| largest.most(&room));
-        let unheard = self.unheard.keys().map(|id| {
+        let unreported_rooms = self.not_yet_reported.keys().map(|id| {
             let worker = self.workers.get(id);
             worker.map_or(largest, |worker| worker.entry.room)
         });
-        unheard.fold(fleet::Room::default(), |sum, room| sum.plus(&room))
+        unreported_rooms.fold(fleet::Room::default(), |sum, room| sum.plus(&room))
     }
 
     /// Whether a gang of a job needs more than its customer's limit.
@@ -247,8 +247,8 @@
     for round in &job.rounds {
         for (step, occupied) in round.steps.iter().zip(&job.rooms) {
             let suspects = step.tasks.iter().filter(|task| task.suspect);
-            let unheard = suspects.filter(|task| task.is_waiting());
-            room = unheard.fold(room, |room, _| room.plus(occupied));
+            let not_found = suspects.filter(|task| task.is_waiting());
+            room = not_found.fold(room, |room, _| room.plus(occupied));
         }
     }
     room
--- a/crates/figscale-core/src/fleet/job.rs
+++ b/crates/figscale-core/src/fleet/job.rs
@@ -68,17 +68,17 @@
 
 /// A query to the advisory service that is in flight.
 #[derive(Clone, Debug)]
-pub(crate) struct Asking {
+pub(crate) struct PendingQuery {
     /// Entry instance that sent the query.
     pub(crate) member: ids::MemberId,
     pub(crate) workers: maps::WorkerSet,
-    pub(crate) answered_at: time::Instant,
+    pub(crate) response_due_at: time::Instant,
 }
 
 /// Commitment of a reservation to a gang while tickets for its workers are in
 /// flight.
 #[derive(Clone, Debug)]
-pub(crate) struct Promise {
+pub(crate) struct Commitment {
     pub(crate) reservation: reserve::Reservation,
     pub(crate) until: time::Instant,
 }
@@ -91,12 +91,12 @@
     /// Tickets held, by worker.
     pub(crate) tickets: maps::WorkerMap<HeldTicket>,
     /// The query in flight.
-    pub(crate) asking: Option<Asking>,
+    pub(crate) pending_query: Option<PendingQuery>,
     /// Workers that stay reserved until the response to the last query is due.
-    pub(crate) promise: Option<Promise>,
+    pub(crate) commitment: Option<Commitment>,
     /// Since when the overdue step has needed a query and found no free advice
     /// channel.
-    pub(crate) lane_wanted_since: Option<time::Instant>,
+    pub(crate) channel_wanted_since: Option<time::Instant>,
     /// Earliest time of the next query, after one without a response.
     pub(crate) not_before: Option<time::Instant>,
 }
--- a/crates/figscale-core/src/fleet/lease.rs
+++ b/crates/figscale-core/src/fleet/lease.rs
@@ -22,14 +22,14 @@
 
 impl Lease {
     /// Records a reading that has just arrived.
-    pub(crate) fn read(&mut self, clock_ms: u64, now: time::Instant) {
+    pub(crate) fn record_reading(&mut self, clock_ms: u64, now: time::Instant) {
         if self.reading.is_none_or(|(known, _)| clock_ms >= known) {
             self.reading = Some((clock_ms, now));
         }
     }
 
     /// Records a lease that was sent, whether or not it arrived.
-    pub(crate) fn sent(&mut self, until_clock_ms: u64) {
+    pub(crate) fn record_sent(&mut self, until_clock_ms: u64) {
         self.until_clock_ms = self.until_clock_ms.max(until_clock_ms);
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Time since the last reading.
-    pub(crate) fn silent_for(&self, now: time::Instant) -> Option<time::Duration> {
+    pub(crate) fn time_since_reading(&self, now: time::Instant) -> Option<time::Duration> {
         self.reading
             .map(|(_, at)| now.saturating_duration_since(at))
     }
--- a/crates/figscale-core/src/fleet/leaving.rs
+++ b/crates/figscale-core/src/fleet/leaving.rs
@@ -18,7 +18,7 @@
 use figscale_types::fleet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::scheduler;
 use super::worker;
 
@@ -60,7 +60,7 @@
             .map(|at| at.saturating_duration_since(now))
             .unwrap_or_default();
         let keys: Vec<worker::RunKey> = worker.runs.keys().copied().collect();
-        self.actions.push(Action::Tell(Note::WorkerEvacuated {
+        self.actions.push(Action::Log(LogEntry::WorkerEvacuated {
             worker: id.clone(),
             runs: keys.len(),
             leaves_in,
--- a/crates/figscale-core/src/fleet/losses.rs
+++ b/crates/figscale-core/src/fleet/lost_answers.rs
@@ -26,13 +26,13 @@
 
 /// Tracks when an answer of any worker was last lost.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Losses {
+pub struct LostAnswers {
     last: Option<time::Instant>,
 }
 
-impl Losses {
+impl LostAnswers {
     /// Records that a call to a responsive worker, or its answer, was lost.
-    pub fn note(&mut self, now: time::Instant) {
+    pub fn record_lost_answer(&mut self, now: time::Instant) {
         self.last = Some(now);
     }
 
--- a/crates/figscale-core/src/fleet/plan.rs
+++ b/crates/figscale-core/src/fleet/plan.rs
@@ -18,7 +18,7 @@
 use indexmap::IndexSet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::customers;
 use super::job;
 use super::open_workers;
@@ -76,7 +76,7 @@
     fn run_pass(&mut self, now: time::Instant, step_filter: pass::StepFilter) {
         let mut candidates = self.candidates(now);
         if candidates.is_empty() {
-            self.pass_looks = 0;
+            self.pass_scans = 0;
             return;
         }
         let headroom = self.headroom();
@@ -104,7 +104,7 @@
             }
         }
         self.send_queries(&pass);
-        self.pass_looks = pass.scans();
+        self.pass_scans = pass.scans();
     }
 
     fn free_capacity(&self, usable: &[usize]) -> pass::FreeCapacity {
@@ -155,9 +155,9 @@
         for candidate in candidates {
             let job = self.jobs.get(&candidate.task.job);
             let step = job.and_then(|job| job.step(&candidate.task));
-            let promise = step.and_then(|step| step.advice.promise.as_ref());
-            if let Some(promise) = promise.filter(|promise| promise.until > pass.now) {
-                pass.reserve(candidate.task, &promise.reservation);
+            let commitment = step.and_then(|step| step.advice.commitment.as_ref());
+            if let Some(commitment) = commitment.filter(|commitment| commitment.until > pass.now) {
+                pass.reserve(candidate.task, &commitment.reservation);
             }
         }
     }
@@ -272,7 +272,7 @@
         let Some(job) = self.jobs.get(&task.job).filter(|_| placed.tasks > 0) else {
             return;
         };
-        let note = Note::StepPlaced {
+        let note = LogEntry::StepPlaced {
             task: *task,
             tasks: placed.tasks,
             workers: placed.workers.len(),
@@ -280,7 +280,7 @@
             after: now.saturating_duration_since(job.submitted),
             slack: job.objective_at.checked_duration_since(now),
         };
-        self.actions.push(Action::Tell(note));
+        self.actions.push(Action::Log(note));
     }
 
     fn place_gang(
@@ -422,7 +422,7 @@
             return;
         };
         let expires_clock_ms = worker.lease.clock_ms(now).unwrap_or(0) + expiry_ms;
-        worker.lease.sent(expires_clock_ms);
+        worker.lease.record_sent(expires_clock_ms);
         task.attempt = attempt;
         task.state = job::TaskState::Placed {
             worker: worker_id.clone(),
--- a/crates/figscale-core/src/fleet/records.rs
+++ b/crates/figscale-core/src/fleet/records.rs
@@ -76,7 +76,7 @@
             .workers
             .iter()
             .filter(|(_, worker)| !worker.is_retired());
-        let ids = used.map(|(id, _)| id).chain(self.unheard.keys());
+        let ids = used.map(|(id, _)| id).chain(self.not_yet_reported.keys());
         let ids: maps::WorkerSet = ids.cloned().collect();
         // Workers that this record leaves out get no more work from now on.
         let mut recorded = self.recorded.clone();
@@ -103,7 +103,8 @@
     pub(crate) fn workers_record_differs(&self) -> bool {
         let used = |id: &fleet::WorkerId| {
             let worker = self.workers.get(id);
-            worker.is_some_and(|worker| !worker.is_retired()) || self.unheard.contains_key(id)
+            worker.is_some_and(|worker| !worker.is_retired())
+                || self.not_yet_reported.contains_key(id)
         };
         let gone = self.recorded.iter().any(|id| !used(id));
         gone || self.workers_record_outdated || self.has_unrecorded_workers()
--- a/crates/figscale-core/src/fleet/recovery.rs
+++ b/crates/figscale-core/src/fleet/recovery.rs
@@ -15,7 +15,7 @@
 use figscale_types::fleet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::durable;
 use super::durable::RecordKey;
 use super::job;
@@ -183,7 +183,7 @@
         // the time that the worker then takes to end its tasks.
         let until = now + self.config.lease * 11 / 10 + self.config.stop_limit;
         self.set_recorded(workers.iter().cloned().collect());
-        self.unheard = workers.into_iter().map(|worker| (worker, until)).collect();
+        self.not_yet_reported = workers.into_iter().map(|worker| (worker, until)).collect();
         self.recovering = true;
         for id in &self.open {
             let Some(job) = self.jobs.get_mut(id) else {
@@ -203,13 +203,14 @@
     pub(crate) fn check_recovery(&mut self, now: time::Instant) {
         let over =
             |(id, until): (&fleet::WorkerId, &time::Instant)| (now >= *until).then(|| id.clone());
-        let waited_for: Vec<fleet::WorkerId> = self.unheard.iter().filter_map(over).collect();
+        let waited_for: Vec<fleet::WorkerId> =
+            self.not_yet_reported.iter().filter_map(over).collect();
         for worker in waited_for {
-            self.unheard.swap_remove(&worker);
+            self.not_yet_reported.swap_remove(&worker);
             self.actions
-                .push(Action::Tell(Note::WorkerUnheard { worker }));
+                .push(Action::Log(LogEntry::WorkerNeverReported { worker }));
         }
-        if !self.recovering || !self.unheard.is_empty() {
+        if !self.recovering || !self.not_yet_reported.is_empty() {
             return;
         }
         self.recovering = false;
@@ -223,11 +224,11 @@
             }
         }
         let runs = self.workers.values().map(|worker| worker.runs.len()).sum();
-        let note = Note::Recovered {
+        let note = LogEntry::Recovered {
             open_jobs: open.len(),
             runs,
         };
-        self.actions.push(Action::Tell(note));
+        self.actions.push(Action::Log(note));
         self.fail_jobs_over_recorded_limit(now);
         self.stop_partial_gangs(now);
     }
--- a/crates/figscale-core/src/fleet/report.rs
+++ b/crates/figscale-core/src/fleet/report.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexSet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::job;
 use super::scheduler;
 use super::worker;
@@ -27,7 +27,7 @@
         let reading_ms = worker.lease.last_reading_ms();
         let lease_until_clock_ms = reading_ms.map(|clock_ms| clock_ms + lease_ms);
         if let Some(until) = lease_until_clock_ms {
-            worker.lease.sent(until);
+            worker.lease.record_sent(until);
         }
         Some(worker::ReportDue {
             acknowledged: worker.acknowledged,
@@ -52,7 +52,7 @@
         if first {
             // Runs of earlier terms may go on for any lease that was sent to it.
             let lease_ms = super::lease::millis(self.config.lease);
-            worker.lease.sent(report.clock_ms + lease_ms);
+            worker.lease.record_sent(report.clock_ms + lease_ms);
         }
         for run in &report.finished {
             self.apply_finished_run(id, run, now);
@@ -62,7 +62,7 @@
             self.apply_running(id, report, now);
             self.remove_missing_runs(id, report);
         }
-        if self.unheard.swap_remove(id).is_some() {
+        if self.not_yet_reported.swap_remove(id).is_some() {
             self.check_recovery(now);
         }
     }
@@ -89,16 +89,16 @@
         match run.end {
             fleet::End::Done => worker.health.succeeded(),
             fleet::End::Failed if worker.health.failed(run.task.job, now) => {
-                let note = Note::WorkerSetAside {
+                let note = LogEntry::WorkerEjected {
                     worker: id.clone(),
                     cause: "consecutive failures",
                 };
-                self.actions.push(Action::Tell(note));
+                self.actions.push(Action::Log(note));
             }
             _ => (),
         }
         if run.end != fleet::End::Done {
-            self.actions.push(Action::Tell(Note::RunEnded {
+            self.actions.push(Action::Log(LogEntry::RunEnded {
                 task: run.task,
                 attempt: run.attempt,
                 worker: id.clone(),
@@ -128,7 +128,7 @@
         match run.end {
             fleet::End::Done if !long_running => self.task_done(id, run, is_gang, now),
             fleet::End::Failed if !long_running => self.task_failed(id, run, is_gang, now),
-            _ => self.task_free_again(id, &(run.task, run.attempt)),
+            _ => self.requeue_task(id, &(run.task, run.attempt)),
         }
     }
 
@@ -186,7 +186,7 @@
             job::add_failed_attempt(&mut step.gang_failed_attempts, run.attempt);
             failures = failures.max(step.gang_failed_attempts.len());
         }
-        self.task_free_again(id, &(run.task, run.attempt));
+        self.requeue_task(id, &(run.task, run.attempt));
         if failures >= max_attempts as usize {
             self.end_job(run.task.job, fleet::JobState::Failed, now);
         }
@@ -303,7 +303,7 @@
             worker.add_run(key, run);
         }
         if !self.is_wanted(id, key) {
-            self.actions.push(Action::Tell(Note::StrayRun {
+            self.actions.push(Action::Log(LogEntry::OrphanRun {
                 task: running.task,
                 attempt: running.attempt,
                 worker: id.clone(),
@@ -348,7 +348,7 @@
         }
         for key in &keys {
             self.retract_loss(id, key);
-            self.task_free_again(id, key);
+            self.requeue_task(id, key);
         }
     }
 }
--- a/crates/figscale-core/src/fleet/reserve.rs
+++ b/crates/figscale-core/src/fleet/reserve.rs
@@ -169,8 +169,8 @@
 
 impl<'a> TicketTimes<'a> {
     fn of(job: &job::Job, step: &'a job::Step, now: time::Instant) -> Self {
-        let in_flight = step.advice.asking.as_ref();
-        let free_at = in_flight.map_or(now, |in_flight| in_flight.answered_at.max(now));
+        let in_flight = step.advice.pending_query.as_ref();
+        let free_at = in_flight.map_or(now, |in_flight| in_flight.response_due_at.max(now));
         let policy = job.queue.advice.as_ref();
         let response = policy.map(|policy| advice::duration(policy, 1));
         Self {
@@ -185,9 +185,9 @@
         if ticket.is_some_and(|ticket| ticket.valid_until > self.now) {
             return self.now;
         }
-        let in_flight = self.advice.asking.as_ref();
+        let in_flight = self.advice.pending_query.as_ref();
         match in_flight.filter(|in_flight| in_flight.workers.contains(worker)) {
-            Some(in_flight) => in_flight.answered_at.max(self.now),
+            Some(in_flight) => in_flight.response_due_at.max(self.now),
             None => self.next_query_at,
         }
     }
--- a/crates/figscale-core/src/fleet/scheduler.rs
+++ b/crates/figscale-core/src/fleet/scheduler.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexSet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::channels;
 use super::customers;
 use super::health;
@@ -31,7 +31,7 @@
     /// Time within which a start order has to reach its worker.
     pub start_expiry: time::Duration,
     /// Longest time since the last contact for a worker to get new work.
-    pub max_silence: time::Duration,
+    pub max_contact_age: time::Duration,
     /// Longest time since a worker's entry was last read for it to get new work,
     /// since its resources may have shrunk.
     pub max_entry_age: time::Duration,
@@ -39,7 +39,7 @@
     pub outcome_retention: time::Duration,
     /// A job that would take longer than this percentage of its latency objective
     /// is refused.
-    pub max_of_objective_percent: u32,
+    pub max_percent_of_objective: u32,
 }
 
 impl Default for Config {
@@ -53,7 +53,7 @@
             // A start without an answer occupies its resources for this time.
             start_expiry: time::Duration::from_millis(1_500),
             // Reports come every second at least.
-            max_silence: time::Duration::from_millis(1_700),
+            max_contact_age: time::Duration::from_millis(1_700),
             // Entries are read every 0.6 s.
             max_entry_age: time::Duration::from_millis(2_700),
             outcome_retention: time::Duration::from_secs(150),
@@ -61,7 +61,7 @@
             // 200 % small jobs are refused needlessly after a peak; above it
             // the effects of three times the usual traffic for 8 s last longer
             // (see `admission`).
-            max_of_objective_percent: 200,
+            max_percent_of_objective: 200,
         }
     }
 }
@@ -77,7 +77,7 @@
     /// is up to about 2 s old.
     pub waiting_steps: usize,
     /// How often the last placement pass examined a worker for a step.
-    pub pass_looks: usize,
+    pub pass_scans: usize,
     /// Runs on workers.
     pub runs: usize,
     /// Workers that may get new work.
@@ -99,7 +99,7 @@
     pub(crate) terms: customers::Terms,
     /// Workers of an earlier term that have not reported in this one, each with
     /// the time until which it may still have runs.
-    pub(crate) unheard: maps::WorkerMap<time::Instant>,
+    pub(crate) not_yet_reported: maps::WorkerMap<time::Instant>,
     pub(crate) recovering: bool,
     /// Workers that the record in the store names as those that may have runs.
     pub(crate) recorded: maps::WorkerSet,
@@ -115,8 +115,8 @@
     pub(crate) unsaved: unsaved::Unsaved,
     /// Starvation report: ready steps that have nothing running.
     pub(crate) starvation: starvation::Starvation,
-    /// Cost of the last placement pass; see [`Counts::pass_looks`].
-    pub(crate) pass_looks: usize,
+    /// Cost of the last placement pass; see [`Counts::pass_scans`].
+    pub(crate) pass_scans: usize,
     pub(crate) actions: Vec<Action>,
 }
 
@@ -130,7 +130,7 @@
             workers: maps::WorkerMap::default(),
             channels: channels::AdviceChannels::default(),
             terms: customers::Terms::default(),
-            unheard: maps::WorkerMap::default(),
+            not_yet_reported: maps::WorkerMap::default(),
             recovering: false,
             recorded: maps::WorkerSet::default(),
             workers_record_in_flight: false,
@@ -138,7 +138,7 @@
             workers_record_dirty: false,
             unsaved: unsaved::Unsaved::default(),
             starvation: starvation::Starvation::default(),
-            pass_looks: 0,
+            pass_scans: 0,
             actions: Vec::new(),
         }
     }
@@ -156,7 +156,7 @@
             open_jobs: open().count(),
             queued_jobs: open().filter(|job| !job.started).count(),
             waiting_steps: self.starvation.steps,
-            pass_looks: self.pass_looks,
+            pass_scans: self.pass_scans,
             runs: self.workers.values().map(|worker| worker.runs.len()).sum(),
             usable_workers: self.workers.values().filter(usable).count(),
             workers: self.workers.len(),
@@ -201,7 +201,7 @@
     /// Whether new work may be sent to a worker.
     pub(crate) fn is_usable(&self, worker: &worker::Worker, now: time::Instant) -> bool {
         let config = &self.config;
-        worker.recorded && worker.is_usable(config.max_silence, config.max_entry_age, now)
+        worker.recorded && worker.is_usable(config.max_contact_age, config.max_entry_age, now)
     }
 
     /// Workers that the platform lists, as of the last update.
@@ -240,7 +240,7 @@
     /// 1.7 s after its last report. Work that was sent there meanwhile has to wait
     /// until its lease is over, about 5 s, by which time short jobs are worthless;
     /// and packing sends many of them to the same worker.
-    pub fn worker_doubted(&mut self, id: &fleet::WorkerId, now: time::Instant) {
+    pub fn worker_call_failed(&mut self, id: &fleet::WorkerId, now: time::Instant) {
         let worker = self.workers.get_mut(id);
         if let Some(worker) = worker.filter(|worker| worker.unresponsive_since.is_none()) {
             worker.unresponsive_since = Some(now);
@@ -251,7 +251,7 @@
     /// Handles a worker that was replaced by another incarnation: its runs have
     /// ended.
     pub fn worker_replaced(&mut self, id: &fleet::WorkerId, now: time::Instant) {
-        self.unheard.swap_remove(id);
+        self.not_yet_reported.swap_remove(id);
         self.abandon_runs(id, now);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.replaced = true;
@@ -312,7 +312,7 @@
         if runs.is_empty() {
             return;
         }
-        let silent = worker.lease.silent_for(now).unwrap_or_default();
+        let silent = worker.lease.time_since_reading(now).unwrap_or_default();
         let last_contact = worker.lease.read_at();
         if !worker.entry.draining {
             for (key, loss) in self.losses(id, &runs, now) {
@@ -320,7 +320,7 @@
             }
         }
         for (key, run) in &runs {
-            self.actions.push(Action::Tell(Note::RunGivenUp {
+            self.actions.push(Action::Log(LogEntry::RunAbandoned {
                 task: key.0,
                 attempt: key.1,
                 worker: id.clone(),
@@ -328,13 +328,13 @@
                 begun: run.is_confirmed(),
                 age: run.age_at(last_contact),
             }));
-            self.task_free_again(id, key);
+            self.requeue_task(id, key);
         }
-        let note = Note::WorkerLost {
+        let note = LogEntry::WorkerLost {
             worker: id.clone(),
             runs: runs.len(),
         };
-        self.actions.push(Action::Tell(note));
+        self.actions.push(Action::Log(note));
         for key in runs.keys() {
             self.fail_job_if_over_loss_limit(&key.0, now);
         }
@@ -349,7 +349,7 @@
             return;
         }
         job.finish(state);
-        let note = Note::JobEnded {
+        let note = LogEntry::JobEnded {
             job: id,
             state,
             after: now.saturating_duration_since(job.submitted),
@@ -357,7 +357,7 @@
         };
         self.open.shift_remove(&id);
         self.unsaved.change(id);
-        self.actions.push(Action::Tell(note));
+        self.actions.push(Action::Log(note));
         self.stop_job(id, now);
     }
 
--- a/crates/figscale-core/src/fleet/starts.rs
+++ b/crates/figscale-core/src/fleet/starts.rs
@@ -9,7 +9,7 @@
 use figscale_types::fleet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::scheduler;
 use super::worker;
 
@@ -73,7 +73,7 @@
         refusal: fleet::StartRefusal,
         now: time::Instant,
     ) {
-        self.actions.push(Action::Tell(Note::StartRefused {
+        self.actions.push(Action::Log(LogEntry::StartRefused {
             task: key.0,
             attempt: key.1,
             worker: id.clone(),
@@ -86,7 +86,7 @@
             worker.remove_run(&key);
         }
         self.retract_loss(id, &key);
-        self.task_free_again(id, &key);
+        self.requeue_task(id, &key);
         match refusal {
             fleet::StartRefusal::StaleEpoch => self.actions.push(Action::StepDown),
             fleet::StartRefusal::OtherLife => self.worker_replaced(id, now),
--- a/crates/figscale-core/src/fleet/starvation.rs
+++ b/crates/figscale-core/src/fleet/starvation.rs
@@ -14,7 +14,7 @@
 use indexmap::IndexSet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::job;
 use super::pass;
 use super::reserve;
@@ -76,14 +76,14 @@
         waiting.sort_unstable();
         waiting.truncate(MAX_REPORTED);
         let notes = self.starvation_notes(&waiting, now);
-        self.actions.extend(notes.into_iter().map(Action::Tell));
+        self.actions.extend(notes.into_iter().map(Action::Log));
     }
 
     fn starvation_notes(
         &self,
         waiting: &[(time::Instant, fleet::TaskId)],
         now: time::Instant,
-    ) -> Vec<Note> {
+    ) -> Vec<LogEntry> {
         if waiting.is_empty() {
             return Vec::new();
         }
@@ -135,12 +135,12 @@
         task: &fleet::TaskId,
         usable: &[Usable<'_>],
         now: time::Instant,
-    ) -> Option<Note> {
+    ) -> Option<LogEntry> {
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task)?;
         let description = job.step_description(task)?;
         let slots = slots_for(job, step, description, usable, now);
-        Some(Note::StepWaits {
+        Some(LogEntry::StepStarved {
             task: *task,
             waits: now.saturating_duration_since(job.submitted),
             tasks: step.waiting(),
@@ -148,7 +148,7 @@
             good_slots: slots.good,
             ticket_slots: slots.ticket,
             free_slots: slots.free,
-            asking: step.advice.asking.is_some(),
+            asking: step.advice.pending_query.is_some(),
         })
     }
 }
--- a/crates/figscale-core/src/fleet/stops.rs
+++ b/crates/figscale-core/src/fleet/stops.rs
@@ -6,7 +6,7 @@
 use figscale_types::fleet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::job;
 use super::scheduler;
 use super::worker;
@@ -20,7 +20,7 @@
 impl scheduler::Scheduler {
     /// Makes a task startable again after a run that ended without finishing it.
     /// The rest of its gang is stopped.
-    pub(crate) fn task_free_again(&mut self, worker: &fleet::WorkerId, key: &worker::RunKey) {
+    pub(crate) fn requeue_task(&mut self, worker: &fleet::WorkerId, key: &worker::RunKey) {
         let (id, attempt) = key;
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
@@ -169,10 +169,10 @@
             return;
         }
         worker.health.eject(now);
-        let note = Note::WorkerSetAside {
+        let note = LogEntry::WorkerEjected {
             worker: id.clone(),
             cause,
         };
-        self.actions.push(Action::Tell(note));
+        self.actions.push(Action::Log(note));
     }
 }
--- a/crates/figscale-core/src/fleet/check.rs
+++ b/crates/figscale-core/src/fleet/validation.rs
@@ -14,7 +14,7 @@
 
 /// Returns a message about the first fault of a job description, for its caller;
 /// `None` if it is valid.
-pub fn fault_of(job: &fleet::JobDescription) -> Option<String> {
+pub fn validation_error(job: &fleet::JobDescription) -> Option<String> {
     if job.steps.is_empty() || job.steps.len() > MAX_STEPS {
         let steps = job.steps.len();
         return Some(format!("{steps} steps: expected 1 to {MAX_STEPS}"));
--- a/crates/figscale-core/src/fleet/worker.rs
+++ b/crates/figscale-core/src/fleet/worker.rs
@@ -199,22 +199,22 @@
 
     /// Records a report or response of the worker.
     pub(crate) fn record_contact(&mut self, clock_ms: u64, now: time::Instant) {
-        self.lease.read(clock_ms, now);
+        self.lease.record_reading(clock_ms, now);
         self.unresponsive_since = None;
     }
 
-    /// Whether new work may be sent. `max_silence` bounds the time since the
+    /// Whether new work may be sent. `max_contact_age` bounds the time since the
     /// last report, `max_entry_age` that since the last read of its entry.
     pub(crate) fn is_usable(
         &self,
-        max_silence: time::Duration,
+        max_contact_age: time::Duration,
         max_entry_age: time::Duration,
         now: time::Instant,
     ) -> bool {
         let up_to_date = self
             .lease
-            .silent_for(now)
-            .is_some_and(|elapsed| elapsed <= max_silence);
+            .time_since_reading(now)
+            .is_some_and(|elapsed| elapsed <= max_contact_age);
         let up_to_date = up_to_date
             && self
                 .entry_read_at
--- a/crates/figscale-core/tests/fleet/backlog.rs
+++ b/crates/figscale-core/tests/fleet/backlog.rs
@@ -17,8 +17,8 @@
 use std::thread;
 
 use figscale_core::fleet::Admission;
-use figscale_core::fleet::Note;
-use figscale_core::fleet::Question;
+use figscale_core::fleet::AdviceQuery;
+use figscale_core::fleet::LogEntry;
 use figscale_types::fleet;
 use indexmap::IndexMap;
 use rstest::rstest;
@@ -96,7 +96,7 @@
     /// Accepted gangs.
     gangs: Vec<u64>,
     /// Queries in flight, with the times of their responses.
-    pending_queries: Vec<(u64, Question)>,
+    pending_queries: Vec<(u64, AdviceQuery)>,
     ends: IndexMap<(fleet::TaskId, u32), u64>,
     /// How much later than expected responses arrive.
     response_delay_ms: u64,
@@ -170,7 +170,7 @@
         }
         let notes = self.cluster.notes.iter();
         let ended = notes.filter_map(|note| match note {
-            Note::JobEnded { job, late, .. } => Some((job.0, *late)),
+            LogEntry::JobEnded { job, late, .. } => Some((job.0, *late)),
             _ => None,
         });
         let ended: IndexMap<u64, bool> = ended.collect();
--- a/crates/figscale-core/tests/fleet/callers.rs
+++ b/crates/figscale-core/tests/fleet/callers.rs
@@ -1,7 +1,7 @@
 //! Responses to callers: admission, job states, refusals.
 
 use figscale_core::fleet::Admission;
-use figscale_core::fleet::fault_of;
+use figscale_core::fleet::validation_error;
 use figscale_types::fleet::JobState;
 use figscale_types::fleet::StepDescription;
 use rstest::rstest;
@@ -114,7 +114,7 @@
     #[case] steps: Vec<StepDescription>,
     #[case] why: &str,
 ) {
-    let fault = fault_of(&kit::job(steps)).unwrap();
+    let fault = validation_error(&kit::job(steps)).unwrap();
     assert!(fault.contains(why), "{fault}");
 }
 
@@ -124,8 +124,8 @@
         occurrences: u32::MAX,
         ..kit::job(vec![kit::step(1, 1)])
     };
-    assert!(fault_of(&repeated).is_some());
-    assert!(fault_of(&kit::job(vec![kit::step(60, 1), after(0)])).is_none());
+    assert!(validation_error(&repeated).is_some());
+    assert!(validation_error(&kit::job(vec![kit::step(60, 1), after(0)])).is_none());
 }
 
 fn after(step: u32) -> StepDescription {
--- a/crates/figscale-core/tests/fleet/crashes.rs
+++ b/crates/figscale-core/tests/fleet/crashes.rs
@@ -170,7 +170,9 @@
     let task = kit::task(1, 0, 0);
     let host_worker = cluster.host_worker(task).unwrap();
     for _ in 0..6 {
-        cluster.scheduler.worker_doubted(&host_worker, cluster.now);
+        cluster
+            .scheduler
+            .worker_call_failed(&host_worker, cluster.now);
         cluster.settle();
     }
     cluster.crash(&host_worker);
--- a/crates/figscale-core/tests/fleet/gang_limits.rs
+++ b/crates/figscale-core/tests/fleet/gang_limits.rs
@@ -3,7 +3,7 @@
 
 use std::time;
 
-use figscale_core::fleet::Question;
+use figscale_core::fleet::AdviceQuery;
 use figscale_types::fleet;
 use indexmap::IndexMap;
 
@@ -15,7 +15,7 @@
 /// A test cluster whose advisory service takes the expected time of each query.
 struct SlowAdvisory<'a> {
     cluster: TestCluster,
-    pending_queries: Vec<(time::Instant, Question)>,
+    pending_queries: Vec<(time::Instant, AdviceQuery)>,
     good: &'a dyn Fn(usize) -> bool,
     queries: usize,
     since: IndexMap<fleet::TaskId, time::Instant>,
--- a/crates/figscale-core/tests/fleet/hopeless.rs
+++ b/crates/figscale-core/tests/fleet/hopeless.rs
@@ -30,7 +30,7 @@
 /// A fleet with free processor but no free memory, and quick jobs that wait.
 fn fleet_without_memory(queue: &fleet::Queue) -> TestCluster {
     let config = Config {
-        max_of_objective_percent: 1_000_000,
+        max_percent_of_objective: 1_000_000,
         ..Config::default()
     };
     let mut cluster = TestCluster::with_config(WORKERS, 64, config);
@@ -57,8 +57,8 @@
     reference.plan_trying_all(cluster.now);
     cluster.scheduler.plan(cluster.now);
     assert_eq!(cluster.scheduler.take_actions(), reference.take_actions());
-    let scanned = cluster.scheduler.counts(cluster.now).pass_looks;
-    let scanned_trying_all = reference.counts(cluster.now).pass_looks;
+    let scanned = cluster.scheduler.counts(cluster.now).pass_scans;
+    let scanned_trying_all = reference.counts(cluster.now).pass_scans;
     println!("{scanned} workers scanned, {scanned_trying_all} when all steps are tried");
     assert!(scanned <= 2 * WORKERS, "{scanned}");
     assert!(scanned_trying_all > 500 * WORKERS, "{scanned_trying_all}");
@@ -135,8 +135,8 @@
     cluster.scheduler.plan(cluster.now);
     let decided = cluster.scheduler.clone().take_actions();
     assert_eq!(decided, reference.take_actions());
-    let scanned = cluster.scheduler.counts(cluster.now).pass_looks;
-    assert!(scanned <= reference.counts(cluster.now).pass_looks);
+    let scanned = cluster.scheduler.counts(cluster.now).pass_scans;
+    assert!(scanned <= reference.counts(cluster.now).pass_scans);
     !decided.is_empty()
 }
 
@@ -144,7 +144,7 @@
 fn simulate(seed: u64) -> usize {
     let mut random = RandomSource(seed);
     let config = Config {
-        max_of_objective_percent: 1_000_000,
+        max_percent_of_objective: 1_000_000,
         ..Config::default()
     };
     let mut cluster = TestCluster::with_config(0, 64, config);
--- a/crates/figscale-core/tests/fleet/kit.rs
+++ b/crates/figscale-core/tests/fleet/kit.rs
@@ -6,9 +6,9 @@
 
 use figscale_core::fleet::Action;
 use figscale_core::fleet::Admission;
+use figscale_core::fleet::AdviceQuery;
 use figscale_core::fleet::Config;
-use figscale_core::fleet::Note;
-use figscale_core::fleet::Question;
+use figscale_core::fleet::LogEntry;
 use figscale_core::fleet::Record;
 use figscale_core::fleet::RecordKey;
 use figscale_core::fleet::Records;
@@ -108,11 +108,11 @@
 
 /// Tickets for those workers of a query that may run its step. `good` takes the
 /// number of a worker.
-pub(crate) fn tickets(query: &Question, good: impl Fn(usize) -> bool) -> Vec<fleet::Ticket> {
+pub(crate) fn tickets(query: &AdviceQuery, good: impl Fn(usize) -> bool) -> Vec<fleet::Ticket> {
     tickets_of(query, |id| good(id.as_str()[2..].parse().unwrap()))
 }
 
-fn tickets_of(query: &Question, good: impl Fn(&fleet::WorkerId) -> bool) -> Vec<fleet::Ticket> {
+fn tickets_of(query: &AdviceQuery, good: impl Fn(&fleet::WorkerId) -> bool) -> Vec<fleet::Ticket> {
     let good = query.workers.iter().filter(|id| good(id));
     let tickets = good.map(|id| fleet::Ticket {
         worker: id.clone(),
@@ -155,8 +155,8 @@
     pub(crate) wall_ms: u64,
     pub(crate) workers: IndexMap<fleet::WorkerId, FakeWorker>,
     pub(crate) store: IndexMap<RecordKey, Vec<u8>>,
-    pub(crate) queries: Vec<Question>,
-    pub(crate) notes: Vec<Note>,
+    pub(crate) queries: Vec<AdviceQuery>,
+    pub(crate) notes: Vec<LogEntry>,
     pub(crate) stops: Vec<(fleet::WorkerId, fleet::TaskId, u32)>,
     pub(crate) stepped_down: bool,
     /// Whether the store takes records and returns worker entries.
@@ -364,9 +364,9 @@
                     task,
                     attempt,
                 } => self.stop(worker, task, attempt),
-                Action::Ask(query) => self.queries.push(query),
+                Action::QueryAdvice(query) => self.queries.push(query),
                 Action::StepDown => self.stepped_down = true,
-                Action::Tell(note) => self.notes.push(note),
+                Action::Log(note) => self.notes.push(note),
             }
         }
         any
@@ -410,7 +410,7 @@
         worker.reachable = false;
         worker.running.clear();
         worker.finished.clear();
-        self.scheduler.worker_doubted(id, self.now);
+        self.scheduler.worker_call_failed(id, self.now);
         self.settle();
     }
 
@@ -464,7 +464,7 @@
 
     /// Responds to the oldest query; `good` decides which workers may run the
     /// step.
-    pub(crate) fn respond(&mut self, good: impl Fn(&fleet::WorkerId) -> bool) -> Question {
+    pub(crate) fn respond(&mut self, good: impl Fn(&fleet::WorkerId) -> bool) -> AdviceQuery {
         let query = self.queries.remove(0);
         let tickets = tickets_of(&query, good);
         self.scheduler
--- a/crates/figscale-core/tests/fleet/load.rs
+++ b/crates/figscale-core/tests/fleet/load.rs
@@ -99,9 +99,9 @@
 }
 
 impl Load {
-    fn new(max_of_objective_percent: u32, seed: u64) -> Self {
+    fn new(max_percent_of_objective: u32, seed: u64) -> Self {
         let config = Config {
-            max_of_objective_percent,
+            max_percent_of_objective,
             ..Config::default()
         };
         Self {
@@ -250,11 +250,11 @@
 }
 
 /// Means over all seeds: the fraction earned, and the jobs refused of 1,000.
-fn simulate(max_of_objective_percent: u32) -> (f64, usize) {
+fn simulate(max_percent_of_objective: u32) -> (f64, usize) {
     let outcomes: Vec<Outcome> = (1..=SEEDS)
-        .map(|seed| Load::new(max_of_objective_percent, seed).simulate())
+        .map(|seed| Load::new(max_percent_of_objective, seed).simulate())
         .collect();
-    println!("{max_of_objective_percent} percent: {outcomes:?}");
+    println!("{max_percent_of_objective} percent: {outcomes:?}");
     let earned: f64 = outcomes.iter().map(|outcome| outcome.earned).sum();
     let refused: usize = outcomes.iter().map(|outcome| outcome.refused).sum();
     (earned / SEEDS as f64, refused / SEEDS as usize)
@@ -265,7 +265,7 @@
 #[test]
 fn accepting_possibly_late_jobs_earns_more_over_two_peaks() {
     let strict = simulate(100);
-    let lenient = simulate(Config::default().max_of_objective_percent);
+    let lenient = simulate(Config::default().max_percent_of_objective);
     println!("earned, and refused of 1,000: strict {strict:?}, lenient {lenient:?}");
     assert!(lenient.0 > strict.0 + 0.05);
     assert!(lenient.1 < strict.1);
--- a/crates/figscale-core/tests/fleet/losses.rs
+++ b/crates/figscale-core/tests/fleet/losses.rs
@@ -10,7 +10,7 @@
 
 use std::time;
 
-use figscale_core::fleet::Losses;
+use figscale_core::fleet::LostAnswers;
 
 use crate::kit;
 use crate::kit::TestCluster;
@@ -18,11 +18,11 @@
 #[test]
 fn report_waits_are_shorter_while_responses_get_lost() {
     let now = time::Instant::now();
-    let mut losses = Losses::default();
+    let mut losses = LostAnswers::default();
     let usual = losses.report_wait(now);
-    losses.note(now);
+    losses.record_lost_answer(now);
     assert!(losses.report_wait(now + kit::ms(1_000)) * 3 < usual);
-    losses.note(now + kit::ms(2_000));
+    losses.record_lost_answer(now + kit::ms(2_000));
     assert!(losses.report_wait(now + kit::ms(4_000)) < usual);
     assert_eq!(losses.report_wait(now + kit::ms(6_000)), usual);
 }
@@ -32,7 +32,7 @@
     let mut cluster = TestCluster::new(2);
     cluster
         .scheduler
-        .worker_doubted(&kit::worker_id(0), cluster.now);
+        .worker_call_failed(&kit::worker_id(0), cluster.now);
     let queue = kit::queue(0);
     assert_eq!(
         cluster.submit(1, &queue, kit::job(vec![kit::step(4, 1)])),
@@ -50,7 +50,7 @@
     cluster.worker(1).reachable = false;
     cluster
         .scheduler
-        .worker_doubted(&kit::worker_id(1), cluster.now);
+        .worker_call_failed(&kit::worker_id(1), cluster.now);
     cluster.run(2, &queue, vec![kit::step(4, 1)]);
     assert_eq!(cluster.worker(0).running.len(), 4);
 }
--- a/crates/figscale-core/tests/fleet/passes.rs
+++ b/crates/figscale-core/tests/fleet/passes.rs
@@ -18,7 +18,7 @@
 use std::mem;
 
 use figscale_core::fleet::Admission;
-use figscale_core::fleet::Question;
+use figscale_core::fleet::AdviceQuery;
 use figscale_types::fleet;
 
 use crate::kit;
@@ -79,7 +79,7 @@
 }
 
 /// Responds that one worker in three may run a gang.
-fn respond_to(cluster: &mut TestCluster, query: &Question) {
+fn respond_to(cluster: &mut TestCluster, query: &AdviceQuery) {
     let job = query.task.job.0;
     let tickets = kit::tickets(query, |worker| (worker as u64 + job).is_multiple_of(3));
     cluster
@@ -91,7 +91,7 @@
 fn workers_scanned_by_a_pass(cluster: &mut TestCluster) -> usize {
     cluster.scheduler.plan(cluster.now);
     assert!(cluster.scheduler.take_actions().is_empty());
-    cluster.scheduler.counts(cluster.now).pass_looks
+    cluster.scheduler.counts(cluster.now).pass_scans
 }
 
 /// A pass that can start and query nothing costs little, however many gangs
--- a/crates/figscale-core/tests/fleet/starving.rs
+++ b/crates/figscale-core/tests/fleet/starving.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use figscale_core::fleet::Admission;
-use figscale_core::fleet::Question;
+use figscale_core::fleet::AdviceQuery;
 use figscale_types::fleet;
 use indexmap::IndexMap;
 
@@ -20,7 +20,7 @@
 struct SimulatedFleet {
     cluster: TestCluster,
     /// Queries in flight, with the times of their responses.
-    pending_queries: Vec<(time::Instant, Question)>,
+    pending_queries: Vec<(time::Instant, AdviceQuery)>,
     good: fn(usize) -> bool,
     advisory_responds: bool,
     lengths_ms: IndexMap<u64, u64>,
--- a/crates/figscale-core/tests/fleet/terms/leaders.rs
+++ b/crates/figscale-core/tests/fleet/terms/leaders.rs
@@ -2,7 +2,7 @@
 
 use figscale_core::fleet::Action;
 use figscale_core::fleet::Config;
-use figscale_core::fleet::Note;
+use figscale_core::fleet::LogEntry;
 use figscale_core::fleet::Record;
 use figscale_core::fleet::RecordKey;
 use figscale_core::fleet::Scheduler;
@@ -165,10 +165,10 @@
                     self.send(delay, Event::StopArrives(number, worker, task, attempt));
                 }
                 Action::StepDown => self.leaders[number].alive = false,
-                Action::Tell(Note::TaskCrashesWorkers { task, losses }) => {
+                Action::Log(LogEntry::TaskCrashesWorkers { task, losses }) => {
                     self.check_permanent_failure(task, losses);
                 }
-                Action::Ask(_) | Action::Tell(_) => (),
+                Action::QueryAdvice(_) | Action::Log(_) => (),
             }
         }
         self.send_listing(number);
@@ -350,7 +350,7 @@
             CallResult::Report(report) => leader.scheduler.worker_reported(id, report, now),
             CallResult::StaleEpoch => leader.alive = false,
             CallResult::OtherIncarnation => leader.scheduler.worker_replaced(id, now),
-            CallResult::Nothing => leader.scheduler.worker_doubted(id, now),
+            CallResult::Nothing => leader.scheduler.worker_call_failed(id, now),
         }
         let unacknowledged = leader.scheduler.has_unacknowledged(id);
         let pause_ms = match call_result {
--- a/crates/figscale-core/tests/fleet/trouble.rs
+++ b/crates/figscale-core/tests/fleet/trouble.rs
@@ -1,7 +1,7 @@
 //! Workers that fail tasks, hang, become unresponsive or return as a new
 //! incarnation.
 
-use figscale_core::fleet::Note;
+use figscale_core::fleet::LogEntry;
 use figscale_types::fleet;
 use figscale_types::fleet::End;
 use figscale_types::fleet::StartOutcome;
@@ -85,8 +85,7 @@
         }
     }
     cluster.settle();
-    let set_aside =
-        |note: &Note| matches!(note, Note::WorkerSetAside { worker, .. } if *worker == host_worker);
+    let set_aside = |note: &LogEntry| matches!(note, LogEntry::WorkerEjected { worker, .. } if *worker == host_worker);
     assert!(cluster.notes.iter().any(set_aside));
     assert!(cluster.workers[&host_worker].running.is_empty());
     cluster.advance(3_100);
@@ -113,7 +112,7 @@
         !cluster
             .notes
             .iter()
-            .any(|note| matches!(note, Note::WorkerSetAside { .. }))
+            .any(|note| matches!(note, LogEntry::WorkerEjected { .. }))
     );
 }
 
--- a/crates/figscale-core/tests/fleet/waits.rs
+++ b/crates/figscale-core/tests/fleet/waits.rs
@@ -1,7 +1,7 @@
 //! Starvation reports: what is logged of steps that are ready but have nothing
 //! running.
 
-use figscale_core::fleet::Note;
+use figscale_core::fleet::LogEntry;
 use figscale_types::fleet;
 use figscale_types::fleet::End;
 
@@ -24,7 +24,7 @@
 fn reports(cluster: &mut TestCluster) -> Vec<(u64, StepReport)> {
     let notes = std::mem::take(&mut cluster.notes);
     let waits = notes.into_iter().filter_map(|note| match note {
-        Note::StepWaits {
+        LogEntry::StepStarved {
             task,
             waits,
             tasks,
--- a/crates/figscale/src/fleet/entry/submit.rs
+++ b/crates/figscale/src/fleet/entry/submit.rs
@@ -103,7 +103,7 @@
 
 /// The job itself if it is valid, or else the fault.
 fn validated(job: fleet::JobDescription) -> Result<fleet::JobDescription, String> {
-    match scheduling::fault_of(&job) {
+    match scheduling::validation_error(&job) {
         Some(fault) => Err(fault),
         None => Ok(job),
     }
--- a/crates/figscale/src/fleet/message.rs
+++ b/crates/figscale/src/fleet/message.rs
@@ -3,7 +3,7 @@
 
 use std::time;
 
-use figscale_core::fleet::Question;
+use figscale_core::fleet::AdviceQuery;
 use figscale_platform::CallError;
 use figscale_platform::store;
 use figscale_platform::workers as platform_workers;
@@ -38,7 +38,7 @@
     /// A call to a worker was lost although the worker answers others.
     AnswerLost,
     /// The tickets that the advisory service returned; `None` if the query failed.
-    Advised(Question, Option<Vec<fleet::Ticket>>),
+    Advised(AdviceQuery, Option<Vec<fleet::Ticket>>),
     /// An entry instance could not be reached.
     MemberGone(ids::MemberId),
     /// A write has ended; returns its chain.
--- a/crates/figscale/src/fleet/operators/jobs.rs
+++ b/crates/figscale/src/fleet/operators/jobs.rs
@@ -185,7 +185,7 @@
         steps: vec![step],
         ..fleet::JobDescription::default()
     };
-    match scheduling::fault_of(&description) {
+    match scheduling::validation_error(&description) {
         Some(fault) => Err(answer::invalid(fault)),
         None => Ok(description),
     }
--- a/crates/figscale/src/fleet/outcome.rs
+++ b/crates/figscale/src/fleet/outcome.rs
@@ -1,20 +1,20 @@
 //! Logs the scheduler's decisions, and counts them in the metrics.
 
-use figscale_core::fleet::Note;
+use figscale_core::fleet::LogEntry;
 use figscale_types::fleet;
 
 use crate::events::fleet as events;
 use crate::metrics;
 
 /// Updates the metrics for a decision of the scheduler.
-pub(super) fn count(metrics: &metrics::Metrics, note: &Note) {
+pub(super) fn count(metrics: &metrics::Metrics, note: &LogEntry) {
     match note {
-        Note::JobEnded {
+        LogEntry::JobEnded {
             state, after, late, ..
         } => {
             metrics.fleet_job_ended(state_label(*state), *late, *after);
         }
-        Note::StepPlaced { tasks, .. } => {
+        LogEntry::StepPlaced { tasks, .. } => {
             for _ in 0..*tasks {
                 metrics.task_start_sent();
             }
@@ -33,9 +33,9 @@
 }
 
 /// Writes a decision of the scheduler to the log.
-pub(super) fn log(note: &Note) {
+pub(super) fn log(note: &LogEntry) {
     match note {
-        Note::JobEnded {
+        LogEntry::JobEnded {
             job,
             state,
             after,
@@ -49,7 +49,7 @@
                 late = late
             );
         }
-        Note::StepPlaced {
+        LogEntry::StepPlaced {
             task,
             tasks,
             workers,
@@ -67,7 +67,7 @@
                 slack_ms = slack.map_or(0, |slack| slack.as_millis())
             );
         }
-        Note::StepWaits {
+        LogEntry::StepStarved {
             task,
             waits,
             tasks,
@@ -89,7 +89,7 @@
                 asking = asking
             );
         }
-        Note::AdviceGiven {
+        LogEntry::AdviceReceived {
             task,
             member,
             asked,
@@ -103,7 +103,7 @@
                 good = good
             );
         }
-        Note::RunGivenUp {
+        LogEntry::RunAbandoned {
             task,
             attempt,
             worker,
@@ -121,10 +121,10 @@
                 age_ms = age.as_millis()
             );
         }
-        Note::TaskCrashesWorkers { task, losses } => {
+        LogEntry::TaskCrashesWorkers { task, losses } => {
             crate::event!(events::TASK_CRASHES_WORKERS, task = task, losses = losses);
         }
-        Note::RunEnded {
+        LogEntry::RunEnded {
             task,
             attempt,
             worker,
@@ -138,7 +138,7 @@
                 end = format_args!("{end:?}")
             );
         }
-        Note::StartRefused {
+        LogEntry::StartRefused {
             task,
             attempt,
             worker,
@@ -152,10 +152,10 @@
                 refusal = format_args!("{refusal:?}")
             );
         }
-        Note::WorkerSetAside { worker, cause } => {
+        LogEntry::WorkerEjected { worker, cause } => {
             crate::event!(events::WORKER_SET_ASIDE, worker = worker, cause = cause);
         }
-        Note::WorkerEvacuated {
+        LogEntry::WorkerEvacuated {
             worker,
             runs,
             leaves_in,
@@ -167,10 +167,10 @@
                 leaves_in_ms = leaves_in.as_millis()
             );
         }
-        Note::WorkerLost { worker, runs } => {
+        LogEntry::WorkerLost { worker, runs } => {
             crate::event!(events::WORKER_LOST, worker = worker, runs = runs);
         }
-        Note::StrayRun {
+        LogEntry::OrphanRun {
             task,
             attempt,
             worker,
@@ -182,10 +182,10 @@
                 worker = worker
             );
         }
-        Note::WorkerUnheard { worker } => {
+        LogEntry::WorkerNeverReported { worker } => {
             crate::event!(events::WORKER_UNHEARD, worker = worker);
         }
-        Note::Recovered { open_jobs, runs } => {
+        LogEntry::Recovered { open_jobs, runs } => {
             crate::event!(events::RECOVERED, open_jobs = open_jobs, runs = runs);
         }
     }
--- a/crates/figscale/src/fleet/term/advice.rs
+++ b/crates/figscale/src/fleet/term/advice.rs
@@ -4,7 +4,7 @@
 use std::net;
 use std::time;
 
-use figscale_core::fleet::Question;
+use figscale_core::fleet::AdviceQuery;
 use figscale_platform::advice;
 use figscale_types::clock;
 use figscale_types::fleet;
@@ -24,7 +24,7 @@
 
 impl Term {
     /// Sends a query; the result comes back as a message.
-    pub(super) fn query_advice(&self, question: Question) {
+    pub(super) fn query_advice(&self, question: AdviceQuery) {
         let context = self.context.clone();
         let messages = self.messages.clone();
         let address = self
--- a/crates/figscale/src/fleet/term/members.rs
+++ b/crates/figscale/src/fleet/term/members.rs
@@ -178,8 +178,8 @@
     /// Removes the instances whose heartbeats stopped, and ends the term if most of
     /// them have been missing for too long.
     pub(super) fn drop_unresponsive_members(&mut self, now: time::Instant) {
-        let max_silence = fleet::member_timeout(self.members.len());
-        let unresponsive = |member: &Member| now > member.heartbeat_at + max_silence;
+        let max_contact_age = fleet::member_timeout(self.members.len());
+        let unresponsive = |member: &Member| now > member.heartbeat_at + max_contact_age;
         let lost: Vec<ids::MemberId> = self
             .members
             .iter()
--- a/crates/figscale/src/fleet/term/messages.rs
+++ b/crates/figscale/src/fleet/term/messages.rs
@@ -26,7 +26,7 @@
                 self.scheduler
                     .start_answered(&worker, task, attempt, outcome, now);
             }
-            Message::Overdue(id) => self.scheduler.worker_doubted(&id, now),
+            Message::Overdue(id) => self.scheduler.worker_call_failed(&id, now),
             Message::AnswerLost => self.workers.answer_lost(now),
             Message::Advised(question, good) => {
                 self.scheduler.advice_answered(&question, good, now);
@@ -106,7 +106,7 @@
                 self.scheduler.worker_replaced(id, now)
             }
             Ok(platform_workers::ReportOutcome::Unhealthy) => (),
-            Err(_) => self.scheduler.worker_doubted(id, now),
+            Err(_) => self.scheduler.worker_call_failed(id, now),
         }
         let waits = self.scheduler.has_unacknowledged(id);
         self.workers.reported(id, &report, waits, now);
--- a/crates/figscale/src/fleet/term/mod.rs
+++ b/crates/figscale/src/fleet/term/mod.rs
@@ -375,9 +375,9 @@
                 task,
                 attempt,
             } => self.workers.stop(worker, task, attempt),
-            Action::Ask(question) => self.query_advice(question),
+            Action::QueryAdvice(question) => self.query_advice(question),
             Action::StepDown => self.ended = Some(Ended::Deposed),
-            Action::Tell(note) => {
+            Action::Log(note) => {
                 outcome::count(&self.context.metrics, &note);
                 outcome::log(&note);
             }
@@ -418,7 +418,7 @@
         metrics.fleet_knows("open_jobs", counts.open_jobs);
         metrics.fleet_knows("queued_jobs", counts.queued_jobs);
         metrics.fleet_knows("waiting_steps", counts.waiting_steps);
-        metrics.fleet_knows("pass_looks", counts.pass_looks);
+        metrics.fleet_knows("pass_looks", counts.pass_scans);
         metrics.fleet_knows("runs", counts.runs);
         metrics.fleet_knows("usable_workers", counts.usable_workers);
         metrics.fleet_knows("workers", counts.workers);
--- a/crates/figscale/src/fleet/workers/mod.rs
+++ b/crates/figscale/src/fleet/workers/mod.rs
@@ -13,7 +13,7 @@
 use std::sync;
 use std::time;
 
-use figscale_core::fleet::Losses;
+use figscale_core::fleet::LostAnswers;
 use figscale_core::fleet::Scheduler;
 use figscale_platform::CallError;
 use figscale_platform::workers;
@@ -72,7 +72,7 @@
     epoch: fleet::Epoch,
     messages: message::Messages,
     links: IndexMap<fleet::WorkerId, Link>,
-    losses: Losses,
+    losses: LostAnswers,
     second_calls: sync::Arc<Semaphore>,
     /// The entry instances that relay calls.
     pub(super) relays: relay::Relays,
@@ -86,7 +86,7 @@
             epoch,
             messages,
             links: IndexMap::new(),
-            losses: Losses::default(),
+            losses: LostAnswers::default(),
             second_calls: sync::Arc::new(Semaphore::new(MAX_SECOND_CALLS)),
             relays: relay::Relays::new(context),
         }
@@ -141,7 +141,7 @@
     /// Records that a call or its answer was lost although the worker responds, so
     /// that calls for reports wait for a shorter time.
     pub(super) fn answer_lost(&mut self, now: time::Instant) {
-        self.losses.note(now);
+        self.losses.record_lost_answer(now);
     }
 
     fn call(&mut self, id: &fleet::WorkerId, scheduler: &mut Scheduler, now: time::Instant) {
