--- a/crates/figscale/src/fleet/ask.rs
+++ b/crates/figscale/src/fleet/ask.rs
@@ -77,7 +77,7 @@
 ) -> Result<LeaderAnswer, Verdict> {
     let leadership = context.leadership.borrow().clone();
     if leadership.leading {
-        let answer = term::call_here(context, call.clone());
+        let answer = term::call_local_leader(context, call.clone());
         return tokio::time::timeout(timeout, answer)
             .await
             .map_err(|_| Verdict::MayHaveRun);
@@ -85,7 +85,7 @@
     let Some(leader) = leadership.leader else {
         return Err(Verdict::NotRun);
     };
-    if leader.member == context.me {
+    if leader.member == context.own_member {
         return Err(Verdict::NotRun);
     }
     let service = calls::LEADER_SERVICE;
--- a/crates/figscale/src/fleet/election.rs
+++ b/crates/figscale/src/fleet/election.rs
@@ -25,10 +25,10 @@
 
 use super::Context;
 use super::fitness;
+use super::heartbeat;
 use super::keys;
 use super::leadership;
 use super::ledger;
-use super::membership;
 use super::term;
 use crate::events;
 use crate::peer;
@@ -50,7 +50,7 @@
 
 /// Starts to track the leader, and to run for leader when there is none.
 pub(super) fn start(context: &Context, handlers: &mut peer::Handlers) {
-    membership::start(context, handlers);
+    heartbeat::start(context, handlers);
     tokio::spawn(watch_leader_key(context.clone()));
     tokio::spawn(candidate_loop(context.clone()));
 }
@@ -224,12 +224,12 @@
     let lease = lease.joined().await?;
     let head = ledger::Head {
         epoch,
-        leader: context.me.clone(),
+        leader: context.own_member.clone(),
         sequence: 0,
         strongest_millis: strongest_known(context),
     };
     let leader = leadership::Leader {
-        member: context.me.clone(),
+        member: context.own_member.clone(),
         address: context.settings.peer_address,
         epoch,
     };
--- a/crates/figscale/src/fleet/entry/authorize.rs
+++ b/crates/figscale/src/fleet/entry/authorize.rs
@@ -8,7 +8,7 @@
 
 use super::call;
 use crate::fleet::Context;
-use crate::fleet::follow;
+use crate::fleet::config_watch;
 
 /// Why a call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     };
     let owner = call.key.and_then(|key| customers.owner_of(&key));
     let owner = owner.ok_or(Refusal::UnknownKey)?;
-    match follow::is_proven(context) {
+    match config_watch::is_proven(context) {
         true => Ok(Some(owner.clone())),
         false => Err(Refusal::Unproven),
     }
--- a/crates/figscale/src/fleet/membership.rs
+++ b/crates/figscale/src/fleet/heartbeat.rs
@@ -134,7 +134,7 @@
     loop {
         let known = changes.borrow_and_update().clone();
         if let Some(leader) = known.leader
-            && leader.member != context.me
+            && leader.member != context.own_member
         {
             let outcome = send_heartbeat(&context, &leader, &answer_times).await;
             if outcome != Outcome::NotLeading {
@@ -251,7 +251,7 @@
     leader: &leadership::Leader,
     answer_times: &SharedAnswerTimes,
 ) -> Outcome {
-    if leader.member.id == context.me.id {
+    if leader.member.id == context.own_member.id {
         // An earlier incarnation of this instance.
         return Outcome::Ended;
     }
@@ -270,7 +270,7 @@
 ) -> Outcome {
     let call = calls::LeaderCall::Hello {
         leader: leader.member.clone(),
-        member: context.me.id.clone(),
+        member: context.own_member.id.clone(),
         address: context.settings.peer_address,
         failure_domain: context.settings.failure_domain.clone(),
         cpu_millis: match leadership::may_run_for_leader(&context)
--- a/crates/figscale/src/fleet/mod.rs
+++ b/crates/figscale/src/fleet/mod.rs
@@ -5,9 +5,9 @@
 //!
 //! - `access` calls the store, directly or through a peer;
 //! - `fitness` measures whether this machine has become slow;
-//! - `follow` keeps the operators' queue configuration up to date;
+//! - `config_watch` keeps the operators' queue configuration up to date;
 //! - `election` tracks the current leader and runs for leader;
-//! - `membership` sends heartbeats to the leader and detects its end;
+//! - `heartbeat` sends heartbeats to the leader and detects its end;
 //! - `term` runs the scheduler while this instance leads;
 //! - `entry` answers callers, forwarding to the leader what it decides;
 //! - `operators` answers the operators;
@@ -21,18 +21,18 @@
 mod advice;
 mod ask;
 mod calls;
+mod config_watch;
+mod decision_log;
 mod direct;
 mod election;
 mod entry;
 mod fitness;
-mod follow;
+mod heartbeat;
 mod keys;
 mod leadership;
 mod ledger;
-mod membership;
 mod message;
 mod operators;
-mod outcome;
 mod readiness;
 mod relay;
 mod term;
@@ -81,11 +81,11 @@
     /// When this process started.
     pub(crate) started: time::Instant,
     /// This entry instance and its incarnation.
-    pub(crate) me: ids::MemberKey,
+    pub(crate) own_member: ids::MemberKey,
     /// The queues of the configuration in force.
     pub(crate) queues: sync::Arc<watch::Sender<sync::Arc<fleet::QueueTable>>>,
     /// Proof that these queues are in force.
-    config_proof: sync::Arc<follow::SharedProof>,
+    config_proof: sync::Arc<config_watch::SharedProof>,
     pub(crate) leadership: sync::Arc<watch::Sender<leadership::Leadership>>,
     /// Whether this machine has become slow.
     pub(crate) fitness: fitness::Shared,
@@ -138,7 +138,7 @@
     term::start(&context, &mut handlers);
     election::start(&context, &mut handlers);
     fitness::start(&context);
-    follow::start(&context);
+    config_watch::start(&context);
     tokio::spawn(peer::listen(
         peers,
         context.settings.peer_token.clone(),
@@ -146,23 +146,29 @@
     ));
     let mut served = entry::start(&context, callers, ready);
     operators::start(&context, operators);
-    crate::event!(events::process::PROCESS_STARTED, member = context.me);
+    crate::event!(
+        events::process::PROCESS_STARTED,
+        member = context.own_member
+    );
 
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hangup.recv() => {
-                crate::event!(events::fleet::SETTINGS_CHANGED, member = context.me);
+                crate::event!(events::fleet::SETTINGS_CHANGED, member = context.own_member);
             }
         }
     }
-    crate::event!(events::process::PROCESS_LEAVING, member = context.me);
+    crate::event!(
+        events::process::PROCESS_LEAVING,
+        member = context.own_member
+    );
     context.leaving.send_replace(true);
     tokio::time::sleep(STOP_NOTICE).await;
     served.stop();
     let _ = tokio::time::timeout(STOP_LIMIT, served.ended()).await;
-    crate::event!(events::process::PROCESS_ENDED, member = context.me);
+    crate::event!(events::process::PROCESS_ENDED, member = context.own_member);
     Ok(())
 }
 
@@ -177,12 +183,12 @@
     clock: clock::SharedClock,
     runtime: tokio::runtime::Handle,
 ) -> Context {
-    let me = ids::MemberKey {
+    let own_member = ids::MemberKey {
         id: settings.member.clone(),
         incarnation: crate::serve::new_incarnation(&clock),
     };
     let client = sync::Arc::new(Client::default());
-    let peers = peer::Peers::new(me.clone(), settings.peer_token.clone(), runtime);
+    let peers = peer::Peers::new(own_member.clone(), settings.peer_token.clone(), runtime);
     let peers = sync::Arc::new(peers);
     let direct = store::Store::new(client.clone(), settings.platform_address, STORE_TIMEOUT);
     let address = settings.peer_address;
@@ -207,7 +213,7 @@
         client,
         store: sync::Arc::new(store),
         metrics,
-        me,
+        own_member,
         queues: sync::Arc::new(watch::Sender::new(sync::Arc::default())),
         config_proof: sync::Arc::default(),
         leadership: sync::Arc::new(watch::Sender::new(leadership::Leadership::default())),
--- a/crates/figscale/src/fleet/operators/catalogue.rs
+++ b/crates/figscale/src/fleet/operators/catalogue.rs
@@ -62,7 +62,7 @@
     let revision = ids::Revision(current_table(&context)?.version);
     Ok(Json(operator::CatalogueStatus {
         revision,
-        in_force: IndexMap::from([(context.me.id.clone(), Some(revision))]),
+        in_force: IndexMap::from([(context.own_member.id.clone(), Some(revision))]),
     }))
 }
 
--- a/crates/figscale/src/fleet/operators/mod.rs
+++ b/crates/figscale/src/fleet/operators/mod.rs
@@ -52,7 +52,7 @@
     let counts = context.client.counts();
     Json(json!({
         "version": env!("CARGO_PKG_VERSION"),
-        "member": context.me,
+        "member": context.own_member,
         "leaving": *context.leaving.borrow(),
         "settings": context.settings.without_secrets(),
         "configuration_version": context.queues.borrow().version,
--- a/crates/figscale/src/fleet/term/mod.rs
+++ b/crates/figscale/src/fleet/term/mod.rs
@@ -29,13 +29,13 @@
 use super::calls;
 use super::calls::LeaderAnswer;
 use super::calls::LeaderCall;
+use super::config_watch;
+use super::decision_log;
 use super::election;
-use super::follow;
+use super::heartbeat;
 use super::leadership;
 use super::ledger;
-use super::membership;
 use super::message::Message;
-use super::outcome;
 use super::workers;
 use crate::events;
 use crate::kernel;
@@ -141,14 +141,14 @@
     let context = context.clone();
     handlers.on_call(calls::LEADER_SERVICE, move |_from, call: LeaderCall| {
         let context = context.clone();
-        async move { Ok(call_here(&context, call).await) }
+        async move { Ok(call_local_leader(&context, call).await) }
     });
 }
 
 /// Calls the leader in this process.
-pub(super) async fn call_here(context: &Context, call: LeaderCall) -> LeaderAnswer {
+pub(super) async fn call_local_leader(context: &Context, call: LeaderCall) -> LeaderAnswer {
     if let LeaderCall::Hello { leader, .. } = &call
-        && *leader != context.me
+        && *leader != context.own_member
     {
         return LeaderAnswer::OtherLife;
     }
@@ -247,7 +247,7 @@
 /// too, the lease expires by itself.
 async fn hand_over(context: &Context, term: &Term) {
     if let Some(heads) = term.heads()
-        && membership::announce_end(context, &term.leader, heads).await
+        && heartbeat::announce_end(context, &term.leader, heads).await
     {
         return;
     }
@@ -327,7 +327,7 @@
     /// Passes the customers' limits to the scheduler, or withdraws them while the
     /// configuration is not proven to be in force.
     fn update_customers(&mut self) {
-        let proven = follow::is_proven(&self.context);
+        let proven = config_watch::is_proven(&self.context);
         let table = self.context.queues.borrow().clone();
         let version = (proven && table.version > 0).then_some(table.version);
         if version == self.customers_version {
@@ -378,8 +378,8 @@
             Action::QueryAdvice(question) => self.query_advice(question),
             Action::StepDown => self.ended = Some(Ended::Deposed),
             Action::Log(note) => {
-                outcome::count(&self.context.metrics, &note);
-                outcome::log(&note);
+                decision_log::count(&self.context.metrics, &note);
+                decision_log::log(&note);
             }
         }
     }
