--- a/crates/figscale/src/fleet/access.rs
+++ b/crates/figscale/src/fleet/access.rs
@@ -27,7 +27,7 @@
 use serde::Serialize;
 
 use super::calls;
-use super::direct;
+use super::direct_store;
 use crate::metrics;
 use crate::peer;
 
@@ -94,7 +94,7 @@
 
 /// The store, reached directly or through peers.
 pub(crate) struct Access {
-    direct: sync::Arc<direct::Direct>,
+    direct_store: sync::Arc<direct_store::DirectStore>,
     peers: sync::Arc<peer::Peers>,
     own_address: net::SocketAddr,
     /// All entry instances known.
@@ -105,13 +105,13 @@
 
 impl Access {
     pub(super) fn new(
-        direct: store::Store,
+        direct_store: store::Store,
         peers: sync::Arc<peer::Peers>,
         own_address: net::SocketAddr,
         metrics: sync::Arc<metrics::Metrics>,
     ) -> Self {
         Self {
-            direct: sync::Arc::new(direct::Direct::new(direct, metrics)),
+            direct_store: sync::Arc::new(direct_store::DirectStore::new(direct_store, metrics)),
             peers,
             own_address,
             roster: sync::Mutex::default(),
@@ -121,10 +121,10 @@
 
     /// Forwards calls of peers to the store.
     pub(super) fn serve(&self, handlers: &mut peer::Handlers) {
-        let direct = self.direct.clone();
+        let direct_store = self.direct_store.clone();
         handlers.on_call(RELAY_SERVICE, move |_from, call: Call| {
-            let direct = direct.clone();
-            async move { Ok(forward(&direct, &call).await) }
+            let direct_store = direct_store.clone();
+            async move { Ok(forward(&direct_store, &call).await) }
         });
     }
 
@@ -153,12 +153,12 @@
 
     /// Whether the store answered this instance's last direct call.
     pub(super) fn answers_directly(&self) -> bool {
-        self.direct.answers()
+        self.direct_store.is_available()
     }
 
     /// Sends the store a read directly; returns whether it answered.
     pub(super) async fn probe(&self) -> bool {
-        self.direct.probe().await
+        self.direct_store.probe().await
     }
 
     /// Reads a key.
@@ -262,17 +262,17 @@
         after_revision: u64,
         wait: time::Duration,
     ) -> Result<store::Watched, CallError> {
-        let store = self.direct.store();
+        let store = self.direct_store.store();
         let watched = store.watch(prefix, after_revision, wait).await;
-        self.direct.note(&watched);
+        self.direct_store.record_result(&watched);
         watched
     }
 
     async fn call(&self, call: Call) -> Result<Answer, CallError> {
         let mut direct_error = None;
-        let failure = self.direct.failure();
+        let failure = self.direct_store.failure();
         if failure.is_none() {
-            match call_directly(&self.direct, &call).await {
+            match call_directly(&self.direct_store, &call).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => direct_error = Some(error),
             }
@@ -336,24 +336,27 @@
 
 /// Makes a peer's call, unless the store does not answer this instance either:
 /// then the call could only time out.
-async fn forward(direct: &sync::Arc<direct::Direct>, call: &Call) -> Result<Answer, CallError> {
-    if let Some(failure) = direct.failure() {
+async fn forward(
+    direct_store: &sync::Arc<direct_store::DirectStore>,
+    call: &Call,
+) -> Result<Answer, CallError> {
+    if let Some(failure) = direct_store.failure() {
         let cause = format!("the store does not answer the peer either: {failure}");
         return Err(CallError::not_run(cause));
     }
-    call_directly(direct, call).await
+    call_directly(direct_store, call).await
 }
 
 /// Makes a call directly, and records its outcome and duration.
 async fn call_directly(
-    direct: &sync::Arc<direct::Direct>,
+    direct_store: &sync::Arc<direct_store::DirectStore>,
     call: &Call,
 ) -> Result<Answer, CallError> {
     let begun = tokio::time::Instant::now();
-    let answer = execute(direct.store(), call).await;
-    direct.note(&answer);
+    let answer = execute(direct_store.store(), call).await;
+    direct_store.record_result(&answer);
     if answer.is_ok() {
-        direct.answered_after(begun.elapsed());
+        direct_store.record_latency(begun.elapsed());
     }
     answer
 }
--- a/crates/figscale/src/fleet/direct.rs
+++ b/crates/figscale/src/fleet/direct_store.rs
@@ -32,7 +32,7 @@
 const ANSWERS_IN_A_ROW: u32 = 3;
 
 /// The store as reached directly, with its availability and latency.
-pub(super) struct Direct {
+pub(super) struct DirectStore {
     store: store::Store,
     metrics: sync::Arc<metrics::Metrics>,
     /// Error of the last call; `None` if it succeeded.
@@ -65,7 +65,7 @@
     }
 }
 
-impl Direct {
+impl DirectStore {
     pub(super) fn new(store: store::Store, metrics: sync::Arc<metrics::Metrics>) -> Self {
         Self {
             store,
@@ -80,7 +80,7 @@
     }
 
     /// Whether the last call succeeded.
-    pub(super) fn answers(&self) -> bool {
+    pub(super) fn is_available(&self) -> bool {
         self.failure().is_none()
     }
 
@@ -91,7 +91,7 @@
 
     /// Records the result of a call, and starts the probes when the store becomes
     /// unavailable. Must be called within the runtime.
-    pub(super) fn note<T>(self: &sync::Arc<Self>, result: &Result<T, CallError>) {
+    pub(super) fn record_result<T>(self: &sync::Arc<Self>, result: &Result<T, CallError>) {
         let failure = result.as_ref().err().map(CallError::to_string);
         let before = mem::replace(&mut *mutex::lock(&self.failure), failure.clone());
         match (before, failure) {
@@ -106,7 +106,7 @@
 
     /// Records the latency of an answer in the metrics, and logs when the store
     /// becomes slow or normal.
-    pub(super) fn answered_after(&self, took: time::Duration) {
+    pub(super) fn record_latency(&self, took: time::Duration) {
         self.metrics.fleet_store_answered(took);
         let speed = {
             let mut speed = mutex::lock(&self.speed);
@@ -127,17 +127,17 @@
         // A probe that was sent before the store recovered may fail after that, so
         // failures are not recorded.
         if answer.is_ok() {
-            self.note(&answer);
+            self.record_result(&answer);
         }
         answer.is_ok()
     }
 }
 
-async fn probe_until_available(direct: sync::Arc<Direct>) {
+async fn probe_until_available(direct_store: sync::Arc<DirectStore>) {
     let mut pause = tokio::time::interval(PROBE_INTERVAL);
-    while !direct.answers() {
+    while !direct_store.is_available() {
         pause.tick().await;
-        let probing = direct.clone();
+        let probing = direct_store.clone();
         tokio::spawn(async move { probing.probe().await });
     }
 }
--- a/crates/figscale/src/fleet/election.rs
+++ b/crates/figscale/src/fleet/election.rs
@@ -24,11 +24,11 @@
 use tokio::task;
 
 use super::Context;
-use super::fitness;
 use super::heartbeat;
 use super::keys;
 use super::leadership;
 use super::ledger;
+use super::machine_health;
 use super::term;
 use crate::events;
 use crate::peer;
@@ -164,7 +164,7 @@
         false => JITTER_SPAN.mul_f64(fraction * 0.75 + 0.25),
     };
     let strongest_millis = context.leadership.borrow().strongest_millis;
-    jitter + scheduling::candidacy_delay(fitness::cpu_millis(context), strongest_millis)
+    jitter + scheduling::candidacy_delay(machine_health::cpu_millis(context), strongest_millis)
 }
 
 /// Whether there is a leader.
@@ -277,7 +277,7 @@
     if context.leadership.borrow().strongest_millis > 0 {
         return;
     }
-    let own_millis = fitness::cpu_millis(context);
+    let own_millis = machine_health::cpu_millis(context);
     let delay = scheduling::candidacy_delay(own_millis, heads.strongest_millis);
     tokio::time::sleep(delay).await;
 }
@@ -286,7 +286,7 @@
 /// thousandths of a core.
 fn strongest_known(context: &Context) -> u64 {
     let reported_millis = context.leadership.borrow().strongest_millis;
-    reported_millis.max(fitness::cpu_millis(context))
+    reported_millis.max(machine_health::cpu_millis(context))
 }
 
 async fn grant(context: Context) -> Result<store::LeaseId, CallError> {
--- a/crates/figscale/src/fleet/entry/dispatch.rs
+++ b/crates/figscale/src/fleet/entry/dispatch.rs
@@ -12,10 +12,10 @@
 use super::reply;
 use super::submit;
 use crate::fleet::Context;
-use crate::fleet::ask;
 use crate::fleet::calls::Caller;
 use crate::fleet::calls::LeaderAnswer;
 use crate::fleet::calls::LeaderCall;
+use crate::fleet::leader_client;
 
 /// Handles any call of a caller.
 pub(super) async fn answer(
@@ -89,7 +89,7 @@
     call: &call::Call,
     leader_call: &LeaderCall,
 ) -> response::Response {
-    match ask::call_leader(context, leader_call, call.deadline)
+    match leader_client::call_leader(context, leader_call, call.deadline)
         .await
         .0
     {
@@ -103,7 +103,7 @@
 
 async fn pending(context: &Context, call: &call::Call, queue: fleet::Queue) -> response::Response {
     let leader_call = LeaderCall::Pending { queue: queue.name };
-    match ask::call_leader(context, &leader_call, call.deadline)
+    match leader_client::call_leader(context, &leader_call, call.deadline)
         .await
         .0
     {
--- a/crates/figscale/src/fleet/entry/submit.rs
+++ b/crates/figscale/src/fleet/entry/submit.rs
@@ -12,9 +12,9 @@
 use super::reply;
 use crate::events;
 use crate::fleet::Context;
-use crate::fleet::ask;
 use crate::fleet::calls::LeaderAnswer;
 use crate::fleet::calls::LeaderCall;
+use crate::fleet::leader_client;
 
 /// Sends a job to the leader, and returns the outcome to its caller.
 pub(super) async fn submit(
@@ -41,7 +41,7 @@
         customer,
         description,
     };
-    let (answer, verdict) = ask::call_leader(context, &leader_call, call.deadline).await;
+    let (answer, verdict) = leader_client::call_leader(context, &leader_call, call.deadline).await;
     let waited_ms = clock::millis(context.clock.now().saturating_duration_since(started));
     let (event, cause, response) = match answer {
         Some(LeaderAnswer::Accepted) => {
--- a/crates/figscale/src/fleet/heartbeat.rs
+++ b/crates/figscale/src/fleet/heartbeat.rs
@@ -21,9 +21,9 @@
 
 use super::Context;
 use super::calls;
-use super::fitness;
 use super::leadership;
 use super::ledger;
+use super::machine_health;
 use crate::events;
 use crate::peer;
 
@@ -276,7 +276,7 @@
         cpu_millis: match leadership::may_run_for_leader(&context)
             && context.store.answers_directly()
         {
-            true => fitness::cpu_millis(&context),
+            true => machine_health::cpu_millis(&context),
             false => 0,
         },
         roster: context.store.roster_hash(),
--- a/crates/figscale/src/fleet/fitness.rs
+++ b/crates/figscale/src/fleet/machine_health.rs
@@ -26,13 +26,13 @@
 /// CPU capacity with which this instance could lead now, in thousandths of a core:
 /// its configured share, less on a machine that has become slow.
 pub(super) fn cpu_millis(context: &Context) -> u64 {
-    mutex::lock(&context.fitness).capacity_left(context.fleet.cpu_millis())
+    mutex::lock(&context.machine_health).capacity_left(context.fleet.cpu_millis())
 }
 
 /// The lag because of which this instance should hand over leadership, if another
 /// instance can take it.
 pub(super) fn handover_lag(context: &Context) -> Option<fleet::HandoverLag> {
-    mutex::lock(&context.fitness).handover_lag(context.clock.now())
+    mutex::lock(&context.machine_health).handover_lag(context.clock.now())
 }
 
 async fn sample_periodically(context: Context) {
@@ -46,7 +46,7 @@
         compute(STEPS);
         let now = context.clock.now();
         let took = now.saturating_duration_since(computing);
-        let change = mutex::lock(&context.fitness).add_sample(late, took, now);
+        let change = mutex::lock(&context.machine_health).add_sample(late, took, now);
         if let Some(change) = change {
             log_change(change, late, took);
         }
--- a/crates/figscale/src/fleet/mod.rs
+++ b/crates/figscale/src/fleet/mod.rs
@@ -4,7 +4,7 @@
 //! services in place of claims, catalogue, jobs and traffic:
 //!
 //! - `access` calls the store, directly or through a peer;
-//! - `fitness` measures whether this machine has become slow;
+//! - `machine_health` measures whether this machine has become slow;
 //! - `config_watch` keeps the operators' queue configuration up to date;
 //! - `election` tracks the current leader and runs for leader;
 //! - `heartbeat` sends heartbeats to the leader and detects its end;
@@ -19,18 +19,18 @@
 
 mod access;
 mod advice;
-mod ask;
 mod calls;
 mod config_watch;
 mod decision_log;
-mod direct;
+mod direct_store;
 mod election;
 mod entry;
-mod fitness;
 mod heartbeat;
 mod keys;
+mod leader_client;
 mod leadership;
 mod ledger;
+mod machine_health;
 mod message;
 mod operators;
 mod readiness;
@@ -88,7 +88,7 @@
     config_proof: sync::Arc<config_watch::SharedProof>,
     pub(crate) leadership: sync::Arc<watch::Sender<leadership::Leadership>>,
     /// Whether this machine has become slow.
-    pub(crate) fitness: fitness::Shared,
+    pub(crate) machine_health: machine_health::Shared,
     /// Whether this process is shutting down.
     pub(crate) leaving: sync::Arc<watch::Sender<bool>>,
     /// Heartbeats received while this instance leads.
@@ -137,7 +137,7 @@
     relay::start(&context, &mut handlers);
     term::start(&context, &mut handlers);
     election::start(&context, &mut handlers);
-    fitness::start(&context);
+    machine_health::start(&context);
     config_watch::start(&context);
     tokio::spawn(peer::listen(
         peers,
@@ -190,10 +190,10 @@
     let client = sync::Arc::new(Client::default());
     let peers = peer::Peers::new(own_member.clone(), settings.peer_token.clone(), runtime);
     let peers = sync::Arc::new(peers);
-    let direct = store::Store::new(client.clone(), settings.platform_address, STORE_TIMEOUT);
+    let direct_store = store::Store::new(client.clone(), settings.platform_address, STORE_TIMEOUT);
     let address = settings.peer_address;
     let metrics = sync::Arc::new(metrics::Metrics::default());
-    let store = access::Access::new(direct, peers.clone(), address, metrics.clone());
+    let store = access::Access::new(direct_store, peers.clone(), address, metrics.clone());
     let platform_client = client.clone();
     metrics.observe_platform(move || {
         let counts = platform_client.counts();
@@ -217,7 +217,7 @@
         queues: sync::Arc::new(watch::Sender::new(sync::Arc::default())),
         config_proof: sync::Arc::default(),
         leadership: sync::Arc::new(watch::Sender::new(leadership::Leadership::default())),
-        fitness: fitness::Shared::default(),
+        machine_health: machine_health::Shared::default(),
         leaving: sync::Arc::new(watch::Sender::new(false)),
         heartbeats: sync::Arc::default(),
     }
--- a/crates/figscale/src/fleet/operators/jobs.rs
+++ b/crates/figscale/src/fleet/operators/jobs.rs
@@ -25,10 +25,10 @@
 use figscale_types::verdict::Verdict;
 
 use crate::fleet::Context;
-use crate::fleet::ask;
 use crate::fleet::calls::Caller;
 use crate::fleet::calls::LeaderAnswer;
 use crate::fleet::calls::LeaderCall;
+use crate::fleet::leader_client;
 use crate::operator::answer;
 use crate::operator::query;
 
@@ -50,7 +50,7 @@
 /// have taken effect.
 async fn ask_leader(context: &Context, call: &LeaderCall) -> (Option<LeaderAnswer>, Verdict) {
     let limit = time::Duration::from_millis(context.settings.operator.timeout_ms);
-    ask::call_leader(context, call, context.clock.now() + limit).await
+    leader_client::call_leader(context, call, context.clock.now() + limit).await
 }
 
 async fn status(
--- a/crates/figscale/src/fleet/relay/mod.rs
+++ b/crates/figscale/src/fleet/relay/mod.rs
@@ -74,7 +74,7 @@
     }
 
     /// Adds an instance that has sent a heartbeat, or updates its address.
-    pub(super) fn joined(
+    pub(super) fn add_or_update(
         &mut self,
         member: &ids::MemberId,
         address: net::SocketAddr,
@@ -93,7 +93,7 @@
     }
 
     /// Removes an instance that is gone.
-    pub(super) fn left(&mut self, member: &ids::MemberId) {
+    pub(super) fn remove(&mut self, member: &ids::MemberId) {
         self.relays.swap_remove(member);
     }
 
--- a/crates/figscale/src/fleet/term/members.rs
+++ b/crates/figscale/src/fleet/term/members.rs
@@ -25,7 +25,7 @@
 use crate::fleet::calls;
 use crate::fleet::calls::LeaderAnswer;
 use crate::fleet::calls::LeaderCall;
-use crate::fleet::fitness;
+use crate::fleet::machine_health;
 
 /// How long a leader that most of its peers cannot reach goes on before it gives
 /// up leadership.
@@ -124,7 +124,9 @@
             cpu_millis,
             heartbeat_at,
         } = heartbeat;
-        self.workers.relays.joined(&id, address, failure_domain);
+        self.workers
+            .relays
+            .add_or_update(&id, address, failure_domain);
         self.scheduler.member_joined(&id);
         self.yield_to_stronger(&id, cpu_millis);
         let member = Member {
@@ -139,16 +141,16 @@
     /// thousandths of a core.
     pub(super) fn strongest_millis(&self) -> u64 {
         let members = self.members.values().map(|member| member.cpu_millis);
-        let own = fitness::cpu_millis(&self.context);
+        let own = machine_health::cpu_millis(&self.context);
         members.max().unwrap_or(0).max(own)
     }
 
     /// Starts a hand-over if a member is clearly stronger than this instance.
     fn yield_to_stronger(&mut self, id: &ids::MemberId, cpu_millis: u64) {
-        let lag = fitness::handover_lag(&self.context);
+        let lag = machine_health::handover_lag(&self.context);
         // The capacity of a slow machine is reduced only if it also lags.
         let own_millis = match lag {
-            Some(_) => fitness::cpu_millis(&self.context),
+            Some(_) => machine_health::cpu_millis(&self.context),
             None => self.context.fleet.cpu_millis(),
         };
         let settled = self.now() >= self.begun + SETTLED_AFTER;
@@ -171,7 +173,7 @@
     /// or calls of workers are sent through it.
     pub(super) fn drop_member(&mut self, id: &ids::MemberId) {
         self.members.swap_remove(id);
-        self.workers.relays.left(id);
+        self.workers.relays.remove(id);
         self.scheduler.member_left(id);
     }
 
--- a/crates/figscale/src/fleet/term/messages.rs
+++ b/crates/figscale/src/fleet/term/messages.rs
@@ -27,7 +27,7 @@
                     .start_answered(&worker, task, attempt, outcome, now);
             }
             Message::Overdue(id) => self.scheduler.worker_call_failed(&id, now),
-            Message::AnswerLost => self.workers.answer_lost(now),
+            Message::AnswerLost => self.workers.record_lost_answer(now),
             Message::Advised(question, good) => {
                 self.scheduler.advice_answered(&question, good, now);
             }
@@ -109,6 +109,6 @@
             Err(_) => self.scheduler.worker_call_failed(id, now),
         }
         let waits = self.scheduler.has_unacknowledged(id);
-        self.workers.reported(id, &report, waits, now);
+        self.workers.schedule_next_call(id, &report, waits, now);
     }
 }
--- a/crates/figscale/src/fleet/term/mod.rs
+++ b/crates/figscale/src/fleet/term/mod.rs
@@ -359,7 +359,7 @@
         for action in self.scheduler.take_actions() {
             self.execute(action);
         }
-        self.workers.call_due(&mut self.scheduler, now);
+        self.workers.make_due_calls(&mut self.scheduler, now);
         match self.closing {
             true if self.pending_writes.is_empty() => self.ended = Some(self.planned_end),
             true => (),
--- a/crates/figscale/src/fleet/workers/mod.rs
+++ b/crates/figscale/src/fleet/workers/mod.rs
@@ -72,7 +72,7 @@
     epoch: fleet::Epoch,
     messages: message::Messages,
     links: IndexMap<fleet::WorkerId, Link>,
-    losses: LostAnswers,
+    lost_answers: LostAnswers,
     second_calls: sync::Arc<Semaphore>,
     /// The entry instances that relay calls.
     pub(super) relays: relay::Relays,
@@ -86,7 +86,7 @@
             epoch,
             messages,
             links: IndexMap::new(),
-            losses: LostAnswers::default(),
+            lost_answers: LostAnswers::default(),
             second_calls: sync::Arc::new(Semaphore::new(MAX_SECOND_CALLS)),
             relays: relay::Relays::new(context),
         }
@@ -123,7 +123,7 @@
 
     /// Makes all calls for reports that are due, and removes the links to workers
     /// that the scheduler does not know.
-    pub(super) fn call_due(&mut self, scheduler: &mut Scheduler, now: time::Instant) {
+    pub(super) fn make_due_calls(&mut self, scheduler: &mut Scheduler, now: time::Instant) {
         let due = |(id, link): (&fleet::WorkerId, &Link)| match link.next {
             Next::InFlight => None,
             Next::At(at) => (now >= at).then(|| id.clone()),
@@ -140,8 +140,8 @@
 
     /// Records that a call or its answer was lost although the worker responds, so
     /// that calls for reports wait for a shorter time.
-    pub(super) fn answer_lost(&mut self, now: time::Instant) {
-        self.losses.record_lost_answer(now);
+    pub(super) fn record_lost_answer(&mut self, now: time::Instant) {
+        self.lost_answers.record_lost_answer(now);
     }
 
     fn call(&mut self, id: &fleet::WorkerId, scheduler: &mut Scheduler, now: time::Instant) {
@@ -161,7 +161,7 @@
             wait: if immediate {
                 time::Duration::ZERO
             } else {
-                self.losses.report_wait(now)
+                self.lost_answers.report_wait(now)
             },
         };
         let address = link.address.clone();
@@ -177,7 +177,7 @@
 
     /// Schedules the next call after one has ended. `unacknowledged` says whether
     /// reported ends are not acknowledged yet.
-    pub(super) fn reported(
+    pub(super) fn schedule_next_call(
         &mut self,
         id: &fleet::WorkerId,
         report: &Result<workers::ReportOutcome, CallError>,
--- a/crates/figscale/tests/entry/mod.rs
+++ b/crates/figscale/tests/entry/mod.rs
@@ -81,26 +81,26 @@
     }
 
     pub(crate) fn get(&self, path: &str) -> Answer {
-        self.ask("GET", path, Bytes::new())
+        self.send_request("GET", path, Bytes::new())
     }
 
     pub(crate) fn post(&self, path: &str, body: String) -> Answer {
-        self.ask("POST", path, body)
+        self.send_request("POST", path, body)
     }
 
-    pub(crate) fn ask(&self, method: &str, path: &str, body: impl Into<Bytes>) -> Answer {
-        self.block_on(ask(self.address, method, path, body.into()))
+    pub(crate) fn send_request(&self, method: &str, path: &str, body: impl Into<Bytes>) -> Answer {
+        self.block_on(send_request(self.address, method, path, body.into()))
     }
 
-    pub(crate) fn post_later(&self, path: &str, body: String) -> task::JoinHandle<Answer> {
+    pub(crate) fn spawn_post(&self, path: &str, body: String) -> task::JoinHandle<Answer> {
         let address = self.address;
         let path = path.to_owned();
         self.runtime
-            .spawn(async move { ask(address, "POST", &path, body.into()).await })
+            .spawn(async move { send_request(address, "POST", &path, body.into()).await })
     }
 
     /// Starts to shut down the server.
-    pub(crate) fn end_later(&mut self) -> task::JoinHandle<()> {
+    pub(crate) fn spawn_shutdown(&mut self) -> task::JoinHandle<()> {
         let server = self.server.take().unwrap();
         self.runtime.spawn(server.end())
     }
@@ -115,7 +115,7 @@
     }
 }
 
-async fn ask(address: net::SocketAddr, method: &str, path: &str, body: Bytes) -> Answer {
+async fn send_request(address: net::SocketAddr, method: &str, path: &str, body: Bytes) -> Answer {
     let client = legacy::Client::builder(TokioExecutor::new()).build_http();
     let request = http::Request::builder()
         .method(method)
--- a/crates/figscale/tests/operator_api.rs
+++ b/crates/figscale/tests/operator_api.rs
@@ -120,7 +120,7 @@
     ];
     let mut session = String::new();
     for (name, method, path, body) in cases {
-        let got = entry.ask(method, path, body);
+        let got = entry.send_request(method, path, body);
         let retry = got.header("retry-after").unwrap_or("-");
         session.push_str(&format!(
             "{name}: {method} {path}\n  {} retry-after {retry}\n  {}\n",
@@ -134,7 +134,7 @@
 #[test]
 fn unreadable_bytes_are_refused() {
     let entry = entry::Entry::start();
-    let got = entry.ask("POST", "/v1/catalogue", vec![0xff, 0xfe]);
+    let got = entry.send_request("POST", "/v1/catalogue", vec![0xff, 0xfe]);
     assert_eq!(got.status, 400);
     assert!(got.body.contains("expected UTF-8"), "{}", got.body);
 }
@@ -176,12 +176,12 @@
         .context
         .kernel
         .register::<catalogue::Message>(catalogue::NAME);
-    let asked = entry.post_later("/v1/catalogue", apply_body());
+    let asked = entry.spawn_post("/v1/catalogue", apply_body());
     let message = entry.block_on(inbox.recv());
     let Some(catalogue::Message::Apply(_, reply)) = message else {
         panic!("another message");
     };
-    let ended = entry.end_later();
+    let ended = entry.spawn_shutdown();
     entry.wait_until_refused();
     assert!(!ended.is_finished(), "ended before the answer");
     reply.send(accepted());
@@ -255,7 +255,7 @@
 fn slash_in_a_job_id() {
     let entry = entry::Entry::start();
     let mut inbox = entry.context.kernel.register::<jobs::Message>(jobs::NAME);
-    let asked = entry.post_later("/v1/jobs/firth%2Fjob-1/cancel", String::new());
+    let asked = entry.spawn_post("/v1/jobs/firth%2Fjob-1/cancel", String::new());
     let message = entry.block_on(inbox.recv());
     let Some(jobs::Message::Cancel(id, reply)) = message else {
         panic!("another message");
@@ -277,7 +277,7 @@
 ) {
     let entry = entry::Entry::start_with(|settings| settings.operator.timeout_ms = 100);
     let _inbox = entry.context.kernel.register::<jobs::Message>(jobs::NAME);
-    let got = entry.ask(method, path, String::new());
+    let got = entry.send_request(method, path, String::new());
     assert_eq!(got.status, 503);
     assert_eq!(got.header("retry-after"), Some("1"));
     let told: operator::OperatorError = serde_json::from_str(&got.body).unwrap();
