--- a/crates/figscale-core/tests/fleet/backlog.rs
+++ b/crates/figscale-core/tests/fleet/backlog.rs
@@ -23,8 +23,8 @@
 use indexmap::IndexMap;
 use rstest::rstest;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 /// Half of the workers and of the rates of the site on which the fault was
 /// seen.
@@ -63,19 +63,19 @@
             per_worker_ms,
             valid_ms: 2_000,
         }),
-        ..kit::queue(priority)
+        ..helpers::queue(priority)
     };
     vec![
         Kind {
             per_s: 2.86,
             queue: queue(1, 2.2, 1_000, 559.0, 8.06),
-            step: kit::with_estimate(kit::gang(20, 18), 5_000),
+            step: helpers::with_estimate(helpers::gang(20, 18), 5_000),
             allowed_part: 0.35,
         },
         Kind {
             per_s: 7.4,
             queue: queue(2, 4.0, 3_000, 130.0, 1.82),
-            step: kit::with_estimate(kit::step(25, 7), 2_700),
+            step: helpers::with_estimate(helpers::step(25, 7), 2_700),
             allowed_part: 0.45,
         },
     ]
@@ -102,7 +102,7 @@
     response_delay_ms: u64,
     at_ms: u64,
     submitted: u64,
-    random: kit::Random,
+    random: helpers::Random,
     /// Greatest difference of durations from estimates, as a fraction.
     estimate_error: f64,
     /// Counts free capacity also on workers where the policy forbids the job.
@@ -123,7 +123,7 @@
             response_delay_ms,
             at_ms: 0,
             submitted: 0,
-            random: kit::Random(seed),
+            random: helpers::Random(seed),
             estimate_error: 0.0,
             count_forbidden_workers: false,
             members: MEMBERS,
@@ -214,7 +214,7 @@
         self.submitted += 1;
         let answer = self
             .cluster
-            .submit(number, &queue, kit::job(vec![step.clone()]));
+            .submit(number, &queue, helpers::job(vec![step.clone()]));
         if answer == Admission::Accepted && step.gang {
             self.gangs.push(number);
         }
@@ -230,7 +230,7 @@
 
     fn step(&mut self) {
         self.at_ms += STEP_MS;
-        self.cluster.now += kit::ms(STEP_MS);
+        self.cluster.now += helpers::ms(STEP_MS);
         self.cluster.wall_ms += STEP_MS;
         let wall_ms = self.cluster.wall_ms;
         self.cluster.scheduler.tick(self.cluster.now, wall_ms);
@@ -248,7 +248,7 @@
             self.pending_queries.push((response_ms, query));
         }
         self.accepted.retain(|number, _| {
-            let state = self.cluster.scheduler.state(kit::job_id(*number));
+            let state = self.cluster.scheduler.state(helpers::job_id(*number));
             state.is_some_and(|state| !state.is_final())
         });
     }
@@ -288,7 +288,7 @@
             let job = query.task.job.0;
             let kind = self.accepted.get(&job).map_or(0, |job| job.kind);
             let part = self.kinds[kind].allowed_part;
-            let tickets = kit::tickets(&query, |worker| is_allowed(job, worker, part));
+            let tickets = helpers::tickets(&query, |worker| is_allowed(job, worker, part));
             self.cluster
                 .scheduler
                 .advice_answered(&query, Some(tickets), self.cluster.now);
@@ -325,7 +325,7 @@
         }
     }
 
-    fn free(&self, worker: &kit::FakeWorker) -> fleet::Room {
+    fn free(&self, worker: &helpers::FakeWorker) -> fleet::Room {
         let used = worker.running.keys().filter_map(|(task, _)| {
             let job = self.accepted.get(&task.job.0);
             job.map(|job| job.step.room)
@@ -425,20 +425,20 @@
 #[test]
 fn a_late_gang_is_not_overtaken_by_a_later_longer_one() {
     let mut cluster = TestCluster::with_cores(2, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::gang(2, 8)]);
-    cluster.run(2, &kit::queue(1), vec![kit::gang(2, 8)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(2, 8)]);
+    cluster.run(2, &helpers::queue(1), vec![helpers::gang(2, 8)]);
     let longer = fleet::StepDescription {
         estimate_ms: 5_000,
-        ..kit::gang(2, 8)
+        ..helpers::gang(2, 8)
     };
     cluster.advance(3_000);
-    cluster.run(3, &kit::queue(1), vec![longer]);
+    cluster.run(3, &helpers::queue(1), vec![longer]);
     cluster.advance(20_000);
     for index in 0..2 {
-        let (worker, attempt) = cluster.placed(kit::task(1, 0, index))[0].clone();
-        cluster.workers[&worker].end(kit::task(1, 0, index), attempt, fleet::End::Done);
+        let (worker, attempt) = cluster.placed(helpers::task(1, 0, index))[0].clone();
+        cluster.workers[&worker].end(helpers::task(1, 0, index), attempt, fleet::End::Done);
     }
     cluster.settle();
-    assert_eq!(cluster.placed(kit::task(3, 0, 0)), []);
-    assert_eq!(cluster.placed(kit::task(2, 0, 0)).len(), 1);
+    assert_eq!(cluster.placed(helpers::task(3, 0, 0)), []);
+    assert_eq!(cluster.placed(helpers::task(2, 0, 0)).len(), 1);
 }
--- a/crates/figscale-core/tests/fleet/callers.rs
+++ b/crates/figscale-core/tests/fleet/caller_responses.rs
@@ -6,13 +6,17 @@
 use figscale_types::fleet::StepDescription;
 use rstest::rstest;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 #[test]
 fn a_job_starts_only_once_it_is_written() {
     let mut cluster = TestCluster::new(1);
-    cluster.submit(1, &kit::queue(1), kit::job(vec![kit::step(1, 1)]));
+    cluster.submit(
+        1,
+        &helpers::queue(1),
+        helpers::job(vec![helpers::step(1, 1)]),
+    );
     cluster.scheduler.plan(cluster.now);
     cluster.execute_actions();
     assert_eq!(cluster.starts(), 0);
@@ -23,8 +27,12 @@
 #[test]
 fn a_repeated_id_does_not_create_a_second_job() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let again = cluster.submit(1, &kit::queue(1), kit::job(vec![kit::step(5, 1)]));
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let again = cluster.submit(
+        1,
+        &helpers::queue(1),
+        helpers::job(vec![helpers::step(5, 1)]),
+    );
     assert_eq!(again, Admission::Known);
     cluster.settle();
     assert_eq!(cluster.starts(), 1);
@@ -33,12 +41,12 @@
 #[test]
 fn job_states_follow_their_tasks() {
     let mut cluster = TestCluster::with_cores(1, 1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    cluster.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    cluster.run(2, &helpers::queue(1), vec![helpers::step(1, 1)]);
     assert_eq!(cluster.state(1), Some(JobState::Running));
     assert_eq!(cluster.state(2), Some(JobState::Queued));
     assert_eq!(cluster.scheduler.pending("queue-1"), 1);
-    cluster.end(kit::task(1, 0, 0), figscale_types::fleet::End::Done);
+    cluster.end(helpers::task(1, 0, 0), figscale_types::fleet::End::Done);
     assert_eq!(cluster.state(1), Some(JobState::Completed));
     assert_eq!(cluster.state(2), Some(JobState::Running));
     assert_eq!(cluster.state(3), None);
@@ -47,9 +55,9 @@
 #[test]
 fn a_cancelled_job_stops_and_stays_cancelled() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::step(4, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(4, 1)]);
     assert_eq!(
-        cluster.scheduler.cancel(kit::job_id(1), cluster.now),
+        cluster.scheduler.cancel(helpers::job_id(1), cluster.now),
         Some(JobState::Cancelled)
     );
     cluster.settle();
@@ -63,10 +71,10 @@
 #[test]
 fn a_completed_job_is_not_cancelled() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    cluster.end(kit::task(1, 0, 0), figscale_types::fleet::End::Done);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    cluster.end(helpers::task(1, 0, 0), figscale_types::fleet::End::Done);
     assert_eq!(
-        cluster.scheduler.cancel(kit::job_id(1), cluster.now),
+        cluster.scheduler.cancel(helpers::job_id(1), cluster.now),
         Some(JobState::Completed)
     );
 }
@@ -75,10 +83,14 @@
 fn work_that_cannot_end_in_time_is_refused_with_a_retry_time() {
     let mut cluster = TestCluster::with_cores(1, 8);
     for number in 0..20 {
-        let admission = cluster.submit(number, &kit::queue(1), kit::job(vec![kit::step(8, 8)]));
+        let admission = cluster.submit(
+            number,
+            &helpers::queue(1),
+            helpers::job(vec![helpers::step(8, 8)]),
+        );
         if let Admission::Refused { retry_after, .. } = admission {
             assert!(number > 0, "refused by an empty cluster");
-            assert!(retry_after >= kit::ms(1_000));
+            assert!(retry_after >= helpers::ms(1_000));
             assert_eq!(cluster.state(number), None);
             return;
         }
@@ -89,8 +101,8 @@
 #[test]
 fn an_outcome_is_dropped_after_its_retention_time() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    cluster.end(kit::task(1, 0, 0), figscale_types::fleet::End::Done);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    cluster.end(helpers::task(1, 0, 0), figscale_types::fleet::End::Done);
     cluster.advance(140_000);
     assert_eq!(cluster.state(1), Some(JobState::Completed));
     cluster.advance(15_000);
@@ -98,23 +110,23 @@
     assert!(
         !cluster
             .store
-            .contains_key(&figscale_core::fleet::RecordKey::Job(kit::job_id(1)))
+            .contains_key(&figscale_core::fleet::RecordKey::Job(helpers::job_id(1)))
     );
 }
 
 #[rstest]
 #[case::no_steps(vec![], "0 steps")]
-#[case::no_tasks(vec![kit::step(0, 1)], "no tasks")]
+#[case::no_tasks(vec![helpers::step(0, 1)], "no tasks")]
 #[case::depends_on_itself(vec![after(0)], "not before it")]
-#[case::depends_on_a_missing_step(vec![kit::step(1, 1), after(4)], "not before it")]
-#[case::too_many_steps(vec![kit::step(1, 1); 65], "65 steps")]
-#[case::too_many_tasks(vec![kit::step(u32::MAX, 1)], "4294967295 tasks")]
-#[case::filler_step(vec![StepDescription { filler: true, ..kit::step(1, 1) }], "not supported")]
+#[case::depends_on_a_missing_step(vec![helpers::step(1, 1), after(4)], "not before it")]
+#[case::too_many_steps(vec![helpers::step(1, 1); 65], "65 steps")]
+#[case::too_many_tasks(vec![helpers::step(u32::MAX, 1)], "4294967295 tasks")]
+#[case::filler_step(vec![StepDescription { filler: true, ..helpers::step(1, 1) }], "not supported")]
 fn an_invalid_job_is_refused_with_the_reason(
     #[case] steps: Vec<StepDescription>,
     #[case] why: &str,
 ) {
-    let fault = validation_error(&kit::job(steps)).unwrap();
+    let fault = validation_error(&helpers::job(steps)).unwrap();
     assert!(fault.contains(why), "{fault}");
 }
 
@@ -122,15 +134,15 @@
 fn a_job_with_too_many_occurrences_is_refused() {
     let repeated = figscale_types::fleet::JobDescription {
         occurrences: u32::MAX,
-        ..kit::job(vec![kit::step(1, 1)])
+        ..helpers::job(vec![helpers::step(1, 1)])
     };
     assert!(validation_error(&repeated).is_some());
-    assert!(validation_error(&kit::job(vec![kit::step(60, 1), after(0)])).is_none());
+    assert!(validation_error(&helpers::job(vec![helpers::step(60, 1), after(0)])).is_none());
 }
 
 fn after(step: u32) -> StepDescription {
     StepDescription {
         after: vec![step],
-        ..kit::step(1, 1)
+        ..helpers::step(1, 1)
     }
 }
--- a/crates/figscale-core/tests/fleet/proof.rs
+++ b/crates/figscale-core/tests/fleet/config_proof.rs
@@ -7,7 +7,7 @@
 use figscale_core::fleet::ProofStamp;
 use figscale_core::fleet::StampOutcome;
 
-use crate::kit::ms;
+use crate::helpers::ms;
 
 const BOUND: Option<time::Duration> = Some(time::Duration::from_millis(5_000));
 
--- a/crates/figscale-core/tests/fleet/crashes.rs
+++ b/crates/figscale-core/tests/fleet/crashes.rs
@@ -3,8 +3,8 @@
 
 use figscale_types::fleet;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 const CORES: u64 = 64;
 /// Limit of starts: three crashed workers and three more starts.
@@ -40,8 +40,8 @@
 #[test]
 fn a_task_that_crashes_its_workers_fails_permanently() {
     let mut cluster = TestCluster::new(6);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let crashes = crash_until_ended(&mut cluster, kit::task(1, 0, 0), 0);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let crashes = crash_until_ended(&mut cluster, helpers::task(1, 0, 0), 0);
     assert!(crashes >= 2, "failed permanently after {crashes} crashes");
 }
 
@@ -51,9 +51,9 @@
 fn a_task_that_crashes_its_workers_late_fails_permanently() {
     for after_ms in [300, 800, 2_000] {
         let mut cluster = TestCluster::new(6);
-        let step = kit::with_estimate(kit::step(1, 1), 5_000);
-        cluster.run(1, &kit::queue(1), vec![step]);
-        crash_until_ended(&mut cluster, kit::task(1, 0, 0), after_ms);
+        let step = helpers::with_estimate(helpers::step(1, 1), 5_000);
+        cluster.run(1, &helpers::queue(1), vec![step]);
+        crash_until_ended(&mut cluster, helpers::task(1, 0, 0), after_ms);
     }
 }
 
@@ -62,8 +62,8 @@
 #[test]
 fn a_gang_that_crashes_workers_fails_permanently() {
     let mut cluster = TestCluster::new(8);
-    cluster.run(1, &kit::queue(1), vec![kit::gang(4, 32)]);
-    crash_until_ended(&mut cluster, kit::task(1, 0, 0), 0);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(4, 32)]);
+    crash_until_ended(&mut cluster, helpers::task(1, 0, 0), 0);
 }
 
 /// Guards against lost runs that are forgotten at a change of leaders: each
@@ -71,8 +71,8 @@
 #[test]
 fn a_task_that_crashes_its_workers_fails_permanently_across_takeovers() {
     let mut cluster = TestCluster::new(6);
-    let crashing = kit::task(1, 0, 0);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    let crashing = helpers::task(1, 0, 0);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     let mut crashes = 0;
     for epoch in 2..12 {
         while cluster.host_worker(crashing).is_none() {
@@ -100,8 +100,8 @@
 #[test]
 fn a_task_with_a_lost_run_waits_for_the_store() {
     let mut cluster = TestCluster::new(6);
-    let crashing = kit::task(1, 0, 0);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    let crashing = helpers::task(1, 0, 0);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     let host_worker = cluster.host_worker(crashing).unwrap();
     cluster.store_available = false;
     cluster.crash(&host_worker);
@@ -119,19 +119,21 @@
 #[test]
 fn a_task_beside_crashing_ones_does_not_fail_permanently() {
     let mut cluster = TestCluster::new(3);
-    let step = kit::with_estimate(kit::step(1, 1), 60_000);
-    cluster.run(1, &kit::queue(1), vec![step.clone()]);
-    let beside = kit::task(1, 0, 0);
+    let step = helpers::with_estimate(helpers::step(1, 1), 60_000);
+    cluster.run(1, &helpers::queue(1), vec![step.clone()]);
+    let beside = helpers::task(1, 0, 0);
     for number in 2..14 {
         cluster.advance(700);
         // Each new run crashes its worker; some of these workers also run the
         // task that is checked.
-        cluster.run(number, &kit::queue(1), vec![step.clone()]);
-        let host_worker = cluster.host_worker(kit::task(number, 0, 0)).unwrap();
+        cluster.run(number, &helpers::queue(1), vec![step.clone()]);
+        let host_worker = cluster.host_worker(helpers::task(number, 0, 0)).unwrap();
         cluster.crash(&host_worker);
         cluster.advance(1_000);
         cluster.replace(&host_worker, CORES);
-        cluster.scheduler.cancel(kit::job_id(number), cluster.now);
+        cluster
+            .scheduler
+            .cancel(helpers::job_id(number), cluster.now);
         cluster.advance(1_000);
     }
     assert_eq!(cluster.state(1), Some(fleet::JobState::Running));
@@ -143,15 +145,15 @@
 #[test]
 fn nothing_is_started_beside_a_task_in_quarantine() {
     let mut cluster = TestCluster::new(3);
-    let crashing = kit::task(1, 0, 0);
-    let step = kit::with_estimate(kit::step(1, 1), 20_000);
-    cluster.run(1, &kit::queue(1), vec![step.clone()]);
+    let crashing = helpers::task(1, 0, 0);
+    let step = helpers::with_estimate(helpers::step(1, 1), 20_000);
+    cluster.run(1, &helpers::queue(1), vec![step.clone()]);
     let host_worker = cluster.host_worker(crashing).unwrap();
     cluster.crash(&host_worker);
     cluster.advance(1_000);
     cluster.replace(&host_worker, CORES);
     let host_worker = cluster.host_worker(crashing).unwrap();
-    cluster.run(2, &kit::queue(1), vec![kit::step(200, 1)]);
+    cluster.run(2, &helpers::queue(1), vec![helpers::step(200, 1)]);
     assert_eq!(cluster.workers[&host_worker].running.len(), 1);
     cluster.advance(1_000);
     assert!(
@@ -165,9 +167,9 @@
 #[test]
 fn a_worker_that_reports_again_has_not_crashed() {
     let mut cluster = TestCluster::new(2);
-    let step = kit::with_estimate(kit::step(1, 1), 20_000);
-    cluster.run(1, &kit::queue(1), vec![step]);
-    let task = kit::task(1, 0, 0);
+    let step = helpers::with_estimate(helpers::step(1, 1), 20_000);
+    cluster.run(1, &helpers::queue(1), vec![step]);
+    let task = helpers::task(1, 0, 0);
     let host_worker = cluster.host_worker(task).unwrap();
     for _ in 0..6 {
         cluster
--- a/crates/figscale-core/tests/fleet/customers.rs
+++ b/crates/figscale-core/tests/fleet/customers.rs
@@ -7,8 +7,8 @@
 use figscale_types::fleet::JobState;
 use figscale_types::fleet::StartOutcome;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 fn name(text: &str) -> fleet::CustomerName {
     text.parse().unwrap()
@@ -46,8 +46,8 @@
     queue: &fleet::Queue,
     step: fleet::StepDescription,
 ) -> Admission {
-    let description = kit::job(vec![step]);
-    let (id, now, wall_ms) = (kit::job_id(number), cluster.now, cluster.wall_ms);
+    let description = helpers::job(vec![step]);
+    let (id, now, wall_ms) = (helpers::job_id(number), cluster.now, cluster.wall_ms);
     let customer = Some(name(customer));
     cluster
         .scheduler
@@ -55,7 +55,7 @@
 }
 
 fn run(cluster: &mut TestCluster, customer: &str, number: u64, step: fleet::StepDescription) {
-    let taken = submit(cluster, customer, number, &kit::queue(1), step);
+    let taken = submit(cluster, customer, number, &helpers::queue(1), step);
     assert_eq!(taken, Admission::Accepted);
     cluster.settle();
 }
@@ -65,19 +65,19 @@
         .workers
         .values()
         .flat_map(|worker| worker.running.keys());
-    runs.filter(|(task, _)| task.job == kit::job_id(job))
+    runs.filter(|(task, _)| task.job == helpers::job_id(job))
         .count()
 }
 
 #[test]
 fn a_customer_runs_no_more_than_its_limit() {
     let mut cluster = cluster(4, &[("a", 10)]);
-    run(&mut cluster, "a", 1, kit::step(8, 2));
-    run(&mut cluster, "a", 2, kit::step(8, 2));
+    run(&mut cluster, "a", 1, helpers::step(8, 2));
+    run(&mut cluster, "a", 2, helpers::step(8, 2));
     assert_eq!((running(&cluster, 1), running(&cluster, 2)), (5, 0));
-    cluster.end(kit::task(1, 0, 0), End::Done);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
     assert_eq!(running(&cluster, 1), 5);
-    run(&mut cluster, "b", 3, kit::step(8, 2));
+    run(&mut cluster, "b", 3, helpers::step(8, 2));
     assert_eq!(
         running(&cluster, 3),
         8,
@@ -90,15 +90,15 @@
 #[test]
 fn runs_being_stopped_count_against_the_limit_until_they_end() {
     let mut cluster = cluster(2, &[("a", 4)]);
-    run(&mut cluster, "a", 1, kit::step(4, 1));
+    run(&mut cluster, "a", 1, helpers::step(4, 1));
     for worker in cluster.workers.values_mut() {
         worker.stops_at_once = false;
     }
-    cluster.scheduler.cancel(kit::job_id(1), cluster.now);
-    run(&mut cluster, "a", 2, kit::step(4, 1));
+    cluster.scheduler.cancel(helpers::job_id(1), cluster.now);
+    run(&mut cluster, "a", 2, helpers::step(4, 1));
     assert_eq!(running(&cluster, 2), 0);
     for index in 0..4 {
-        cluster.end(kit::task(1, 0, index), End::Stopped);
+        cluster.end(helpers::task(1, 0, index), End::Stopped);
     }
     assert_eq!(running(&cluster, 2), 4);
 }
@@ -109,9 +109,9 @@
 fn an_unanswered_order_counts_against_the_limit() {
     let mut cluster = cluster(1, &[("a", 4)]);
     cluster.worker(0).start_outcome = Some(StartOutcome::Unknown);
-    run(&mut cluster, "a", 1, kit::step(4, 1));
+    run(&mut cluster, "a", 1, helpers::step(4, 1));
     cluster.worker(0).start_outcome = None;
-    run(&mut cluster, "a", 2, kit::step(4, 1));
+    run(&mut cluster, "a", 2, helpers::step(4, 1));
     assert_eq!(cluster.starts(), 4);
     cluster.advance(2_000);
     assert_eq!(running(&cluster, 1) + running(&cluster, 2), 4);
@@ -122,7 +122,7 @@
 #[test]
 fn a_lowered_limit_starts_nothing_and_stops_nothing() {
     let mut cluster = cluster(2, &[("a", 20)]);
-    run(&mut cluster, "a", 1, kit::step(40, 1));
+    run(&mut cluster, "a", 1, helpers::step(40, 1));
     assert_eq!(running(&cluster, 1), 20);
     cluster
         .scheduler
@@ -130,7 +130,7 @@
     cluster.advance(1_000);
     assert_eq!((running(&cluster, 1), cluster.stops.len()), (20, 0));
     for index in 0..18 {
-        cluster.end(kit::task(1, 0, index), End::Done);
+        cluster.end(helpers::task(1, 0, index), End::Done);
     }
     assert_eq!(running(&cluster, 1), 3);
 }
@@ -144,13 +144,13 @@
         &mut cluster,
         "a",
         1,
-        kit::with_estimate(kit::step(40, 1), 20_000),
+        helpers::with_estimate(helpers::step(40, 1), 20_000),
     );
     let lenient_queue = fleet::Queue {
         target_latency_ms: 60_000,
-        ..kit::advised_queue(1)
+        ..helpers::advised_queue(1)
     };
-    let taken = submit(&mut cluster, "a", 2, &lenient_queue, kit::gang(40, 1));
+    let taken = submit(&mut cluster, "a", 2, &lenient_queue, helpers::gang(40, 1));
     assert_eq!(taken, Admission::Accepted);
     cluster.settle();
     assert!(
@@ -161,7 +161,7 @@
         &mut cluster,
         "b",
         3,
-        kit::with_estimate(kit::step(88, 1), 20_000),
+        helpers::with_estimate(helpers::step(88, 1), 20_000),
     );
     assert_eq!(
         running(&cluster, 3),
@@ -173,9 +173,21 @@
 #[test]
 fn a_gang_that_never_fits_its_limit_is_refused_at_once() {
     let mut cluster = cluster(2, &[("a", 8)]);
-    let answer = submit(&mut cluster, "a", 1, &kit::queue(1), kit::gang(9, 1));
+    let answer = submit(
+        &mut cluster,
+        "a",
+        1,
+        &helpers::queue(1),
+        helpers::gang(9, 1),
+    );
     assert_eq!(answer, Admission::TooLarge);
-    let answer = submit(&mut cluster, "a", 2, &kit::queue(1), kit::gang(8, 1));
+    let answer = submit(
+        &mut cluster,
+        "a",
+        2,
+        &helpers::queue(1),
+        helpers::gang(8, 1),
+    );
     assert_eq!(answer, Admission::Accepted);
 }
 
@@ -183,9 +195,9 @@
 #[test]
 fn a_task_over_the_limit_runs_alone() {
     let mut cluster = cluster(2, &[("a", 2)]);
-    run(&mut cluster, "a", 1, kit::step(2, 5));
+    run(&mut cluster, "a", 1, helpers::step(2, 5));
     assert_eq!(running(&cluster, 1), 1);
-    cluster.end(kit::task(1, 0, 0), End::Done);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
     assert_eq!(running(&cluster, 1), 1);
 }
 
@@ -194,8 +206,8 @@
 #[test]
 fn nothing_starts_for_customers_with_unknown_limits() {
     let mut cluster = TestCluster::new(1);
-    run(&mut cluster, "a", 1, kit::step(1, 1));
-    cluster.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
+    run(&mut cluster, "a", 1, helpers::step(1, 1));
+    cluster.run(2, &helpers::queue(1), vec![helpers::step(1, 1)]);
     assert_eq!((running(&cluster, 1), running(&cluster, 2)), (0, 1));
     cluster
         .scheduler
@@ -203,7 +215,7 @@
     cluster.settle();
     assert_eq!(running(&cluster, 1), 1);
     cluster.scheduler.forget_customers();
-    run(&mut cluster, "b", 3, kit::step(1, 1));
+    run(&mut cluster, "b", 3, helpers::step(1, 1));
     assert_eq!(running(&cluster, 3), 0);
 }
 
@@ -217,21 +229,21 @@
         &mut cluster,
         "a",
         1,
-        kit::with_estimate(kit::step(6, 1), 20_000),
+        helpers::with_estimate(helpers::step(6, 1), 20_000),
     );
-    let host_worker = cluster.placed(kit::task(1, 0, 0))[0].0.clone();
+    let host_worker = cluster.placed(helpers::task(1, 0, 0))[0].0.clone();
     let unreachable_runs = cluster.workers[&host_worker].running.len();
     cluster.workers[&host_worker].reachable = false;
     cluster.take_over(2);
     cluster.scheduler.set_customers(Some(&customers(&limits)));
     cluster.settle();
-    run(&mut cluster, "a", 2, kit::step(6, 1));
+    run(&mut cluster, "a", 2, helpers::step(6, 1));
     assert_eq!(
         running(&cluster, 2),
         0,
         "{unreachable_runs} of 6 run on the unreachable worker"
     );
-    run(&mut cluster, "b", 3, kit::step(40, 1));
+    run(&mut cluster, "b", 3, helpers::step(40, 1));
     assert_eq!(
         running(&cluster, 3),
         40,
@@ -254,10 +266,10 @@
         &mut cluster,
         "a",
         1,
-        kit::with_estimate(kit::step(4, 1), 20_000),
+        helpers::with_estimate(helpers::step(4, 1), 20_000),
     );
     cluster.worker(0).reachable = false;
-    cluster.scheduler.cancel(kit::job_id(1), cluster.now);
+    cluster.scheduler.cancel(helpers::job_id(1), cluster.now);
     cluster.settle();
     assert_eq!(
         running(&cluster, 1),
@@ -268,7 +280,7 @@
     cluster.take_over(2);
     cluster.scheduler.set_customers(Some(&customers(&limits)));
     cluster.settle();
-    run(&mut cluster, "a", 2, kit::step(4, 1));
+    run(&mut cluster, "a", 2, helpers::step(4, 1));
     assert_eq!(running(&cluster, 2), 0);
 }
 
@@ -277,18 +289,30 @@
 #[test]
 fn a_job_is_not_accessible_to_other_customers() {
     let mut cluster = cluster(1, &[("a", 4), ("b", 4)]);
-    run(&mut cluster, "a", 1, kit::step(1, 1));
+    run(&mut cluster, "a", 1, helpers::step(1, 1));
     for term in [2, 3] {
         let (a, b) = (name("a"), name("b"));
-        assert!(cluster.scheduler.is_open_to(kit::job_id(1), Some(&a)));
-        assert!(!cluster.scheduler.is_open_to(kit::job_id(1), Some(&b)));
-        assert!(!cluster.scheduler.is_open_to(kit::job_id(1), None));
-        let answer = submit(&mut cluster, "b", 1, &kit::queue(1), kit::step(1, 1));
+        assert!(cluster.scheduler.is_open_to(helpers::job_id(1), Some(&a)));
+        assert!(!cluster.scheduler.is_open_to(helpers::job_id(1), Some(&b)));
+        assert!(!cluster.scheduler.is_open_to(helpers::job_id(1), None));
+        let answer = submit(
+            &mut cluster,
+            "b",
+            1,
+            &helpers::queue(1),
+            helpers::step(1, 1),
+        );
         assert_eq!(answer, Admission::IdTaken);
-        let answer = submit(&mut cluster, "a", 1, &kit::queue(1), kit::step(1, 1));
+        let answer = submit(
+            &mut cluster,
+            "a",
+            1,
+            &helpers::queue(1),
+            helpers::step(1, 1),
+        );
         assert_eq!(answer, Admission::Known);
         if term == 2 {
-            cluster.end(kit::task(1, 0, 0), End::Done);
+            cluster.end(helpers::task(1, 0, 0), End::Done);
             assert_eq!(cluster.state(1), Some(JobState::Completed));
         }
         cluster.take_over(term);
@@ -302,7 +326,7 @@
 fn a_customer_over_its_share_does_not_delay_the_others() {
     let mut cluster = cluster(2, &[("hot", 0), ("quiet", 0)]);
     for number in 1..=3 {
-        run(&mut cluster, "hot", number, kit::step(64, 1));
+        run(&mut cluster, "hot", number, helpers::step(64, 1));
     }
     assert_eq!(
         (
@@ -312,9 +336,9 @@
         ),
         (64, 64, 0)
     );
-    run(&mut cluster, "quiet", 4, kit::step(8, 1));
+    run(&mut cluster, "quiet", 4, helpers::step(8, 1));
     for index in 0..8 {
-        cluster.end(kit::task(1, 0, index), End::Done);
+        cluster.end(helpers::task(1, 0, index), End::Done);
     }
     assert_eq!((running(&cluster, 3), running(&cluster, 4)), (0, 8));
 }
--- a/crates/figscale-core/tests/fleet/gang_limits.rs
+++ b/crates/figscale-core/tests/fleet/gang_limits.rs
@@ -7,8 +7,8 @@
 use figscale_types::fleet;
 use indexmap::IndexMap;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 const STEP_MS: u64 = 50;
 
@@ -39,13 +39,13 @@
     }
 
     fn step(&mut self) {
-        self.cluster.now += kit::ms(STEP_MS);
+        self.cluster.now += helpers::ms(STEP_MS);
         self.cluster.wall_ms += STEP_MS;
         let (now, wall_ms) = (self.cluster.now, self.cluster.wall_ms);
         self.cluster.scheduler.tick(now, wall_ms);
         let due = self.pending_queries.extract_if(.., |(at, _)| *at <= now);
         for (_, query) in due.collect::<Vec<_>>() {
-            let tickets = kit::tickets(&query, self.good);
+            let tickets = helpers::tickets(&query, self.good);
             self.cluster
                 .scheduler
                 .advice_answered(&query, Some(tickets), now);
@@ -64,7 +64,7 @@
             let keys: Vec<_> = worker.running.keys().copied().collect();
             for (task, attempt) in keys {
                 let since = *self.since.entry(task).or_insert(now);
-                if (2..1_000).contains(&task.job.0) && now >= since + kit::ms(after_ms) {
+                if (2..1_000).contains(&task.job.0) && now >= since + helpers::ms(after_ms) {
                     worker.end(task, attempt, fleet::End::Done);
                 }
             }
@@ -73,7 +73,7 @@
 
     fn runs(&self, number: u64) -> usize {
         let runs = self.cluster.workers.values().flat_map(|w| w.running.keys());
-        runs.filter(|(task, _)| task.job == kit::job_id(number))
+        runs.filter(|(task, _)| task.job == helpers::job_id(number))
             .count()
     }
 }
@@ -85,7 +85,7 @@
             per_worker_ms,
             valid_ms,
         }),
-        ..kit::queue(priority)
+        ..helpers::queue(priority)
     }
 }
 
@@ -93,9 +93,9 @@
 fn start_overrunning(cluster: &mut TestCluster, count: u32, cores: u64) {
     let step = fleet::StepDescription {
         max_per_worker: Some(1),
-        ..kit::step(count, cores)
+        ..helpers::step(count, cores)
     };
-    cluster.run(1_000, &kit::queue(1), vec![step]);
+    cluster.run(1_000, &helpers::queue(1), vec![step]);
     cluster.advance(2_000);
 }
 
@@ -110,7 +110,7 @@
     sim.cluster.run(
         1,
         &advised_queue(1, 200.0, 1.0, 2_500),
-        vec![kit::gang(2, 8)],
+        vec![helpers::gang(2, 8)],
     );
     sim.simulate(600);
     for number in 30..40 {
@@ -134,7 +134,7 @@
         let good = |number| number % 5 < 2;
         let mut sim = SlowAdvisory::new(TestCluster::with_cores(250, 40), &good);
         sim.cluster.join_entries(2..=18);
-        let step = kit::with_estimate(kit::gang(count, 27), 5_000);
+        let step = helpers::with_estimate(helpers::gang(count, 27), 5_000);
         sim.cluster
             .run(1, &advised_queue(1, 559.0, 8.06, 2_000), vec![step]);
         sim.simulate(30_000);
@@ -161,14 +161,14 @@
     sim.cluster.join_entries(2..=12);
     let queue = advised_queue(1, 200.0, 1.0, 2_500);
     for number in 1..=8 {
-        let gang = kit::with_estimate(kit::gang(2, 8), 5_000);
+        let gang = helpers::with_estimate(helpers::gang(2, 8), 5_000);
         sim.cluster.run(number, &queue, vec![gang]);
     }
     sim.simulate(2_000);
-    let small = kit::with_estimate(kit::step(1, 2), 3_000);
+    let small = helpers::with_estimate(helpers::step(1, 2), 3_000);
     let lenient_queue = fleet::Queue {
         target_latency_ms: 10_000,
-        ..kit::queue(2)
+        ..helpers::queue(2)
     };
     sim.cluster.run(9, &lenient_queue, vec![small]);
     sim.simulate(5_000);
@@ -183,20 +183,20 @@
     let mut next = 3;
     for _ in 0..400 {
         cluster.advance(100);
-        if !cluster.placed(kit::task(500, 0, 0)).is_empty() {
+        if !cluster.placed(helpers::task(500, 0, 0)).is_empty() {
             return true;
         }
         for slot in &mut running {
             slot.1 -= 1;
             if slot.1 == 0 {
-                cluster.submit(next, &kit::queue(1), kit::job(vec![single.clone()]));
+                cluster.submit(next, &helpers::queue(1), helpers::job(vec![single.clone()]));
                 while cluster.scheduler.has_records() {
                     cluster.write();
                 }
-                cluster.end(kit::task(slot.0, 0, 0), fleet::End::Done);
+                cluster.end(helpers::task(slot.0, 0, 0), fleet::End::Done);
                 *slot = (next, 20);
                 next += 1;
-                if cluster.placed(kit::task(slot.0, 0, 0)).is_empty() {
+                if cluster.placed(helpers::task(slot.0, 0, 0)).is_empty() {
                     *slot = (slot.0, u32::MAX);
                 }
             }
@@ -212,13 +212,13 @@
     let forever = fleet::StepDescription {
         long_running: true,
         max_per_worker: Some(1),
-        ..kit::step(2, 8)
+        ..helpers::step(2, 8)
     };
-    cluster.run(1_000, &kit::queue(1), vec![forever]);
-    let single = kit::with_estimate(kit::step(1, 8), 2_000);
-    cluster.run(1, &kit::queue(1), vec![single.clone()]);
-    cluster.run(2, &kit::queue(1), vec![single.clone()]);
-    cluster.run(500, &kit::queue(1), vec![kit::gang(2, 8)]);
+    cluster.run(1_000, &helpers::queue(1), vec![forever]);
+    let single = helpers::with_estimate(helpers::step(1, 8), 2_000);
+    cluster.run(1, &helpers::queue(1), vec![single.clone()]);
+    cluster.run(2, &helpers::queue(1), vec![single.clone()]);
+    cluster.run(500, &helpers::queue(1), vec![helpers::gang(2, 8)]);
     assert!(starts_beside_a_stream(&mut cluster, &single));
 }
 
@@ -227,12 +227,12 @@
 #[test]
 fn an_infeasible_gang_does_not_block_another_gang() {
     let mut cluster = TestCluster::with_cores(2, 10);
-    let single = kit::with_estimate(kit::step(1, 8), 2_000);
-    cluster.run(1, &kit::queue(1), vec![single.clone()]);
-    cluster.run(2, &kit::queue(1), vec![single.clone()]);
-    cluster.run(400, &kit::queue(1), vec![kit::gang(3, 8)]);
+    let single = helpers::with_estimate(helpers::step(1, 8), 2_000);
+    cluster.run(1, &helpers::queue(1), vec![single.clone()]);
+    cluster.run(2, &helpers::queue(1), vec![single.clone()]);
+    cluster.run(400, &helpers::queue(1), vec![helpers::gang(3, 8)]);
     cluster.advance(100);
-    cluster.run(500, &kit::queue(1), vec![kit::gang(2, 8)]);
+    cluster.run(500, &helpers::queue(1), vec![helpers::gang(2, 8)]);
     assert!(starts_beside_a_stream(&mut cluster, &single));
 }
 
@@ -243,18 +243,22 @@
     start_overrunning(&mut cluster, 3, 7);
     let good = |_| true;
     let mut sim = SlowAdvisory::new(cluster, &good);
-    let small = kit::with_estimate(kit::step(1, 1), 200);
-    let gang = kit::with_estimate(kit::gang(2, 8), 5_000);
+    let small = helpers::with_estimate(helpers::step(1, 1), 200);
+    let gang = helpers::with_estimate(helpers::gang(2, 8), 5_000);
     let long = fleet::Queue {
         target_latency_ms: 60_000,
         ..advised_queue(2, 30.0, 1.0, 2_500)
     };
-    sim.cluster.submit(2, &long, kit::job(vec![small.clone()]));
     sim.cluster
-        .submit(1, &advised_queue(1, 30.0, 1.0, 2_500), kit::job(vec![gang]));
+        .submit(2, &long, helpers::job(vec![small.clone()]));
+    sim.cluster.submit(
+        1,
+        &advised_queue(1, 30.0, 1.0, 2_500),
+        helpers::job(vec![gang]),
+    );
     for number in 3..203 {
         sim.cluster
-            .submit(number, &long, kit::job(vec![small.clone()]));
+            .submit(number, &long, helpers::job(vec![small.clone()]));
     }
     let mut asked_at = None;
     for at in 0..100 {
@@ -263,7 +267,7 @@
         let asked = sim
             .pending_queries
             .iter()
-            .any(|(_, q)| q.task.job == kit::job_id(1));
+            .any(|(_, q)| q.task.job == helpers::job_id(1));
         asked_at = asked_at.or(asked.then_some(at * STEP_MS));
     }
     assert!(
@@ -279,7 +283,7 @@
     for member in ["entry-2", "entry-3"] {
         cluster.scheduler.member_joined(&member.parse().unwrap());
     }
-    cluster.run(1, &kit::advised_queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::advised_queue(1), vec![helpers::step(1, 1)]);
     let first = cluster.queries.remove(0);
     cluster.scheduler.member_left(&first.member);
     cluster.settle();
@@ -300,14 +304,14 @@
     let mut cluster = TestCluster::with_cores(1, 10);
     let forever = fleet::StepDescription {
         long_running: true,
-        ..kit::step(1, 8)
+        ..helpers::step(1, 8)
     };
-    cluster.run(1, &kit::queue(1), vec![forever]);
+    cluster.run(1, &helpers::queue(1), vec![forever]);
     cluster.advance(60_000);
-    cluster.run(2, &kit::queue(2), vec![kit::step(1, 8)]);
+    cluster.run(2, &helpers::queue(2), vec![helpers::step(1, 8)]);
     cluster.advance(4_000);
-    cluster.end(kit::task(1, 0, 0), fleet::End::Failed);
-    assert_eq!(cluster.placed(kit::task(1, 0, 0)).len(), 1);
+    cluster.end(helpers::task(1, 0, 0), fleet::End::Failed);
+    assert_eq!(cluster.placed(helpers::task(1, 0, 0)).len(), 1);
 }
 
 /// The lateness of an occurrence counts from its due time, not from the
@@ -319,20 +323,20 @@
         occurrences: 3,
         interval_ms: 30_000,
         first_due_ms: cluster.wall_ms,
-        ..kit::job(vec![kit::step(1, 8)])
+        ..helpers::job(vec![helpers::step(1, 8)])
     };
-    let answer = cluster.submit(1, &kit::queue(1), repeated);
+    let answer = cluster.submit(1, &helpers::queue(1), repeated);
     assert_eq!(answer, figscale_core::fleet::Admission::Accepted);
     let occurrence = |occurrence| fleet::TaskId {
         occurrence,
-        ..kit::task(1, 0, 0)
+        ..helpers::task(1, 0, 0)
     };
     cluster.advance(1_000);
     cluster.end(occurrence(0), fleet::End::Done);
-    cluster.run(2, &kit::queue(1), vec![kit::step(1, 8)]);
+    cluster.run(2, &helpers::queue(1), vec![helpers::step(1, 8)]);
     cluster.advance(25_000);
-    cluster.run(3, &kit::queue(2), vec![kit::step(1, 8)]);
+    cluster.run(3, &helpers::queue(2), vec![helpers::step(1, 8)]);
     cluster.advance(5_000);
-    cluster.end(kit::task(2, 0, 0), fleet::End::Done);
+    cluster.end(helpers::task(2, 0, 0), fleet::End::Done);
     assert_eq!(cluster.placed(occurrence(1)).len(), 1);
 }
--- a/crates/figscale-core/tests/fleet/gangs.rs
+++ b/crates/figscale-core/tests/fleet/gangs.rs
@@ -6,13 +6,13 @@
 use figscale_types::fleet::StartOutcome;
 use figscale_types::fleet::StartRefusal;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 #[test]
 fn a_gang_starts_whole_or_not_at_all() {
     let mut cluster = TestCluster::with_cores(2, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::gang(3, 8)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(3, 8)]);
     assert_eq!(cluster.starts(), 0);
     cluster.add_worker(2, 10);
     cluster.settle();
@@ -27,19 +27,19 @@
 #[test]
 fn one_successful_member_completes_the_gang() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::gang(3, 8)]);
-    cluster.end(kit::task(1, 0, 1), End::Done);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(3, 8)]);
+    cluster.end(helpers::task(1, 0, 1), End::Done);
     assert_eq!(cluster.state(1), Some(JobState::Completed));
 }
 
 #[test]
 fn a_gang_restarts_together() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::gang(3, 8)]);
-    cluster.end(kit::task(1, 0, 1), End::Stopped);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(3, 8)]);
+    cluster.end(helpers::task(1, 0, 1), End::Stopped);
     cluster.advance(200);
     for index in 0..3 {
-        let placed = cluster.placed(kit::task(1, 0, index));
+        let placed = cluster.placed(helpers::task(1, 0, index));
         assert_eq!(placed.len(), 1);
         assert_eq!(placed[0].1, 2);
     }
@@ -48,10 +48,10 @@
 #[test]
 fn failures_of_one_gang_run_count_once() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::gang(2, 8)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(2, 8)]);
     for index in 0..2 {
-        let (worker, attempt) = cluster.placed(kit::task(1, 0, index))[0].clone();
-        cluster.workers[&worker].end(kit::task(1, 0, index), attempt, End::Failed);
+        let (worker, attempt) = cluster.placed(helpers::task(1, 0, index))[0].clone();
+        cluster.workers[&worker].end(helpers::task(1, 0, index), attempt, End::Failed);
     }
     cluster.advance(200);
     assert_eq!(cluster.state(1), Some(JobState::Running));
@@ -61,12 +61,12 @@
 fn a_refused_member_stops_the_others() {
     let mut cluster = TestCluster::with_cores(2, 10);
     cluster.worker(1).start_outcome = Some(StartOutcome::Refused(StartRefusal::NoRoom));
-    cluster.run(1, &kit::queue(1), vec![kit::gang(2, 8)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(2, 8)]);
     assert!(!cluster.stops.is_empty());
     cluster.worker(1).start_outcome = None;
     cluster.advance(600);
     let attempts: Vec<u32> = (0..2)
-        .map(|index| cluster.placed(kit::task(1, 0, index))[0].1)
+        .map(|index| cluster.placed(helpers::task(1, 0, index))[0].1)
         .collect();
     assert_eq!(attempts[0], attempts[1]);
     assert!(attempts[0] > 1);
@@ -75,14 +75,14 @@
 #[test]
 fn a_gang_prefers_one_rack() {
     let mut cluster = TestCluster::with_cores(8, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 9)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 9)]);
     let step = fleet::StepDescription {
         same_rack: true,
-        ..kit::gang(4, 8)
+        ..helpers::gang(4, 8)
     };
-    cluster.run(2, &kit::queue(1), vec![step]);
+    cluster.run(2, &helpers::queue(1), vec![step]);
     let racks: Vec<String> = (0..4)
-        .map(|index| cluster.placed(kit::task(2, 0, index))[0].0.clone())
+        .map(|index| cluster.placed(helpers::task(2, 0, index))[0].0.clone())
         .map(|worker| cluster.workers[&worker].entry.rack.clone())
         .collect();
     assert!(racks.iter().all(|rack| *rack == racks[0]), "{racks:?}");
@@ -96,17 +96,21 @@
     let mut cluster = TestCluster::with_cores(3, 4);
     let small = fleet::StepDescription {
         estimate_ms: 2_000,
-        ..kit::step(1, 1)
+        ..helpers::step(1, 1)
     };
     for number in 100..112 {
-        cluster.run(number, &kit::queue(1), vec![small.clone()]);
+        cluster.run(number, &helpers::queue(1), vec![small.clone()]);
     }
-    cluster.run(1, &kit::queue(1), vec![kit::gang(3, 4)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(3, 4)]);
     for number in 112..136 {
-        cluster.submit(number, &kit::queue(1), kit::job(vec![small.clone()]));
+        cluster.submit(
+            number,
+            &helpers::queue(1),
+            helpers::job(vec![small.clone()]),
+        );
         cluster.advance(200);
-        cluster.end(kit::task(number - 12, 0, 0), End::Done);
-        if cluster.placed(kit::task(1, 0, 0)).len() == 1 {
+        cluster.end(helpers::task(number - 12, 0, 0), End::Done);
+        if cluster.placed(helpers::task(1, 0, 0)).len() == 1 {
             return;
         }
     }
@@ -118,16 +122,16 @@
 #[test]
 fn members_waiting_for_others_are_not_taken_for_stalled() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::gang(3, 8)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(3, 8)]);
     for index in 0..2 {
-        let (worker, attempt) = cluster.placed(kit::task(1, 0, index))[0].clone();
-        let key = (kit::task(1, 0, index), attempt);
+        let (worker, attempt) = cluster.placed(helpers::task(1, 0, index))[0].clone();
+        let key = (helpers::task(1, 0, index), attempt);
         cluster.workers[&worker].running[&key].used_cpu_millis = Some(0);
     }
     cluster.advance(4_000);
     assert!(cluster.stops.is_empty());
-    let (worker, attempt) = cluster.placed(kit::task(1, 0, 2))[0].clone();
-    let key = (kit::task(1, 0, 2), attempt);
+    let (worker, attempt) = cluster.placed(helpers::task(1, 0, 2))[0].clone();
+    let key = (helpers::task(1, 0, 2), attempt);
     cluster.workers[&worker].running[&key].used_cpu_millis = Some(0);
     cluster.advance(2_500);
     assert!(
--- a/crates/figscale-core/tests/fleet/leaving.rs
+++ b/crates/figscale-core/tests/fleet/leaving_workers.rs
@@ -9,27 +9,29 @@
 use figscale_types::fleet::End;
 use figscale_types::fleet::JobState;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 /// Has a worker announce that it leaves.
 fn drain(cluster: &mut TestCluster, number: usize, leaves_in_ms: u64) {
     let entry = fleet::WorkerEntry {
         draining: true,
-        leaves_in: Some(kit::ms(leaves_in_ms)),
+        leaves_in: Some(helpers::ms(leaves_in_ms)),
         ..cluster.worker(number).entry.clone()
     };
     cluster.worker(number).entry = entry.clone();
     cluster.scheduler.worker_listed(entry);
-    let at = cluster.now + kit::ms(leaves_in_ms);
-    cluster.scheduler.worker_leaves(&kit::worker_id(number), at);
+    let at = cluster.now + helpers::ms(leaves_in_ms);
+    cluster
+        .scheduler
+        .worker_leaves(&helpers::worker_id(number), at);
 }
 
 /// A test cluster of two workers with a task on one of them, and the number of
 /// that worker.
 fn cluster_with_task() -> (TestCluster, usize) {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     let host_worker = usize::from(cluster.worker(0).running.is_empty());
     (cluster, host_worker)
 }
@@ -37,15 +39,18 @@
 #[test]
 fn a_run_that_outlasts_its_leaving_worker_moves() {
     let (mut cluster, host_worker) = cluster_with_task();
-    let key = (kit::task(1, 0, 0), 1);
+    let key = (helpers::task(1, 0, 0), 1);
     cluster.worker(host_worker).running[&key].checkpoint = "saved".to_owned();
     drain(&mut cluster, host_worker, 5_000);
     cluster.advance(2_000);
-    assert_eq!(cluster.placed(key.0), [(kit::worker_id(host_worker), 1)]);
+    assert_eq!(
+        cluster.placed(key.0),
+        [(helpers::worker_id(host_worker), 1)]
+    );
     cluster.advance(2_000);
     assert_eq!(
         cluster.placed(key.0),
-        [(kit::worker_id(1 - host_worker), 2)]
+        [(helpers::worker_id(1 - host_worker), 2)]
     );
     assert_eq!(
         cluster.worker(1 - host_worker).orders[0].checkpoint,
@@ -58,7 +63,7 @@
     let (mut cluster, host_worker) = cluster_with_task();
     drain(&mut cluster, host_worker, 5_000);
     cluster.advance(3_000);
-    cluster.end(kit::task(1, 0, 0), End::Done);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
     cluster.advance(2_000);
     assert!(cluster.stops.is_empty());
     assert_eq!(cluster.state(1), Some(JobState::Completed));
@@ -69,8 +74,8 @@
     let (mut cluster, host_worker) = cluster_with_task();
     drain(&mut cluster, host_worker, 1_000);
     cluster.advance(100);
-    let placed = cluster.placed(kit::task(1, 0, 0));
-    assert_eq!(placed, [(kit::worker_id(1 - host_worker), 2)]);
+    let placed = cluster.placed(helpers::task(1, 0, 0));
+    assert_eq!(placed, [(helpers::worker_id(1 - host_worker), 2)]);
 }
 
 /// Guards against a task that the next leader does not find, and that waits for
@@ -81,13 +86,13 @@
     drain(&mut cluster, host_worker, 1_000);
     cluster.advance(500);
     cluster.worker(host_worker).reachable = false;
-    let task = kit::task(1, 0, 0);
+    let task = helpers::task(1, 0, 0);
     cluster.worker(1 - host_worker).end(task, 2, End::Stopped);
     cluster.take_over(2);
     cluster.advance(300);
     assert_eq!(
         cluster.placed(task),
-        [(kit::worker_id(1 - host_worker), 1_001)]
+        [(helpers::worker_id(1 - host_worker), 1_001)]
     );
 }
 
@@ -96,7 +101,7 @@
 fn the_next_leader_waits_for_a_worker_with_an_unanswered_order() {
     let mut cluster = TestCluster::new(1);
     cluster.worker(0).start_outcome = Some(fleet::StartOutcome::Unknown);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     drain(&mut cluster, 0, 5_000);
     cluster.worker(0).start_outcome = None;
     cluster.advance(200);
@@ -104,9 +109,9 @@
     cluster.add_worker(1, 64);
     cluster.take_over(2);
     cluster.advance(3_000);
-    assert!(cluster.placed(kit::task(1, 0, 0)).is_empty());
+    assert!(cluster.placed(helpers::task(1, 0, 0)).is_empty());
     cluster.advance(3_000);
-    assert_eq!(cluster.placed(kit::task(1, 0, 0)).len(), 1);
+    assert_eq!(cluster.placed(helpers::task(1, 0, 0)).len(), 1);
 }
 
 #[test]
@@ -120,7 +125,7 @@
         ..cluster.worker(0).entry.clone()
     };
     cluster.scheduler.worker_listed(entry);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     assert_eq!(cluster.starts(), 1);
     assert!(cluster.stops.is_empty());
 }
--- a/crates/figscale-core/tests/fleet/load.rs
+++ b/crates/figscale-core/tests/fleet/load_peaks.rs
@@ -14,8 +14,8 @@
 use figscale_types::fleet;
 use indexmap::IndexMap;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 const WORKERS: usize = 4;
 const CORES: u64 = 64;
@@ -44,28 +44,28 @@
     let queue = |priority, stretch, target_latency_ms| fleet::Queue {
         stretch,
         target_latency_ms,
-        ..kit::queue(priority)
+        ..helpers::queue(priority)
     };
     vec![
         Kind {
             per_s: 30.9,
             worth: 0.44,
             queue: queue(0, 1.5, 250),
-            step: kit::with_estimate(kit::step(2, 6), 1_000),
+            step: helpers::with_estimate(helpers::step(2, 6), 1_000),
             peak: (5_000, 2.2),
         },
         Kind {
             per_s: 4.36,
             worth: 2.22,
             queue: queue(2, 4.0, 3_000),
-            step: kit::with_estimate(kit::step(15, 4), 3_400),
+            step: helpers::with_estimate(helpers::step(15, 4), 3_400),
             peak: (0, 1.0),
         },
         Kind {
             per_s: 1.81,
             worth: 8.55,
             queue: queue(1, 2.2, 1_000),
-            step: kit::with_estimate(kit::gang(7, 18), 5_000),
+            step: helpers::with_estimate(helpers::gang(7, 18), 5_000),
             peak: (15_000, 1.8),
         },
     ]
@@ -95,7 +95,7 @@
     callers: Vec<Caller>,
     /// When each run will end.
     ends: IndexMap<(fleet::TaskId, u32), time::Instant>,
-    random: kit::Random,
+    random: helpers::Random,
 }
 
 impl Load {
@@ -109,7 +109,7 @@
             kinds: kinds(),
             callers: Vec::new(),
             ends: IndexMap::new(),
-            random: kit::Random(seed),
+            random: helpers::Random(seed),
         }
     }
 
@@ -167,7 +167,7 @@
                 continue;
             }
             let kind = &self.kinds[caller.kind];
-            let job = kit::job(vec![caller.step.clone()]);
+            let job = helpers::job(vec![caller.step.clone()]);
             match self.cluster.submit(number as u64, &kind.queue, job) {
                 Admission::Refused { retry_after, .. } => {
                     let next = now + retry_after;
@@ -193,7 +193,7 @@
                 continue;
             }
             let caller = &self.callers[key.0.job.0 as usize];
-            let estimate = kit::ms(caller.step.estimate_ms);
+            let estimate = helpers::ms(caller.step.estimate_ms);
             self.ends
                 .insert(key, now + estimate.mul_f64(duration_factor(&key.0)));
         }
@@ -218,8 +218,8 @@
         for caller in &self.callers {
             let kind = &self.kinds[caller.kind];
             total_worth += kind.worth;
-            let chain = kit::ms(caller.step.estimate_ms).mul_f64(kind.queue.stretch);
-            let objective = chain + kit::ms(kind.queue.target_latency_ms);
+            let chain = helpers::ms(caller.step.estimate_ms).mul_f64(kind.queue.stretch);
+            let objective = chain + helpers::ms(kind.queue.target_latency_ms);
             let Some(ended) = caller.ended else {
                 continue;
             };
--- a/crates/figscale-core/tests/fleet/losses.rs
+++ b/crates/figscale-core/tests/fleet/lost_calls.rs
@@ -12,19 +12,19 @@
 
 use figscale_core::fleet::LostAnswers;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 #[test]
 fn report_waits_are_shorter_while_responses_get_lost() {
     let now = time::Instant::now();
-    let mut losses = LostAnswers::default();
-    let usual = losses.report_wait(now);
-    losses.record_lost_answer(now);
-    assert!(losses.report_wait(now + kit::ms(1_000)) * 3 < usual);
-    losses.record_lost_answer(now + kit::ms(2_000));
-    assert!(losses.report_wait(now + kit::ms(4_000)) < usual);
-    assert_eq!(losses.report_wait(now + kit::ms(6_000)), usual);
+    let mut lost_answers = LostAnswers::default();
+    let usual = lost_answers.report_wait(now);
+    lost_answers.record_lost_answer(now);
+    assert!(lost_answers.report_wait(now + helpers::ms(1_000)) * 3 < usual);
+    lost_answers.record_lost_answer(now + helpers::ms(2_000));
+    assert!(lost_answers.report_wait(now + helpers::ms(4_000)) < usual);
+    assert_eq!(lost_answers.report_wait(now + helpers::ms(6_000)), usual);
 }
 
 #[test]
@@ -32,10 +32,10 @@
     let mut cluster = TestCluster::new(2);
     cluster
         .scheduler
-        .worker_call_failed(&kit::worker_id(0), cluster.now);
-    let queue = kit::queue(0);
+        .worker_call_failed(&helpers::worker_id(0), cluster.now);
+    let queue = helpers::queue(0);
     assert_eq!(
-        cluster.submit(1, &queue, kit::job(vec![kit::step(4, 1)])),
+        cluster.submit(1, &queue, helpers::job(vec![helpers::step(4, 1)])),
         figscale_core::fleet::Admission::Accepted
     );
     while cluster.scheduler.has_records() {
@@ -50,7 +50,7 @@
     cluster.worker(1).reachable = false;
     cluster
         .scheduler
-        .worker_call_failed(&kit::worker_id(1), cluster.now);
-    cluster.run(2, &queue, vec![kit::step(4, 1)]);
+        .worker_call_failed(&helpers::worker_id(1), cluster.now);
+    cluster.run(2, &queue, vec![helpers::step(4, 1)]);
     assert_eq!(cluster.worker(0).running.len(), 4);
 }
--- a/crates/figscale-core/tests/fleet/hopeless.rs
+++ b/crates/figscale-core/tests/fleet/no_capacity.rs
@@ -11,15 +11,15 @@
 use figscale_types::fleet;
 use rstest::rstest;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 const WORKERS: usize = 100;
 const BACKLOG: u64 = 1_200;
 
 /// A step of tasks of one core and `memory_mb` each.
 fn step(count: u32, memory_mb: u64) -> fleet::StepDescription {
-    let step = kit::step(count, 1);
+    let step = helpers::step(count, 1);
     let room = fleet::Room {
         memory_mb,
         ..step.room
@@ -34,10 +34,10 @@
         ..Config::default()
     };
     let mut cluster = TestCluster::with_config(WORKERS, 64, config);
-    cluster.run(0, &kit::queue(1), vec![step(WORKERS as u32, 131_072)]);
+    cluster.run(0, &helpers::queue(1), vec![step(WORKERS as u32, 131_072)]);
     assert_eq!(cluster.starts(), WORKERS);
     for number in 1..=BACKLOG {
-        let answer = cluster.submit(number, queue, kit::job(vec![step(2, 1_024)]));
+        let answer = cluster.submit(number, queue, helpers::job(vec![step(2, 1_024)]));
         assert_eq!(answer, Admission::Accepted);
     }
     cluster.settle();
@@ -45,8 +45,8 @@
 }
 
 #[rstest]
-#[case::without_advice(kit::queue(0))]
-#[case::under_advice(kit::advised_queue(0))]
+#[case::without_advice(helpers::queue(0))]
+#[case::under_advice(helpers::advised_queue(0))]
 fn a_backlog_without_free_capacity_is_not_scanned(#[case] queue: fleet::Queue) {
     let mut cluster = fleet_without_memory(&queue);
     assert_eq!(
@@ -102,8 +102,8 @@
 fn random_queue(random: &mut RandomSource) -> fleet::Queue {
     let priority = u32::from(random.one_in(2));
     let mut queue = match random.one_in(2) {
-        true => kit::advised_queue(priority),
-        false => kit::queue(priority),
+        true => helpers::advised_queue(priority),
+        false => helpers::queue(priority),
     };
     if random.one_in(3) {
         queue.service = "other".to_owned();
@@ -123,7 +123,7 @@
         filler: random.one_in(8),
         max_per_worker: random.one_in(4).then_some(1),
         required_label: random.one_in(6).then(|| "r1-2".to_owned()),
-        ..kit::step(1 + random.below(8) as u32, 1)
+        ..helpers::step(1 + random.below(8) as u32, 1)
     }
 }
 
@@ -155,7 +155,7 @@
             .map(|_| random_step(&mut random))
             .collect();
         let queue = random_queue(&mut random);
-        let _ = cluster.submit(number, &queue, kit::job(steps));
+        let _ = cluster.submit(number, &queue, helpers::job(steps));
         cluster.report_all();
         while cluster.scheduler.has_records() {
             cluster.write();
@@ -180,7 +180,7 @@
         decided += usize::from(plan_and_compare(&mut cluster));
         cluster.execute_actions();
         end_random_runs(&mut cluster, &mut random);
-        cluster.now += kit::ms(50);
+        cluster.now += helpers::ms(50);
         cluster.wall_ms += 50;
         cluster.scheduler.tick(cluster.now, cluster.wall_ms);
     }
--- a/crates/figscale-core/tests/fleet/passes.rs
+++ b/crates/figscale-core/tests/fleet/pass_cost.rs
@@ -21,8 +21,8 @@
 use figscale_core::fleet::AdviceQuery;
 use figscale_types::fleet;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 const WORKERS: usize = 350;
 const CORES: u64 = 64;
@@ -45,7 +45,7 @@
             per_worker_ms: 8.06,
             valid_ms: 2_000,
         }),
-        ..kit::queue(1)
+        ..helpers::queue(1)
     }
 }
 
@@ -56,16 +56,16 @@
     cluster.join_entries(1..=MEMBERS);
     let fill = fleet::StepDescription {
         estimate_ms: 30_000,
-        ..kit::step(WORKERS as u32 * 8, 8)
+        ..helpers::step(WORKERS as u32 * 8, 8)
     };
-    cluster.run(0, &kit::queue(2), vec![fill]);
+    cluster.run(0, &helpers::queue(2), vec![fill]);
     assert_eq!(cluster.starts(), WORKERS * 8);
     for number in 1..=gangs_waiting {
         let gang = fleet::StepDescription {
             estimate_ms: 5_000,
-            ..kit::gang(20, 18)
+            ..helpers::gang(20, 18)
         };
-        let answer = cluster.submit(number, &gangs(), kit::job(vec![gang]));
+        let answer = cluster.submit(number, &gangs(), helpers::job(vec![gang]));
         assert_eq!(answer, Admission::Accepted);
     }
     for _ in 0..ANSWERED_ROUNDS {
@@ -81,7 +81,7 @@
 /// Responds that one worker in three may run a gang.
 fn respond_to(cluster: &mut TestCluster, query: &AdviceQuery) {
     let job = query.task.job.0;
-    let tickets = kit::tickets(query, |worker| (worker as u64 + job).is_multiple_of(3));
+    let tickets = helpers::tickets(query, |worker| (worker as u64 + job).is_multiple_of(3));
     cluster
         .scheduler
         .advice_answered(query, Some(tickets), cluster.now);
--- a/crates/figscale-core/tests/fleet/placing.rs
+++ b/crates/figscale-core/tests/fleet/placement.rs
@@ -4,13 +4,13 @@
 use figscale_types::fleet::End;
 use rstest::rstest;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 #[test]
 fn no_worker_is_overcommitted() {
     let mut cluster = TestCluster::with_cores(3, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::step(20, 4)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(20, 4)]);
     for worker in cluster.workers.values() {
         assert!(worker.running.len() <= 2);
     }
@@ -20,10 +20,14 @@
 #[test]
 fn a_run_being_stopped_still_occupies_its_worker() {
     let mut cluster = TestCluster::with_cores(1, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
-    cluster.scheduler.cancel(kit::job_id(1), cluster.now);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 8)]);
+    cluster.scheduler.cancel(helpers::job_id(1), cluster.now);
     cluster.write();
-    cluster.submit(2, &kit::queue(1), kit::job(vec![kit::step(1, 8)]));
+    cluster.submit(
+        2,
+        &helpers::queue(1),
+        helpers::job(vec![helpers::step(1, 8)]),
+    );
     cluster.write();
     cluster.scheduler.plan(cluster.now);
     assert_eq!(cluster.starts(), 1);
@@ -37,13 +41,17 @@
 #[test]
 fn an_orphan_run_occupies_its_worker() {
     let mut cluster = TestCluster::with_cores(1, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
-    cluster.scheduler.cancel(kit::job_id(1), cluster.now);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 8)]);
+    cluster.scheduler.cancel(helpers::job_id(1), cluster.now);
     cluster.write();
     cluster.take_over(2);
-    let id = kit::worker_id(0);
+    let id = helpers::worker_id(0);
     cluster.report(&id);
-    cluster.submit(2, &kit::queue(1), kit::job(vec![kit::step(1, 8)]));
+    cluster.submit(
+        2,
+        &helpers::queue(1),
+        helpers::job(vec![helpers::step(1, 8)]),
+    );
     cluster.write();
     cluster.scheduler.plan(cluster.now);
     let free = 10 - 8;
@@ -60,9 +68,9 @@
     let mut cluster = TestCluster::new(1);
     let step = fleet::StepDescription {
         required_label: Some(label.to_owned()),
-        ..kit::step(1, 1)
+        ..helpers::step(1, 1)
     };
-    cluster.run(1, &kit::queue(1), vec![step]);
+    cluster.run(1, &helpers::queue(1), vec![step]);
     assert_eq!(cluster.starts(), starts);
 }
 
@@ -73,9 +81,9 @@
     let mut cluster = TestCluster::new(1);
     let queue = fleet::Queue {
         service: service.to_owned(),
-        ..kit::queue(1)
+        ..helpers::queue(1)
     };
-    cluster.run(1, &queue, vec![kit::step(1, 1)]);
+    cluster.run(1, &queue, vec![helpers::step(1, 1)]);
     assert_eq!(cluster.starts(), starts);
 }
 
@@ -84,9 +92,9 @@
     let mut cluster = TestCluster::new(3);
     let step = fleet::StepDescription {
         max_per_worker: Some(1),
-        ..kit::step(5, 1)
+        ..helpers::step(5, 1)
     };
-    cluster.run(1, &kit::queue(1), vec![step]);
+    cluster.run(1, &helpers::queue(1), vec![step]);
     assert_eq!(cluster.starts(), 3);
     assert!(
         cluster
@@ -101,9 +109,9 @@
     let mut cluster = TestCluster::with_cores(8, 2);
     let step = fleet::StepDescription {
         data_rack: Some("r1-1".to_owned()),
-        ..kit::step(10, 1)
+        ..helpers::step(10, 1)
     };
-    cluster.run(1, &kit::queue(1), vec![step]);
+    cluster.run(1, &helpers::queue(1), vec![step]);
     let near: usize = (4..8)
         .map(|number| cluster.worker(number).running.len())
         .sum();
@@ -119,7 +127,7 @@
         ..cluster.worker(0).entry.clone()
     };
     cluster.scheduler.worker_listed(entry);
-    cluster.run(1, &kit::queue(1), vec![kit::step(4, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(4, 1)]);
     assert!(cluster.worker(0).running.is_empty());
     assert_eq!(cluster.worker(1).running.len(), 4);
 }
@@ -127,7 +135,7 @@
 #[test]
 fn small_tasks_are_packed_on_few_workers() {
     let mut cluster = TestCluster::new(4);
-    cluster.run(1, &kit::queue(1), vec![kit::step(8, 4)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(8, 4)]);
     let empty = cluster
         .workers
         .values()
@@ -139,22 +147,22 @@
 #[test]
 fn a_queue_of_higher_priority_starts_first() {
     let mut cluster = TestCluster::with_cores(1, 1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    cluster.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
-    cluster.run(3, &kit::queue(0), vec![kit::step(1, 1)]);
-    cluster.end(kit::task(1, 0, 0), End::Done);
-    assert_eq!(cluster.placed(kit::task(3, 0, 0)).len(), 1);
-    assert!(cluster.placed(kit::task(2, 0, 0)).is_empty());
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    cluster.run(2, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    cluster.run(3, &helpers::queue(0), vec![helpers::step(1, 1)]);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
+    assert_eq!(cluster.placed(helpers::task(3, 0, 0)).len(), 1);
+    assert!(cluster.placed(helpers::task(2, 0, 0)).is_empty());
 }
 
 /// A late job earns less than one that can still be in time.
 #[test]
 fn a_late_job_does_not_delay_one_that_can_be_in_time() {
     let mut cluster = TestCluster::with_cores(1, 1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    cluster.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    cluster.run(2, &helpers::queue(1), vec![helpers::step(1, 1)]);
     cluster.advance(4_000);
-    cluster.run(3, &kit::queue(1), vec![kit::step(1, 1)]);
-    cluster.end(kit::task(1, 0, 0), End::Done);
-    assert_eq!(cluster.placed(kit::task(3, 0, 0)).len(), 1);
+    cluster.run(3, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
+    assert_eq!(cluster.placed(helpers::task(3, 0, 0)).len(), 1);
 }
--- a/crates/figscale-core/tests/fleet/records.rs
+++ b/crates/figscale-core/tests/fleet/records.rs
@@ -3,19 +3,23 @@
 use figscale_core::fleet::RecordKey;
 use figscale_types::fleet;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 #[test]
 fn a_job_left_out_of_a_transaction_is_neither_stored_nor_refused() {
     let mut cluster = TestCluster::new(1);
     for number in 1..=20 {
-        cluster.submit(number, &kit::queue(1), kit::job(vec![kit::step(1, 0)]));
+        cluster.submit(
+            number,
+            &helpers::queue(1),
+            helpers::job(vec![helpers::step(1, 0)]),
+        );
     }
     let records = cluster.scheduler.take_records(12);
     cluster.apply_records(&records.records);
     cluster.scheduler.records_written(&records);
-    let stored = |number: &u64| cluster.scheduler.is_stored(kit::job_id(*number));
+    let stored = |number: &u64| cluster.scheduler.is_stored(helpers::job_id(*number));
     let written = (1..=20).filter(stored).count();
     assert!(
         written > 0 && written < 20,
@@ -24,40 +28,48 @@
     let in_store = |number: &u64| {
         cluster
             .store
-            .contains_key(&RecordKey::Job(kit::job_id(*number)))
+            .contains_key(&RecordKey::Job(helpers::job_id(*number)))
     };
     for number in 1..=20 {
         assert_eq!(stored(&number), in_store(&number), "job {number}");
-        assert!(cluster.scheduler.state(kit::job_id(number)).is_some());
+        assert!(cluster.scheduler.state(helpers::job_id(number)).is_some());
     }
 }
 
 #[test]
 fn a_job_whose_write_failed_never_runs() {
     let mut cluster = TestCluster::new(1);
-    cluster.submit(1, &kit::queue(1), kit::job(vec![kit::step(1, 1)]));
-    let records = cluster.scheduler.take_records(kit::MAX_RECORDS);
+    cluster.submit(
+        1,
+        &helpers::queue(1),
+        helpers::job(vec![helpers::step(1, 1)]),
+    );
+    let records = cluster.scheduler.take_records(helpers::MAX_RECORDS);
     cluster.scheduler.records_not_written(&records);
     cluster.settle();
     assert_eq!(cluster.state(1), None);
     assert_eq!(cluster.starts(), 0);
-    assert!(!cluster.store.contains_key(&RecordKey::Job(kit::job_id(1))));
+    assert!(
+        !cluster
+            .store
+            .contains_key(&RecordKey::Job(helpers::job_id(1)))
+    );
 }
 
 #[test]
 fn ends_are_not_acknowledged_before_their_write() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(2, 1)]);
-    let id = kit::worker_id(0);
-    let (_, attempt) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(2, 1)]);
+    let id = helpers::worker_id(0);
+    let (_, attempt) = cluster.placed(helpers::task(1, 0, 0))[0].clone();
     cluster
         .worker(0)
-        .end(kit::task(1, 0, 0), attempt, fleet::End::Done);
+        .end(helpers::task(1, 0, 0), attempt, fleet::End::Done);
     cluster.report(&id);
     let acknowledged =
         |cluster: &mut TestCluster| cluster.scheduler.report_due(&id).unwrap().acknowledged;
     assert_eq!(acknowledged(&mut cluster), 0);
-    let records = cluster.scheduler.take_records(kit::MAX_RECORDS);
+    let records = cluster.scheduler.take_records(helpers::MAX_RECORDS);
     assert_eq!(acknowledged(&mut cluster), 0);
     cluster.scheduler.records_not_written(&records);
     assert_eq!(acknowledged(&mut cluster), 0);
@@ -71,17 +83,17 @@
 fn ends_are_acknowledged_after_every_earlier_write() {
     let mut cluster = TestCluster::new(1);
     for number in 1..=2 {
-        cluster.run(number, &kit::queue(1), vec![kit::step(2, 0)]);
+        cluster.run(number, &helpers::queue(1), vec![helpers::step(2, 0)]);
     }
-    let id = kit::worker_id(0);
+    let id = helpers::worker_id(0);
     let acknowledged =
         |cluster: &mut TestCluster| cluster.scheduler.report_due(&id).unwrap().acknowledged;
     let end = |cluster: &mut TestCluster, number: u64| {
-        let task = kit::task(number, 0, 0);
+        let task = helpers::task(number, 0, 0);
         let (_, attempt) = cluster.placed(task)[0].clone();
         cluster.worker(0).end(task, attempt, fleet::End::Done);
-        cluster.report(&kit::worker_id(0));
-        cluster.scheduler.take_records(kit::MAX_RECORDS)
+        cluster.report(&helpers::worker_id(0));
+        cluster.scheduler.take_records(helpers::MAX_RECORDS)
     };
     let first = end(&mut cluster, 1);
     let second = end(&mut cluster, 2);
@@ -98,44 +110,51 @@
 #[test]
 fn a_job_is_in_one_write_at_a_time() {
     let mut cluster = TestCluster::new(1);
-    cluster.submit(1, &kit::queue(1), kit::job(vec![kit::step(1, 0)]));
-    let created = cluster.scheduler.take_records(kit::MAX_RECORDS);
+    cluster.submit(
+        1,
+        &helpers::queue(1),
+        helpers::job(vec![helpers::step(1, 0)]),
+    );
+    let created = cluster.scheduler.take_records(helpers::MAX_RECORDS);
     let now = cluster.now;
-    cluster.scheduler.cancel(kit::job_id(1), now);
-    assert!(cluster.scheduler.is_being_written(kit::job_id(1)));
-    let next = cluster.scheduler.take_records(kit::MAX_RECORDS);
+    cluster.scheduler.cancel(helpers::job_id(1), now);
+    assert!(cluster.scheduler.is_being_written(helpers::job_id(1)));
+    let next = cluster.scheduler.take_records(helpers::MAX_RECORDS);
     assert!(next.records.is_empty(), "{next:?}");
     cluster.scheduler.records_written(&created);
-    assert!(cluster.scheduler.is_unsaved(kit::job_id(1)));
-    let next = cluster.scheduler.take_records(kit::MAX_RECORDS);
+    assert!(cluster.scheduler.is_unsaved(helpers::job_id(1)));
+    let next = cluster.scheduler.take_records(helpers::MAX_RECORDS);
     assert_eq!(next.records.len(), 1);
     cluster.scheduler.records_written(&next);
-    assert!(!cluster.scheduler.is_unsaved(kit::job_id(1)));
+    assert!(!cluster.scheduler.is_unsaved(helpers::job_id(1)));
 }
 
 #[test]
 fn ends_beyond_a_full_transaction_are_not_acknowledged() {
     let mut cluster = TestCluster::new(1);
     for number in 1..=20 {
-        cluster.run(number, &kit::queue(1), vec![kit::step(2, 0)]);
+        cluster.run(number, &helpers::queue(1), vec![helpers::step(2, 0)]);
     }
     for number in 1..=20 {
-        let (_, attempt) = cluster.placed(kit::task(number, 0, 0))[0].clone();
+        let (_, attempt) = cluster.placed(helpers::task(number, 0, 0))[0].clone();
         cluster
             .worker(0)
-            .end(kit::task(number, 0, 0), attempt, fleet::End::Done);
+            .end(helpers::task(number, 0, 0), attempt, fleet::End::Done);
     }
     cluster.report_all();
     let records = cluster.scheduler.take_records(10);
     cluster.scheduler.records_written(&records);
-    let due = cluster.scheduler.report_due(&kit::worker_id(0)).unwrap();
+    let due = cluster
+        .scheduler
+        .report_due(&helpers::worker_id(0))
+        .unwrap();
     assert_eq!(due.acknowledged, 0);
 }
 
 #[test]
 fn a_worker_is_recorded_before_it_gets_work() {
     let mut cluster = TestCluster::new(0);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     cluster.add_worker(0, 64);
     cluster.report_all();
     cluster.scheduler.plan(cluster.now);
@@ -152,14 +171,18 @@
 #[test]
 fn ends_are_written_during_a_burst_of_new_jobs() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(2, 1)]);
-    let task = kit::task(1, 0, 0);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(2, 1)]);
+    let task = helpers::task(1, 0, 0);
     let (id, attempt) = cluster.placed(task)[0].clone();
     let mut number = 1;
     let mut submit_burst = |cluster: &mut TestCluster| {
-        for _ in 0..2 * kit::MAX_RECORDS {
+        for _ in 0..2 * helpers::MAX_RECORDS {
             number += 1;
-            cluster.submit(number, &kit::queue(0), kit::job(vec![kit::step(1, 1)]));
+            cluster.submit(
+                number,
+                &helpers::queue(0),
+                helpers::job(vec![helpers::step(1, 1)]),
+            );
         }
     };
     submit_burst(&mut cluster);
@@ -172,7 +195,7 @@
     assert!(
         cluster
             .store
-            .contains_key(&RecordKey::Progress(kit::job_id(1))),
+            .contains_key(&RecordKey::Progress(helpers::job_id(1))),
         "the end is written after the new jobs"
     );
     assert_eq!(cluster.scheduler.report_due(&id).unwrap().acknowledged, 1);
@@ -183,11 +206,15 @@
 #[test]
 fn ends_do_not_wait_for_the_records_of_new_jobs() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(2, 1)]);
-    let task = kit::task(1, 0, 0);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(2, 1)]);
+    let task = helpers::task(1, 0, 0);
     let (id, attempt) = cluster.placed(task)[0].clone();
-    cluster.submit(2, &kit::queue(0), kit::job(vec![kit::step(1, 1)]));
-    let slow = cluster.scheduler.take_records(kit::MAX_RECORDS);
+    cluster.submit(
+        2,
+        &helpers::queue(0),
+        helpers::job(vec![helpers::step(1, 1)]),
+    );
+    let slow = cluster.scheduler.take_records(helpers::MAX_RECORDS);
     assert_eq!(slow.records.len(), 1);
     cluster.worker(0).end(task, attempt, fleet::End::Done);
     cluster.report(&id);
@@ -200,12 +227,12 @@
 fn ends_of_workers_that_leave_are_written_first() {
     let mut cluster = TestCluster::new(2);
     for number in 1..=20 {
-        cluster.run(number, &kit::queue(1), vec![kit::step(2, 3)]);
+        cluster.run(number, &helpers::queue(1), vec![helpers::step(2, 3)]);
     }
-    let last = kit::task(20, 0, 0);
+    let last = helpers::task(20, 0, 0);
     let (leaving, _) = cluster.placed(last)[0].clone();
     for number in 1..=20 {
-        let task = kit::task(number, 0, 0);
+        let task = helpers::task(number, 0, 0);
         let (id, attempt) = cluster.placed(task)[0].clone();
         if number == 20 || id != leaving {
             cluster.workers[&id].end(task, attempt, fleet::End::Done);
@@ -217,7 +244,7 @@
     cluster.scheduler.worker_listed(entry);
     let records = cluster.scheduler.take_records(6);
     let written = |number| {
-        let key = RecordKey::Progress(kit::job_id(number));
+        let key = RecordKey::Progress(helpers::job_id(number));
         records.records.iter().any(|record| record.key == key)
     };
     assert!(written(20), "{:?}", records.records);
--- a/crates/figscale-core/tests/fleet/recovery.rs
+++ b/crates/figscale-core/tests/fleet/recovery.rs
@@ -6,19 +6,19 @@
 use figscale_types::fleet::End;
 use figscale_types::fleet::JobState;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 #[test]
 fn running_tasks_go_on_under_the_next_leader() {
     let mut cluster = TestCluster::new(3);
-    cluster.run(1, &kit::queue(1), vec![kit::step(4, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(4, 1)]);
     cluster.take_over(2);
     cluster.settle();
     cluster.advance(500);
     assert_eq!(cluster.starts(), 4);
     for index in 0..4 {
-        cluster.end(kit::task(1, 0, index), End::Done);
+        cluster.end(helpers::task(1, 0, index), End::Done);
     }
     assert_eq!(cluster.state(1), Some(JobState::Completed));
 }
@@ -26,12 +26,12 @@
 #[test]
 fn a_done_task_never_starts_again() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(2, 1)]);
-    cluster.end(kit::task(1, 0, 0), End::Done);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(2, 1)]);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
     cluster.take_over(2);
     cluster.advance(6_000);
     assert_eq!(cluster.starts(), 2);
-    cluster.end(kit::task(1, 0, 1), End::Done);
+    cluster.end(helpers::task(1, 0, 1), End::Done);
     assert_eq!(cluster.state(1), Some(JobState::Completed));
 }
 
@@ -55,41 +55,41 @@
 #[test]
 fn a_task_that_is_not_found_waits_for_every_lease() {
     let mut cluster = TestCluster::new(3);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    assert_waits_for_every_lease(&mut cluster, kit::task(1, 0, 0));
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    assert_waits_for_every_lease(&mut cluster, helpers::task(1, 0, 0));
 }
 
 #[test]
 fn new_jobs_do_not_wait_for_unresponsive_workers() {
     let mut cluster = TestCluster::new(3);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     cluster.worker(0).reachable = false;
     cluster.take_over(2);
     cluster.settle();
-    cluster.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
-    assert_eq!(cluster.placed(kit::task(2, 0, 0)).len(), 1);
+    cluster.run(2, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    assert_eq!(cluster.placed(helpers::task(2, 0, 0)).len(), 1);
 }
 
 #[test]
 fn a_new_leader_uses_higher_attempts() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     cluster.take_over(2);
     cluster.settle();
-    cluster.end(kit::task(1, 0, 0), End::Stopped);
+    cluster.end(helpers::task(1, 0, 0), End::Stopped);
     assert_eq!(cluster.attempts_at(0), [1, 1_001]);
 }
 
 #[test]
 fn a_partly_running_gang_restarts_together() {
     let mut cluster = TestCluster::with_cores(2, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::gang(2, 8)]);
-    let lost = cluster.placed(kit::task(1, 0, 1))[0].clone();
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(2, 8)]);
+    let lost = cluster.placed(helpers::task(1, 0, 1))[0].clone();
     cluster.workers[&lost.0].running.clear();
     cluster.take_over(2);
     cluster.advance(1_000);
     let attempts: Vec<u32> = (0..2)
-        .map(|index| cluster.placed(kit::task(1, 0, index))[0].1)
+        .map(|index| cluster.placed(helpers::task(1, 0, index))[0].1)
         .collect();
     assert_eq!(attempts, [1_001, 1_001]);
 }
@@ -99,40 +99,42 @@
 #[test]
 fn runs_of_unknown_jobs_are_stopped() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     cluster
         .store
-        .shift_remove(&figscale_core::fleet::RecordKey::Job(kit::job_id(1)));
+        .shift_remove(&figscale_core::fleet::RecordKey::Job(helpers::job_id(1)));
     cluster
         .store
-        .shift_remove(&figscale_core::fleet::RecordKey::Progress(kit::job_id(1)));
+        .shift_remove(&figscale_core::fleet::RecordKey::Progress(helpers::job_id(
+            1,
+        )));
     cluster.take_over(2);
     cluster.settle();
     assert_eq!(cluster.stops.len(), 1);
-    assert!(cluster.placed(kit::task(1, 0, 0)).is_empty());
+    assert!(cluster.placed(helpers::task(1, 0, 0)).is_empty());
 }
 
 /// A worker that left under the last leader would never respond to the next.
 #[test]
 fn a_worker_that_left_is_not_waited_for() {
     let mut cluster = TestCluster::new(3);
-    cluster.run(1, &kit::queue(1), vec![kit::step(2, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(2, 1)]);
     let idle = (0..3)
         .find(|number| cluster.worker(*number).running.is_empty())
         .unwrap();
-    let left = kit::worker_id(idle);
+    let left = helpers::worker_id(idle);
     cluster.worker(idle).reachable = false;
     cluster.scheduler.worker_unlisted(&left, cluster.now);
     cluster.workers.swap_remove(&left);
     cluster.settle();
-    let (host_worker, attempt) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    let (host_worker, attempt) = cluster.placed(helpers::task(1, 0, 0))[0].clone();
     cluster.workers[&host_worker]
         .running
-        .swap_remove(&(kit::task(1, 0, 0), attempt));
+        .swap_remove(&(helpers::task(1, 0, 0), attempt));
     cluster.take_over(2);
     cluster.advance(500);
     assert_eq!(
-        cluster.placed(kit::task(1, 0, 0)).len(),
+        cluster.placed(helpers::task(1, 0, 0)).len(),
         1,
         "waits for the lease of a worker that has left"
     );
@@ -144,12 +146,12 @@
 #[test]
 fn a_worker_stays_recorded_until_its_ends_are_written() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let task = kit::task(1, 0, 0);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let task = helpers::task(1, 0, 0);
     let (host_worker, attempt) = cluster.placed(task)[0].clone();
     cluster.workers[&host_worker].end(task, attempt, End::Done);
     cluster.report(&host_worker);
-    let outcome = cluster.scheduler.take_records(kit::MAX_RECORDS);
+    let outcome = cluster.scheduler.take_records(helpers::MAX_RECORDS);
     assert_eq!(outcome.records.len(), 1);
     cluster.scheduler.worker_unlisted(&host_worker, cluster.now);
     cluster.scheduler.tick(cluster.now, cluster.wall_ms);
@@ -167,7 +169,7 @@
 fn occurrence(occurrence: u32) -> fleet::TaskId {
     fleet::TaskId {
         occurrence,
-        ..kit::task(1, 0, 0)
+        ..helpers::task(1, 0, 0)
     }
 }
 
@@ -178,11 +180,11 @@
         occurrences: 2,
         first_due_ms: cluster.wall_ms + 500,
         interval_ms: 60_000,
-        ..kit::job(vec![kit::step(1, 1)])
+        ..helpers::job(vec![helpers::step(1, 1)])
     };
-    cluster.submit(1, &kit::queue(1), repeated);
+    cluster.submit(1, &helpers::queue(1), repeated);
     cluster.settle();
-    cluster.now += kit::ms(600);
+    cluster.now += helpers::ms(600);
     cluster.wall_ms += 600;
     cluster.scheduler.tick(cluster.now, cluster.wall_ms);
     cluster.scheduler.plan(cluster.now);
@@ -191,7 +193,7 @@
     assert!(
         !cluster
             .store
-            .contains_key(&RecordKey::Progress(kit::job_id(1)))
+            .contains_key(&RecordKey::Progress(helpers::job_id(1)))
     );
     cluster
 }
--- a/crates/figscale-core/tests/fleet/ends.rs
+++ b/crates/figscale-core/tests/fleet/run_ends.rs
@@ -5,32 +5,32 @@
 use figscale_types::fleet::JobState;
 use rstest::rstest;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 #[test]
 fn a_step_waits_for_all_tasks_before_it() {
     let mut cluster = TestCluster::new(1);
     let second = fleet::StepDescription {
         after: vec![0],
-        ..kit::step(1, 1)
+        ..helpers::step(1, 1)
     };
-    cluster.run(1, &kit::queue(1), vec![kit::step(2, 1), second]);
-    cluster.end(kit::task(1, 0, 0), End::Done);
-    assert!(cluster.placed(kit::task(1, 1, 0)).is_empty());
-    cluster.end(kit::task(1, 0, 1), End::Done);
-    assert_eq!(cluster.placed(kit::task(1, 1, 0)).len(), 1);
-    cluster.end(kit::task(1, 1, 0), End::Done);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(2, 1), second]);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
+    assert!(cluster.placed(helpers::task(1, 1, 0)).is_empty());
+    cluster.end(helpers::task(1, 0, 1), End::Done);
+    assert_eq!(cluster.placed(helpers::task(1, 1, 0)).len(), 1);
+    cluster.end(helpers::task(1, 1, 0), End::Done);
     assert_eq!(cluster.state(1), Some(JobState::Completed));
 }
 
 #[test]
 fn a_job_fails_after_the_maximum_attempts_of_a_task() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    cluster.end(kit::task(1, 0, 0), End::Failed);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    cluster.end(helpers::task(1, 0, 0), End::Failed);
     assert_eq!(cluster.state(1), Some(JobState::Running));
-    cluster.end(kit::task(1, 0, 0), End::Failed);
+    cluster.end(helpers::task(1, 0, 0), End::Failed);
     assert_eq!(cluster.state(1), Some(JobState::Failed));
     cluster.advance(500);
     assert_eq!(cluster.starts(), 2);
@@ -41,29 +41,29 @@
 #[case::lease(End::LeaseExpired)]
 fn stops_and_expired_leases_use_no_attempt(#[case] end: End) {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     for _ in 0..5 {
-        cluster.end(kit::task(1, 0, 0), end);
+        cluster.end(helpers::task(1, 0, 0), end);
     }
     assert_eq!(cluster.state(1), Some(JobState::Running));
-    assert_eq!(cluster.placed(kit::task(1, 0, 0)).len(), 1);
+    assert_eq!(cluster.placed(helpers::task(1, 0, 0)).len(), 1);
 }
 
 #[test]
 fn a_restarted_task_gets_a_higher_attempt() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    cluster.end(kit::task(1, 0, 0), End::Stopped);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    cluster.end(helpers::task(1, 0, 0), End::Stopped);
     assert_eq!(cluster.attempts_at(0), [1, 2]);
 }
 
 #[test]
 fn a_start_resumes_from_the_last_checkpoint() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let key = (kit::task(1, 0, 0), 1);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let key = (helpers::task(1, 0, 0), 1);
     cluster.worker(0).running.get_mut(&key).unwrap().checkpoint = "half".to_owned();
-    cluster.end(kit::task(1, 0, 0), End::Stopped);
+    cluster.end(helpers::task(1, 0, 0), End::Stopped);
     assert_eq!(cluster.worker(0).orders.last().unwrap().checkpoint, "half");
 }
 
@@ -71,15 +71,17 @@
 #[test]
 fn a_failure_reported_to_two_leaders_counts_once() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let id = kit::worker_id(0);
-    cluster.worker(0).end(kit::task(1, 0, 0), 1, End::Failed);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let id = helpers::worker_id(0);
+    cluster
+        .worker(0)
+        .end(helpers::task(1, 0, 0), 1, End::Failed);
     cluster.report(&id);
     cluster.write();
     cluster.take_over(2);
     cluster.settle();
     assert_eq!(cluster.state(1), Some(JobState::Running));
-    cluster.end(kit::task(1, 0, 0), End::Done);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
     assert_eq!(cluster.state(1), Some(JobState::Completed));
 }
 
@@ -87,13 +89,13 @@
 #[test]
 fn failures_reported_out_of_order_all_count() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let (first, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let (first, _) = cluster.placed(helpers::task(1, 0, 0))[0].clone();
     let unreachable = cluster.workers.get_mut(&first).unwrap();
     unreachable.reachable = false;
-    unreachable.end(kit::task(1, 0, 0), 1, End::Failed);
+    unreachable.end(helpers::task(1, 0, 0), 1, End::Failed);
     cluster.advance(6_000);
-    cluster.end(kit::task(1, 0, 0), End::Failed);
+    cluster.end(helpers::task(1, 0, 0), End::Failed);
     cluster.workers.get_mut(&first).unwrap().reachable = true;
     cluster.advance(1_000);
     assert_eq!(cluster.state(1), Some(JobState::Failed));
@@ -104,9 +106,9 @@
     let mut cluster = TestCluster::new(2);
     let step = fleet::StepDescription {
         long_running: true,
-        ..kit::step(1, 1)
+        ..helpers::step(1, 1)
     };
-    cluster.run(1, &kit::queue(1), vec![step]);
+    cluster.run(1, &helpers::queue(1), vec![step]);
     for end in [
         End::Done,
         End::Failed,
@@ -114,14 +116,14 @@
         End::Failed,
         End::Stopped,
     ] {
-        cluster.end(kit::task(1, 0, 0), end);
+        cluster.end(helpers::task(1, 0, 0), end);
         cluster.advance(200);
     }
     assert_eq!(cluster.state(1), Some(JobState::Running));
-    assert_eq!(cluster.placed(kit::task(1, 0, 0)).len(), 1);
-    cluster.scheduler.cancel(kit::job_id(1), cluster.now);
+    assert_eq!(cluster.placed(helpers::task(1, 0, 0)).len(), 1);
+    cluster.scheduler.cancel(helpers::job_id(1), cluster.now);
     cluster.settle();
-    assert!(cluster.placed(kit::task(1, 0, 0)).is_empty());
+    assert!(cluster.placed(helpers::task(1, 0, 0)).is_empty());
 }
 
 #[test]
@@ -131,9 +133,9 @@
         occurrences: 2,
         first_due_ms: cluster.wall_ms + 1_000,
         interval_ms: 2_000,
-        ..kit::job(vec![kit::step(1, 1)])
+        ..helpers::job(vec![helpers::step(1, 1)])
     };
-    cluster.submit(1, &kit::queue(1), repeated);
+    cluster.submit(1, &helpers::queue(1), repeated);
     cluster.advance(800);
     assert_eq!(cluster.starts(), 0);
     cluster.advance(400);
@@ -143,7 +145,7 @@
     for occurrence in 0..2 {
         let task = fleet::TaskId {
             occurrence,
-            ..kit::task(1, 0, 0)
+            ..helpers::task(1, 0, 0)
         };
         assert_eq!(cluster.state(1), Some(JobState::Running));
         cluster.end(task, End::Done);
--- a/crates/figscale-core/tests/fleet/starving.rs
+++ b/crates/figscale-core/tests/fleet/starvation.rs
@@ -7,8 +7,8 @@
 use figscale_types::fleet;
 use indexmap::IndexMap;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 const STEP_MS: u64 = 50;
 /// More than three objectives of each job that these tests wait for.
@@ -52,18 +52,18 @@
         self.next += 1;
         self.lengths_ms.insert(number, step.estimate_ms);
         let steps = vec![step.clone()];
-        self.cluster.submit(number, queue, kit::job(steps)) == Admission::Accepted
+        self.cluster.submit(number, queue, helpers::job(steps)) == Admission::Accepted
     }
 
     fn step(&mut self) {
-        self.cluster.now += kit::ms(STEP_MS);
+        self.cluster.now += helpers::ms(STEP_MS);
         self.cluster.wall_ms += STEP_MS;
         let (now, wall_ms) = (self.cluster.now, self.cluster.wall_ms);
         self.cluster.scheduler.tick(now, wall_ms);
         self.end_due();
         let due = self.pending_queries.extract_if(.., |(at, _)| *at <= now);
         for (_, query) in due.collect::<Vec<_>>() {
-            let tickets = kit::tickets(&query, self.good);
+            let tickets = helpers::tickets(&query, self.good);
             let tickets = self.advisory_responds.then_some(tickets);
             self.cluster.scheduler.advice_answered(&query, tickets, now);
         }
@@ -80,7 +80,7 @@
             for (task, attempt) in keys {
                 let since = *self.since.entry((task, attempt)).or_insert(now);
                 let length_ms = self.lengths_ms.get(&task.job.0);
-                if length_ms.is_some_and(|length_ms| now >= since + kit::ms(*length_ms)) {
+                if length_ms.is_some_and(|length_ms| now >= since + helpers::ms(*length_ms)) {
                     worker.end(task, attempt, fleet::End::Done);
                 }
             }
@@ -119,9 +119,13 @@
                 per_worker_ms: 8.06,
                 valid_ms: 2_000,
             }),
-            ..kit::queue(1)
+            ..helpers::queue(1)
         };
-        fleet.run(1, &queue, kit::with_estimate(kit::gang(count, 27), 5_000));
+        fleet.run(
+            1,
+            &queue,
+            helpers::with_estimate(helpers::gang(count, 27), 5_000),
+        );
         if fleet.ms_until_started(1, |_, _| ()).is_none() {
             never.push(count);
         }
@@ -133,32 +137,32 @@
 /// with a required label.
 #[test]
 fn gangs_with_constraints_start_beside_a_stream_of_small_work() {
-    let small = kit::with_estimate(kit::step(1, 6), 2_000);
+    let small = helpers::with_estimate(helpers::step(1, 6), 2_000);
     let gangs = [
         fleet::StepDescription {
             max_per_worker: Some(1),
-            ..kit::gang(6, 5)
+            ..helpers::gang(6, 5)
         },
         fleet::StepDescription {
             same_rack: true,
-            ..kit::gang(4, 9)
+            ..helpers::gang(4, 9)
         },
         fleet::StepDescription {
             required_label: Some("r1-1".to_owned()),
-            ..kit::gang(4, 9)
+            ..helpers::gang(4, 9)
         },
     ];
-    for queue in [kit::queue(1), kit::advised_queue(1)] {
+    for queue in [helpers::queue(1), helpers::advised_queue(1)] {
         for gang in &gangs {
             let mut fleet = SimulatedFleet::new(TestCluster::with_cores(8, 10));
             for _ in 0..7 {
-                fleet.submit_stream_job(&kit::queue(1), &small);
+                fleet.submit_stream_job(&helpers::queue(1), &small);
                 fleet.step();
             }
             fleet.run(1, &queue, gang.clone());
             let begun = fleet.ms_until_started(1, |fleet, at_ms| {
                 if at_ms % 250 == 0 {
-                    fleet.submit_stream_job(&kit::queue(1), &small);
+                    fleet.submit_stream_job(&helpers::queue(1), &small);
                 }
             });
             assert!(begun.is_some(), "{gang:?}");
@@ -171,7 +175,7 @@
 fn a_gang_whose_queries_are_lost_starts() {
     let mut fleet = SimulatedFleet::new(TestCluster::with_cores(4, 10));
     fleet.cluster.join_entries(2..=4);
-    fleet.run(1, &kit::advised_queue(1), kit::gang(3, 8));
+    fleet.run(1, &helpers::advised_queue(1), helpers::gang(3, 8));
     let begun = fleet.ms_until_started(1, |fleet, at_ms| {
         if at_ms < 5_000 {
             for (_, query) in std::mem::take(&mut fleet.pending_queries) {
@@ -188,17 +192,20 @@
 fn a_gang_queries_workers_that_joined_later() {
     let mut fleet = SimulatedFleet::new(TestCluster::with_cores(8, 10));
     fleet.good = |number| number >= 6;
-    fleet.run(1, &kit::advised_queue(1), kit::gang(4, 8));
+    fleet.run(1, &helpers::advised_queue(1), helpers::gang(4, 8));
     for _ in 0..40 {
         fleet.step();
     }
     for number in 6..8 {
-        fleet.cluster.workers.swap_remove(&kit::worker_id(number));
+        fleet
+            .cluster
+            .workers
+            .swap_remove(&helpers::worker_id(number));
         let now = fleet.cluster.now;
         fleet
             .cluster
             .scheduler
-            .worker_unlisted(&kit::worker_id(number), now);
+            .worker_unlisted(&helpers::worker_id(number), now);
     }
     for number in 8..12 {
         fleet.cluster.add_worker(number, 10);
@@ -214,24 +221,28 @@
     for advice in [false, true] {
         let mut fleet = SimulatedFleet::new(TestCluster::with_cores(2, 10));
         let queue = if advice {
-            kit::advised_queue(1)
+            helpers::advised_queue(1)
         } else {
-            kit::queue(1)
+            helpers::queue(1)
         };
-        let single = kit::with_estimate(kit::step(1, 8), 2_000);
-        fleet.submit_stream_job(&kit::queue(1), &single);
+        let single = helpers::with_estimate(helpers::step(1, 8), 2_000);
+        fleet.submit_stream_job(&helpers::queue(1), &single);
         fleet.step();
         for number in 400..404 {
-            fleet.run(number, &queue, kit::with_estimate(kit::gang(3, 8), 100));
+            fleet.run(
+                number,
+                &queue,
+                helpers::with_estimate(helpers::gang(3, 8), 100),
+            );
         }
         for _ in 0..20 {
             fleet.step();
         }
-        fleet.submit_stream_job(&kit::queue(1), &single);
-        fleet.run(500, &queue, kit::gang(2, 8));
+        fleet.submit_stream_job(&helpers::queue(1), &single);
+        fleet.run(500, &queue, helpers::gang(2, 8));
         let begun = fleet.ms_until_started(500, |fleet, at_ms| {
             if at_ms % 1_000 == 0 {
-                fleet.submit_stream_job(&kit::queue(1), &single);
+                fleet.submit_stream_job(&helpers::queue(1), &single);
             }
         });
         assert!(begun.is_some(), "never started, advice {advice}");
@@ -242,13 +253,13 @@
 #[test]
 fn a_gang_is_not_starved_by_a_stream_of_quick_work() {
     let mut fleet = SimulatedFleet::new(TestCluster::with_cores(2, 10));
-    let quick = kit::with_estimate(kit::step(1, 3), 1_000);
-    fleet.submit_stream_job(&kit::queue(0), &quick);
+    let quick = helpers::with_estimate(helpers::step(1, 3), 1_000);
+    fleet.submit_stream_job(&helpers::queue(0), &quick);
     fleet.step();
-    fleet.run(1, &kit::queue(1), kit::gang(2, 8));
+    fleet.run(1, &helpers::queue(1), helpers::gang(2, 8));
     let begun = fleet.ms_until_started(1, |fleet, at_ms| {
         if at_ms % 900 == 0 {
-            fleet.submit_stream_job(&kit::queue(0), &quick);
+            fleet.submit_stream_job(&helpers::queue(0), &quick);
         }
     });
     assert!(begun.is_some(), "never started");
@@ -265,14 +276,14 @@
     fleet.cluster.join_entries(2..=24);
     let filling = fleet::StepDescription {
         max_per_worker: Some(1),
-        ..kit::with_estimate(kit::step(8, 8), 6_000)
+        ..helpers::with_estimate(helpers::step(8, 8), 6_000)
     };
-    fleet.run(1, &kit::queue(1), filling);
+    fleet.run(1, &helpers::queue(1), filling);
     for number in 2..10 {
-        let gang = kit::with_estimate(kit::gang(2, 8), 5_000);
+        let gang = helpers::with_estimate(helpers::gang(2, 8), 5_000);
         fleet.run(
             number,
-            &with_target_latency(kit::advised_queue(1), 60_000),
+            &with_target_latency(helpers::advised_queue(1), 60_000),
             gang,
         );
     }
@@ -280,8 +291,8 @@
         fleet.advisory_responds = at_ms < 3_000;
         fleet.step();
     }
-    let small = kit::with_estimate(kit::step(1, 4), 3_000);
-    fleet.run(20, &with_target_latency(kit::queue(2), 90_000), small);
+    let small = helpers::with_estimate(helpers::step(1, 4), 3_000);
+    fleet.run(20, &with_target_latency(helpers::queue(2), 90_000), small);
     let begun = fleet.ms_until_started(20, |_, _| ());
     assert!(begun.is_some_and(|at_ms| at_ms < 3_000), "{begun:?}");
 }
@@ -300,13 +311,13 @@
             worker.stops_at_once = false;
         }
         fleet.cluster.worker(0).start_outcome = Some(fleet::StartOutcome::Refused(refusal));
-        fleet.run(1, &kit::queue(1), kit::gang(2, 8));
+        fleet.run(1, &helpers::queue(1), helpers::gang(2, 8));
         let mut stops = Vec::new();
         for _ in 0..400 {
             fleet.step();
             let now = fleet.cluster.now;
             let new = std::mem::take(&mut fleet.cluster.stops).into_iter();
-            stops.extend(new.map(|stop| (now + kit::ms(stop_ms), stop)));
+            stops.extend(new.map(|stop| (now + helpers::ms(stop_ms), stop)));
             for (_, (worker, task, attempt)) in stops.extract_if(.., |(at, _)| *at <= now) {
                 let worker = fleet.cluster.workers.get_mut(&worker).unwrap();
                 worker.end(task, attempt, fleet::End::Stopped);
@@ -330,7 +341,7 @@
         fleet.cluster.join_entries(2..=members);
         let filling = fleet::StepDescription {
             max_per_worker: Some(1),
-            ..kit::with_estimate(kit::step(4, 8), 12_000)
+            ..helpers::with_estimate(helpers::step(4, 8), 12_000)
         };
         let policy = fleet::AdvicePolicy {
             base_ms: 300.0,
@@ -340,12 +351,12 @@
         let queue = fleet::Queue {
             target_latency_ms: 200,
             advice: Some(policy),
-            ..kit::queue(1)
+            ..helpers::queue(1)
         };
-        let gang = kit::with_estimate(kit::gang(2, 60), 1_000);
+        let gang = helpers::with_estimate(helpers::gang(2, 60), 1_000);
         fleet.run(1, &queue, gang);
-        fleet.run(2, &kit::queue(1), filling);
-        let small = kit::with_estimate(kit::step(1, 1), 500);
+        fleet.run(2, &helpers::queue(1), filling);
+        let small = helpers::with_estimate(helpers::step(1, 1), 500);
         let begun = fleet.ms_until_started(1, |fleet, at_ms| {
             if at_ms > 10_000 && at_ms % 200 == 0 {
                 fleet.submit_stream_job(&queue, &small);
@@ -360,15 +371,15 @@
 #[test]
 fn a_wide_task_is_not_starved_by_a_stream_of_small_work() {
     let mut fleet = SimulatedFleet::new(TestCluster::with_cores(2, 10));
-    let first = kit::with_estimate(kit::step(1, 6), 2_000);
-    fleet.submit_stream_job(&kit::queue(1), &first);
-    fleet.submit_stream_job(&kit::queue(1), &first);
+    let first = helpers::with_estimate(helpers::step(1, 6), 2_000);
+    fleet.submit_stream_job(&helpers::queue(1), &first);
+    fleet.submit_stream_job(&helpers::queue(1), &first);
     fleet.step();
-    fleet.run(1, &kit::queue(1), kit::step(1, 10));
-    let small = kit::with_estimate(kit::step(1, 3), 2_000);
+    fleet.run(1, &helpers::queue(1), helpers::step(1, 10));
+    let small = helpers::with_estimate(helpers::step(1, 3), 2_000);
     let begun = fleet.ms_until_started(1, |fleet, at_ms| {
         if at_ms % 450 == 0 {
-            fleet.submit_stream_job(&kit::queue(1), &small);
+            fleet.submit_stream_job(&helpers::queue(1), &small);
         }
     });
     assert!(begun.is_some(), "never started");
--- a/crates/figscale-core/tests/fleet/waits.rs
+++ b/crates/figscale-core/tests/fleet/starvation_reports.rs
@@ -5,8 +5,8 @@
 use figscale_types::fleet;
 use figscale_types::fleet::End;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 /// Contents of a starvation report, without the waiting time.
 #[derive(Debug, PartialEq, Eq)]
@@ -62,7 +62,7 @@
 #[test]
 fn a_step_waiting_for_advice_is_reported_after_five_seconds() {
     let mut cluster = TestCluster::with_cores(4, 10);
-    cluster.run(1, &kit::advised_queue(1), vec![kit::gang(3, 4)]);
+    cluster.run(1, &helpers::advised_queue(1), vec![helpers::gang(3, 4)]);
     cluster.advance(5_000);
     assert_eq!(reports(&mut cluster), []);
     assert_eq!(waiting_steps(&cluster), 0);
@@ -71,7 +71,7 @@
     assert_eq!(reports.len(), 1);
     assert!((5_001..=7_000).contains(&reports[0].0), "{reports:?}");
     let expected = StepReport {
-        task: kit::task(1, 0, 0),
+        task: helpers::task(1, 0, 0),
         tasks: 3,
         suspect: 0,
         good_slots: 0,
@@ -86,7 +86,7 @@
 #[test]
 fn a_step_is_not_reported_again_within_two_seconds() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::advised_queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::advised_queue(1), vec![helpers::step(1, 1)]);
     cluster.advance(20_000);
     let times: Vec<u64> = reports(&mut cluster)
         .iter()
@@ -100,7 +100,7 @@
 #[test]
 fn a_step_with_a_running_task_is_not_reported() {
     let mut cluster = TestCluster::with_cores(1, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::step(2, 8)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(2, 8)]);
     assert_eq!(cluster.starts(), 1);
     cluster.advance(20_000);
     assert_eq!(reports(&mut cluster), []);
@@ -112,7 +112,11 @@
 fn at_most_the_three_oldest_steps_are_reported() {
     let mut cluster = TestCluster::new(1);
     for number in [5, 4, 3, 2, 1] {
-        cluster.run(number, &kit::advised_queue(1), vec![kit::step(1, 1)]);
+        cluster.run(
+            number,
+            &helpers::advised_queue(1),
+            vec![helpers::step(1, 1)],
+        );
         cluster.advance(200);
     }
     cluster.advance(6_000);
@@ -127,7 +131,7 @@
 #[test]
 fn a_step_that_starts_to_run_is_not_reported_again() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::advised_queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::advised_queue(1), vec![helpers::step(1, 1)]);
     cluster.advance(8_000);
     assert_eq!(waiting_steps(&cluster), 1);
     reports(&mut cluster);
@@ -143,13 +147,17 @@
     let mut cluster = TestCluster::new(1);
     let second = fleet::StepDescription {
         after: vec![0],
-        ..kit::step(1, 1)
+        ..helpers::step(1, 1)
     };
-    cluster.run(1, &kit::advised_queue(1), vec![kit::step(1, 1), second]);
+    cluster.run(
+        1,
+        &helpers::advised_queue(1),
+        vec![helpers::step(1, 1), second],
+    );
     cluster.respond(|_| true);
     cluster.advance(8_100);
     assert_eq!(reports(&mut cluster), []);
-    cluster.end(kit::task(1, 0, 0), End::Done);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
     cluster.advance(2_000);
     assert_eq!(reports(&mut cluster), []);
     cluster.advance(2_000);
@@ -160,11 +168,11 @@
 /// and one of these runs other work.
 fn cluster_with_half_of_the_capacity_good() -> TestCluster {
     let mut cluster = TestCluster::with_cores(4, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
-    let (held, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
-    let good = [held, kit::worker_id(3)];
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 8)]);
+    let (held, _) = cluster.placed(helpers::task(1, 0, 0))[0].clone();
+    let good = [held, helpers::worker_id(3)];
     assert_ne!(good[0], good[1]);
-    cluster.run(2, &kit::advised_queue(1), vec![kit::gang(4, 4)]);
+    cluster.run(2, &helpers::advised_queue(1), vec![helpers::gang(4, 4)]);
     cluster.advance(5_900);
     let asked = cluster.respond(|id| good.contains(id));
     assert_eq!(asked.workers.len(), 4);
@@ -177,7 +185,7 @@
     cluster.advance(300);
     let reports = reports(&mut cluster);
     let expected = StepReport {
-        task: kit::task(2, 0, 0),
+        task: helpers::task(2, 0, 0),
         tasks: 4,
         suspect: 0,
         good_slots: 4,
@@ -204,10 +212,10 @@
 #[test]
 fn without_advice_every_suitable_worker_is_good() {
     let mut cluster = TestCluster::with_cores(3, 10);
-    cluster.run(1, &kit::queue(1), vec![kit::gang(4, 8)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::gang(4, 8)]);
     cluster.advance(7_000);
     let expected = StepReport {
-        task: kit::task(1, 0, 0),
+        task: helpers::task(1, 0, 0),
         tasks: 4,
         suspect: 0,
         good_slots: 3,
@@ -226,8 +234,8 @@
 #[test]
 fn suspect_tasks_are_reported() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let (host_worker, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let (host_worker, _) = cluster.placed(helpers::task(1, 0, 0))[0].clone();
     cluster.workers.get_mut(&host_worker).unwrap().reachable = false;
     cluster.advance(1_000);
     cluster.take_over(2);
--- a/crates/figscale-core/tests/fleet/terms/leaders.rs
+++ b/crates/figscale-core/tests/fleet/terms/leaders.rs
@@ -23,7 +23,7 @@
 use super::Worker;
 use super::WriteResult;
 use super::customers;
-use crate::kit;
+use crate::helpers;
 
 impl Simulation {
     pub(super) fn elect(&mut self) {
@@ -109,9 +109,9 @@
         }
         let leader = alive[self.random(alive.len() as u64) as usize];
         let (now, wall_ms) = (self.now(), self.wall_ms(leader));
-        let queue = kit::queue(u32::from(number.is_multiple_of(2)));
+        let queue = helpers::queue(u32::from(number.is_multiple_of(2)));
         let scheduler = &mut self.leaders[leader].scheduler;
-        let id = kit::job_id(number);
+        let id = helpers::job_id(number);
         let customer = self.faults.customers.then(|| customers::customer_of(id));
         scheduler.submit_for(customer, id, &queue, description, now, wall_ms);
     }
@@ -121,16 +121,16 @@
         let first = fleet::StepDescription {
             gang: self.one_in(6),
             estimate_ms: 100 + self.random(1_500),
-            ..kit::step(count, 1)
+            ..helpers::step(count, 1)
         };
         let mut steps = vec![first];
         if self.one_in(3) {
             steps.push(fleet::StepDescription {
                 after: vec![0],
-                ..kit::step(1, 1)
+                ..helpers::step(1, 1)
             });
         }
-        let mut job = kit::job(steps);
+        let mut job = helpers::job(steps);
         if self.faults.occurrences && self.one_in(3) {
             job.occurrences = 3;
             job.first_due_ms = WALL_MS + self.now_ms + self.random(1_000);
--- a/crates/figscale-core/tests/fleet/terms/mod.rs
+++ b/crates/figscale-core/tests/fleet/terms/mod.rs
@@ -32,7 +32,7 @@
 use figscale_types::fleet::WorkerId;
 use indexmap::IndexMap;
 
-use crate::kit;
+use crate::helpers;
 
 mod customers;
 mod leaders;
@@ -234,7 +234,7 @@
     }
 
     fn now(&self) -> time::Instant {
-        self.begun + kit::ms(self.now_ms)
+        self.begun + helpers::ms(self.now_ms)
     }
 
     fn wall_ms(&self, leader: usize) -> u64 {
--- a/crates/figscale-core/tests/fleet/terms/workers.rs
+++ b/crates/figscale-core/tests/fleet/terms/workers.rs
@@ -18,7 +18,7 @@
 use super::Simulation;
 use super::TOO_MANY_STARTS;
 use super::Worker;
-use crate::kit;
+use crate::helpers;
 
 impl Worker {
     pub(super) fn clock_ms(&self, now_ms: u64) -> u64 {
@@ -64,7 +64,7 @@
         self.added += 1;
         let rack = format!("r1-{}", number % 2);
         let entry = fleet::WorkerEntry {
-            id: kit::worker_id(number),
+            id: helpers::worker_id(number),
             service: "pool".to_owned(),
             address: "127.0.0.1:1".parse().unwrap(),
             draining: false,
@@ -95,7 +95,7 @@
             ended: 0,
             ended_attempts: IndexMap::new(),
         };
-        self.workers.insert(kit::worker_id(number), worker);
+        self.workers.insert(helpers::worker_id(number), worker);
     }
 
     /// Injects faults: workers leave, crash, or are unlisted for a time; the
@@ -111,7 +111,7 @@
                 0 => worker.unlisted_until_ms = now_ms + listed_ms,
                 1 if worker.up && worker.leaves_ms.is_none() => {
                     worker.entry.draining = true;
-                    worker.entry.leaves_in = Some(kit::ms(1_900));
+                    worker.entry.leaves_in = Some(helpers::ms(1_900));
                     worker.leaves_ms = Some(now_ms + notice_ms);
                     self.add_worker();
                 }
--- a/crates/figscale-core/tests/fleet/trouble.rs
+++ b/crates/figscale-core/tests/fleet/worker_faults.rs
@@ -7,14 +7,14 @@
 use figscale_types::fleet::StartOutcome;
 use figscale_types::fleet::StartRefusal;
 
-use crate::kit;
-use crate::kit::TestCluster;
+use crate::helpers;
+use crate::helpers::TestCluster;
 
 #[test]
 fn an_unanswered_start_reserves_its_capacity_until_it_expires() {
     let mut cluster = TestCluster::with_cores(1, 10);
     cluster.worker(0).start_outcome = Some(StartOutcome::Unknown);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 8)]);
     cluster.worker(0).start_outcome = None;
     cluster.advance(1_300);
     assert_eq!(cluster.starts(), 1);
@@ -27,20 +27,20 @@
 fn an_unanswered_start_that_ran_is_found() {
     let mut cluster = TestCluster::new(1);
     cluster.worker(0).start_outcome = Some(StartOutcome::Unknown);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 8)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 8)]);
     let order = cluster.worker(0).orders[0].clone();
     cluster.worker(0).start_run(&order);
     cluster.advance(4_000);
     assert_eq!(cluster.starts(), 1);
-    cluster.end(kit::task(1, 0, 0), End::Done);
+    cluster.end(helpers::task(1, 0, 0), End::Done);
     assert_eq!(cluster.state(1), Some(fleet::JobState::Completed));
 }
 
 #[test]
 fn tasks_of_an_unresponsive_worker_restart_only_after_its_lease() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let (host_worker, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let (host_worker, _) = cluster.placed(helpers::task(1, 0, 0))[0].clone();
     cluster.workers.get_mut(&host_worker).unwrap().reachable = false;
     cluster.advance(4_400);
     assert_eq!(
@@ -55,8 +55,8 @@
 #[test]
 fn a_new_incarnation_proves_that_nothing_runs() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let (host_worker, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let (host_worker, _) = cluster.placed(helpers::task(1, 0, 0))[0].clone();
     cluster.workers.get_mut(&host_worker).unwrap().reachable = false;
     cluster
         .workers
@@ -67,18 +67,18 @@
     cluster.scheduler.worker_replaced(&host_worker, cluster.now);
     cluster.settle();
     assert_eq!(cluster.starts(), 2);
-    assert_ne!(cluster.placed(kit::task(1, 0, 0))[0].0, host_worker);
+    assert_ne!(cluster.placed(helpers::task(1, 0, 0))[0].0, host_worker);
 }
 
 #[test]
 fn a_worker_that_fails_every_task_is_ejected() {
     let mut cluster = TestCluster::new(2);
     for number in 1..=3 {
-        cluster.run(number, &kit::queue(1), vec![kit::step(1, 1)]);
+        cluster.run(number, &helpers::queue(1), vec![helpers::step(1, 1)]);
     }
-    let (host_worker, _) = cluster.placed(kit::task(1, 0, 0))[0].clone();
+    let (host_worker, _) = cluster.placed(helpers::task(1, 0, 0))[0].clone();
     for number in 1..=3 {
-        let task = kit::task(number, 0, 0);
+        let task = helpers::task(number, 0, 0);
         if cluster.placed(task)[0].0 == host_worker {
             let (_, attempt) = cluster.placed(task)[0].clone();
             cluster.workers[&host_worker].end(task, attempt, End::Failed);
@@ -89,7 +89,7 @@
     assert!(cluster.notes.iter().any(set_aside));
     assert!(cluster.workers[&host_worker].running.is_empty());
     cluster.advance(3_100);
-    cluster.run(10, &kit::queue(1), vec![kit::step(100, 1)]);
+    cluster.run(10, &helpers::queue(1), vec![helpers::step(100, 1)]);
     assert_eq!(
         cluster.workers[&host_worker].running.len(),
         1,
@@ -102,11 +102,11 @@
     let mut cluster = TestCluster::new(1);
     let queue = fleet::Queue {
         max_attempts: 10,
-        ..kit::queue(1)
+        ..helpers::queue(1)
     };
-    cluster.run(1, &queue, vec![kit::step(1, 1)]);
+    cluster.run(1, &queue, vec![helpers::step(1, 1)]);
     for _ in 0..6 {
-        cluster.end(kit::task(1, 0, 0), End::Failed);
+        cluster.end(helpers::task(1, 0, 0), End::Failed);
     }
     assert!(
         !cluster
@@ -119,9 +119,9 @@
 #[test]
 fn a_stalled_task_is_moved() {
     let mut cluster = TestCluster::new(2);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
-    let (host_worker, attempt) = cluster.placed(kit::task(1, 0, 0))[0].clone();
-    let key = (kit::task(1, 0, 0), attempt);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
+    let (host_worker, attempt) = cluster.placed(helpers::task(1, 0, 0))[0].clone();
+    let key = (helpers::task(1, 0, 0), attempt);
     cluster.workers[&host_worker]
         .running
         .get_mut(&key)
@@ -131,41 +131,41 @@
     assert_eq!(cluster.starts(), 1);
     cluster.advance(1_500);
     assert_eq!(cluster.starts(), 2);
-    assert_ne!(cluster.placed(kit::task(1, 0, 0))[0].0, host_worker);
+    assert_ne!(cluster.placed(helpers::task(1, 0, 0))[0].0, host_worker);
 }
 
 #[test]
 fn a_leader_steps_down_on_a_later_epoch() {
     let mut cluster = TestCluster::new(1);
     cluster.worker(0).start_outcome = Some(StartOutcome::Refused(StartRefusal::StaleEpoch));
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     assert!(cluster.stepped_down);
 }
 
 #[test]
 fn a_stop_is_repeated_until_the_run_has_ended() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     cluster.worker(0).reachable = false;
-    cluster.scheduler.cancel(kit::job_id(1), cluster.now);
+    cluster.scheduler.cancel(helpers::job_id(1), cluster.now);
     cluster.settle();
     cluster.advance(1_600);
     assert!(cluster.stops.len() >= 3, "{} stops", cluster.stops.len());
     cluster.worker(0).reachable = true;
     cluster.advance(1_000);
-    assert!(cluster.placed(kit::task(1, 0, 0)).is_empty());
+    assert!(cluster.placed(helpers::task(1, 0, 0)).is_empty());
 }
 
 #[test]
 fn a_worker_whose_entry_lapsed_is_used_while_it_responds() {
     let mut cluster = TestCluster::new(1);
-    cluster.run(1, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(1, &helpers::queue(1), vec![helpers::step(1, 1)]);
     cluster
         .scheduler
-        .worker_unlisted(&kit::worker_id(0), cluster.now);
-    cluster.run(2, &kit::queue(1), vec![kit::step(1, 1)]);
+        .worker_unlisted(&helpers::worker_id(0), cluster.now);
+    cluster.run(2, &helpers::queue(1), vec![helpers::step(1, 1)]);
     assert_eq!(cluster.starts(), 2);
     cluster.advance(2_600);
-    cluster.run(3, &kit::queue(1), vec![kit::step(1, 1)]);
+    cluster.run(3, &helpers::queue(1), vec![helpers::step(1, 1)]);
     assert_eq!(cluster.starts(), 2);
 }
