--- a/crates/figscale-core/src/fleet/advice.rs
+++ b/crates/figscale-core/src/fleet/advice.rs
@@ -59,26 +59,26 @@
     /// Applies the response to a query; `None` if there was no response.
     pub fn advice_answered(
         &mut self,
-        question: &AdviceQuery,
+        query: &AdviceQuery,
         good: Option<Vec<fleet::Ticket>>,
         now: time::Instant,
     ) {
-        if let Some(channel) = self.channels.by_member.get_mut(&question.member)
-            && channel.in_flight == Some(question.task)
+        if let Some(channel) = self.channels.by_member.get_mut(&query.member)
+            && channel.in_flight == Some(query.task)
         {
             channel.in_flight = None;
         }
-        let Some(job) = self.jobs.get_mut(&question.task.job) else {
+        let Some(job) = self.jobs.get_mut(&query.task.job) else {
             return;
         };
         let queue = job.queue.clone();
-        let Some(step) = job.step_mut(&question.task) else {
+        let Some(step) = job.step_mut(&query.task) else {
             return;
         };
         // The queried instance may have left since, and the step may have sent
         // another query through another one.
         let current = step.advice.pending_query.as_ref();
-        if current.is_some_and(|sent| sent.member == question.member) {
+        if current.is_some_and(|sent| sent.member == query.member) {
             step.advice.pending_query = None;
         } else if good.is_none() {
             return;
@@ -91,20 +91,20 @@
         };
         let valid_ms = queue.advice.map_or(0, |advice| advice.valid_ms);
         let valid = time::Duration::from_millis(valid_ms).saturating_sub(TICKET_MARGIN);
-        let queried = question.workers.len().max(1) as f64;
-        let unknown = question
+        let queried = query.workers.len().max(1) as f64;
+        let unknown = query
             .workers
             .iter()
             .filter(|id| !step.advice.verdicts.contains_key(*id));
-        let all_unknown = unknown.count() == question.workers.len();
-        for worker in &question.workers {
+        let all_unknown = unknown.count() == query.workers.len();
+        for worker in &query.workers {
             step.advice.verdicts.insert(worker.clone(), false);
         }
         let fraction = good.len() as f64 / queried;
-        let note = LogEntry::AdviceReceived {
-            task: question.task,
-            member: question.member.clone(),
-            asked: question.workers.len(),
+        let log_entry = LogEntry::AdviceReceived {
+            task: query.task,
+            member: query.member.clone(),
+            asked: query.workers.len(),
             good: good.len(),
         };
         for ticket in good {
@@ -115,7 +115,7 @@
             };
             step.advice.tickets.insert(ticket.worker, held);
         }
-        self.actions.push(Action::Log(note));
+        self.actions.push(Action::Log(log_entry));
         if all_unknown {
             self.channels.learn(&queue.name, fraction);
         }
--- a/crates/figscale-core/src/fleet/config_proof.rs
+++ b/crates/figscale-core/src/fleet/config_proof.rs
@@ -67,7 +67,7 @@
 
     /// Applies a stamp that another instance returned for a request sent at
     /// `asked_at`.
-    pub fn told(&mut self, stamp: ProofStamp, asked_at: time::Duration) -> StampOutcome {
+    pub fn apply_stamp(&mut self, stamp: ProofStamp, asked_at: time::Duration) -> StampOutcome {
         if stamp.revision > self.revision {
             return StampOutcome::Outdated;
         }
--- a/crates/figscale-core/src/fleet/leader_loss.rs
+++ b/crates/figscale-core/src/fleet/leader_loss.rs
@@ -115,7 +115,7 @@
 
 impl ResponseTimes {
     /// Records the response time of the leader.
-    pub fn note(&mut self, took: time::Duration) {
+    pub fn record_response(&mut self, took: time::Duration) {
         self.last = took;
     }
 
--- a/crates/figscale-core/src/fleet/plan.rs
+++ b/crates/figscale-core/src/fleet/plan.rs
@@ -272,7 +272,7 @@
         let Some(job) = self.jobs.get(&task.job).filter(|_| placed.tasks > 0) else {
             return;
         };
-        let note = LogEntry::StepPlaced {
+        let log_entry = LogEntry::StepPlaced {
             task: *task,
             tasks: placed.tasks,
             workers: placed.workers.len(),
@@ -280,7 +280,7 @@
             after: now.saturating_duration_since(job.submitted),
             slack: job.objective_at.checked_duration_since(now),
         };
-        self.actions.push(Action::Log(note));
+        self.actions.push(Action::Log(log_entry));
     }
 
     fn place_gang(
--- a/crates/figscale-core/src/fleet/recovery.rs
+++ b/crates/figscale-core/src/fleet/recovery.rs
@@ -224,11 +224,11 @@
             }
         }
         let runs = self.workers.values().map(|worker| worker.runs.len()).sum();
-        let note = LogEntry::Recovered {
+        let log_entry = LogEntry::Recovered {
             open_jobs: open.len(),
             runs,
         };
-        self.actions.push(Action::Log(note));
+        self.actions.push(Action::Log(log_entry));
         self.fail_jobs_over_recorded_limit(now);
         self.stop_partial_gangs(now);
     }
--- a/crates/figscale-core/src/fleet/relay_choice.rs
+++ b/crates/figscale-core/src/fleet/relay_choice.rs
@@ -20,9 +20,14 @@
 
 /// Position of the relay that forwards the calls of a worker; `None` if there
 /// is none. An ejected relay is chosen only if all are ejected.
-pub fn choose_relay(carriers: impl IntoIterator<Item = RelayCandidate>) -> Option<usize> {
-    let carriers = carriers.into_iter().enumerate();
-    let best = carriers
-        .max_by_key(|(_, carrier)| (!carrier.ejected, carrier.in_failure_domain, carrier.hash));
+pub fn choose_relay(candidates: impl IntoIterator<Item = RelayCandidate>) -> Option<usize> {
+    let candidates = candidates.into_iter().enumerate();
+    let best = candidates.max_by_key(|(_, candidate)| {
+        (
+            !candidate.ejected,
+            candidate.in_failure_domain,
+            candidate.hash,
+        )
+    });
     best.map(|(position, _)| position)
 }
--- a/crates/figscale-core/src/fleet/report.rs
+++ b/crates/figscale-core/src/fleet/report.rs
@@ -89,11 +89,11 @@
         match run.end {
             fleet::End::Done => worker.health.succeeded(),
             fleet::End::Failed if worker.health.failed(run.task.job, now) => {
-                let note = LogEntry::WorkerEjected {
+                let log_entry = LogEntry::WorkerEjected {
                     worker: id.clone(),
                     cause: "consecutive failures",
                 };
-                self.actions.push(Action::Log(note));
+                self.actions.push(Action::Log(log_entry));
             }
             _ => (),
         }
--- a/crates/figscale-core/src/fleet/scheduler.rs
+++ b/crates/figscale-core/src/fleet/scheduler.rs
@@ -330,11 +330,11 @@
             }));
             self.requeue_task(id, key);
         }
-        let note = LogEntry::WorkerLost {
+        let log_entry = LogEntry::WorkerLost {
             worker: id.clone(),
             runs: runs.len(),
         };
-        self.actions.push(Action::Log(note));
+        self.actions.push(Action::Log(log_entry));
         for key in runs.keys() {
             self.fail_job_if_over_loss_limit(&key.0, now);
         }
@@ -349,7 +349,7 @@
             return;
         }
         job.finish(state);
-        let note = LogEntry::JobEnded {
+        let log_entry = LogEntry::JobEnded {
             job: id,
             state,
             after: now.saturating_duration_since(job.submitted),
@@ -357,7 +357,7 @@
         };
         self.open.shift_remove(&id);
         self.unsaved.change(id);
-        self.actions.push(Action::Log(note));
+        self.actions.push(Action::Log(log_entry));
         self.stop_job(id, now);
     }
 
--- a/crates/figscale-core/src/fleet/starvation.rs
+++ b/crates/figscale-core/src/fleet/starvation.rs
@@ -75,11 +75,12 @@
         };
         waiting.sort_unstable();
         waiting.truncate(MAX_REPORTED);
-        let notes = self.starvation_notes(&waiting, now);
-        self.actions.extend(notes.into_iter().map(Action::Log));
+        let log_entries = self.starvation_entries(&waiting, now);
+        self.actions
+            .extend(log_entries.into_iter().map(Action::Log));
     }
 
-    fn starvation_notes(
+    fn starvation_entries(
         &self,
         waiting: &[(time::Instant, fleet::TaskId)],
         now: time::Instant,
@@ -89,8 +90,8 @@
         }
         let usable = |(_, worker): &(_, &worker::Worker)| self.is_usable(worker, now);
         let usable: Vec<_> = self.workers.iter().filter(usable).collect();
-        let notes = waiting.iter();
-        notes
+        let log_entries = waiting.iter();
+        log_entries
             .filter_map(|(_, task)| self.starvation_note(task, &usable, now))
             .collect()
     }
--- a/crates/figscale-core/src/fleet/stops.rs
+++ b/crates/figscale-core/src/fleet/stops.rs
@@ -169,10 +169,10 @@
             return;
         }
         worker.health.eject(now);
-        let note = LogEntry::WorkerEjected {
+        let log_entry = LogEntry::WorkerEjected {
             worker: id.clone(),
             cause,
         };
-        self.actions.push(Action::Log(note));
+        self.actions.push(Action::Log(log_entry));
     }
 }
--- a/crates/figscale-core/tests/fleet/backlog.rs
+++ b/crates/figscale-core/tests/fleet/backlog.rs
@@ -168,8 +168,8 @@
         while self.at_ms < TRAFFIC_MS + CATCH_UP_MS + OBSERVED_MS {
             self.step();
         }
-        let notes = self.cluster.notes.iter();
-        let ended = notes.filter_map(|note| match note {
+        let log_entries = self.cluster.log_entries.iter();
+        let ended = log_entries.filter_map(|log_entry| match log_entry {
             LogEntry::JobEnded { job, late, .. } => Some((job.0, *late)),
             _ => None,
         });
--- a/crates/figscale-core/tests/fleet/config_proof.rs
+++ b/crates/figscale-core/tests/fleet/config_proof.rs
@@ -60,7 +60,10 @@
     let stamp = leader.stamp(ms(103_000)).unwrap();
     let mut entry = ConfigProof::default();
     entry.read(7, ms(10_000));
-    assert_eq!(entry.told(stamp, ms(20_000)), StampOutcome::Confirmed);
+    assert_eq!(
+        entry.apply_stamp(stamp, ms(20_000)),
+        StampOutcome::Confirmed
+    );
     assert!(entry.holds(BOUND, ms(21_600)), "the stamp was 3 s old");
     assert!(!entry.holds(BOUND, ms(22_000)));
 }
@@ -76,13 +79,16 @@
         revision: 8,
         age_ms: 0,
     };
-    assert_eq!(entry.told(newer, ms(16_000)), StampOutcome::Outdated);
+    assert_eq!(entry.apply_stamp(newer, ms(16_000)), StampOutcome::Outdated);
     assert!(!entry.holds(BOUND, ms(16_000)));
     let older = ProofStamp {
         revision: 6,
         age_ms: 0,
     };
-    assert_eq!(entry.told(older, ms(16_000)), StampOutcome::Confirmed);
+    assert_eq!(
+        entry.apply_stamp(older, ms(16_000)),
+        StampOutcome::Confirmed
+    );
     assert!(
         entry.holds(BOUND, ms(16_000)),
         "the known revision includes it"
--- a/crates/figscale-core/tests/fleet/helpers.rs
+++ b/crates/figscale-core/tests/fleet/helpers.rs
@@ -156,7 +156,7 @@
     pub(crate) workers: IndexMap<fleet::WorkerId, FakeWorker>,
     pub(crate) store: IndexMap<RecordKey, Vec<u8>>,
     pub(crate) queries: Vec<AdviceQuery>,
-    pub(crate) notes: Vec<LogEntry>,
+    pub(crate) log_entries: Vec<LogEntry>,
     pub(crate) stops: Vec<(fleet::WorkerId, fleet::TaskId, u32)>,
     pub(crate) stepped_down: bool,
     /// Whether the store takes records and returns worker entries.
@@ -185,7 +185,7 @@
             workers: IndexMap::new(),
             store: IndexMap::new(),
             queries: Vec::new(),
-            notes: Vec::new(),
+            log_entries: Vec::new(),
             stops: Vec::new(),
             stepped_down: false,
             store_available: true,
@@ -366,7 +366,7 @@
                 } => self.stop(worker, task, attempt),
                 Action::QueryAdvice(query) => self.queries.push(query),
                 Action::StepDown => self.stepped_down = true,
-                Action::Log(note) => self.notes.push(note),
+                Action::Log(note) => self.log_entries.push(note),
             }
         }
         any
--- a/crates/figscale-core/tests/fleet/leader_loss.rs
+++ b/crates/figscale-core/tests/fleet/leader_loss.rs
@@ -116,7 +116,7 @@
             !is_lost(unanswered_for, &peers, allowed),
             "{took:?} {allowed:?}"
         );
-        times.note(took);
+        times.record_response(took);
     }
 }
 
@@ -124,7 +124,7 @@
 #[test]
 fn a_slow_leader_without_power_is_replaced() {
     let mut times = ResponseTimes::default();
-    times.note(time::Duration::from_secs(10));
+    times.record_response(time::Duration::from_secs(10));
     let unanswered_for = time::Duration::from_secs(3);
     let peers = [PeerView::LastResponse(unanswered_for); 20];
     assert!(is_lost(unanswered_for, &peers, times.response_limit()));
--- a/crates/figscale-core/tests/fleet/starvation_reports.rs
+++ b/crates/figscale-core/tests/fleet/starvation_reports.rs
@@ -22,31 +22,33 @@
 
 /// Steps reported since the last call, with milliseconds since submission.
 fn reports(cluster: &mut TestCluster) -> Vec<(u64, StepReport)> {
-    let notes = std::mem::take(&mut cluster.notes);
-    let waits = notes.into_iter().filter_map(|note| match note {
-        LogEntry::StepStarved {
-            task,
-            waits,
-            tasks,
-            suspect,
-            good_slots,
-            ticket_slots,
-            free_slots,
-            asking,
-        } => {
-            let step = StepReport {
+    let log_entries = std::mem::take(&mut cluster.log_entries);
+    let waits = log_entries
+        .into_iter()
+        .filter_map(|log_entry| match log_entry {
+            LogEntry::StepStarved {
                 task,
+                waits,
                 tasks,
                 suspect,
                 good_slots,
                 ticket_slots,
                 free_slots,
                 asking,
-            };
-            Some((waits.as_millis() as u64, step))
-        }
-        _ => None,
-    });
+            } => {
+                let step = StepReport {
+                    task,
+                    tasks,
+                    suspect,
+                    good_slots,
+                    ticket_slots,
+                    free_slots,
+                    asking,
+                };
+                Some((waits.as_millis() as u64, step))
+            }
+            _ => None,
+        });
     waits.collect()
 }
 
--- a/crates/figscale-core/tests/fleet/worker_faults.rs
+++ b/crates/figscale-core/tests/fleet/worker_faults.rs
@@ -85,8 +85,8 @@
         }
     }
     cluster.settle();
-    let set_aside = |note: &LogEntry| matches!(note, LogEntry::WorkerEjected { worker, .. } if *worker == host_worker);
-    assert!(cluster.notes.iter().any(set_aside));
+    let ejected = |log_entry: &LogEntry| matches!(log_entry, LogEntry::WorkerEjected { worker, .. } if *worker == host_worker);
+    assert!(cluster.log_entries.iter().any(ejected));
     assert!(cluster.workers[&host_worker].running.is_empty());
     cluster.advance(3_100);
     cluster.run(10, &helpers::queue(1), vec![helpers::step(100, 1)]);
@@ -110,9 +110,9 @@
     }
     assert!(
         !cluster
-            .notes
+            .log_entries
             .iter()
-            .any(|note| matches!(note, LogEntry::WorkerEjected { .. }))
+            .any(|log_entry| matches!(log_entry, LogEntry::WorkerEjected { .. }))
     );
 }
 
--- a/crates/figscale/src/fleet/config_watch.rs
+++ b/crates/figscale/src/fleet/config_watch.rs
@@ -62,7 +62,7 @@
         stamp: scheduling::ProofStamp,
         asked_at: time::Duration,
     ) {
-        let applied = mutex::lock(&self.proof).told(stamp, asked_at);
+        let applied = mutex::lock(&self.proof).apply_stamp(stamp, asked_at);
         if applied == scheduling::StampOutcome::Outdated {
             self.outdated.notify_one();
         }
--- a/crates/figscale/src/fleet/decision_log.rs
+++ b/crates/figscale/src/fleet/decision_log.rs
@@ -7,8 +7,8 @@
 use crate::metrics;
 
 /// Updates the metrics for a decision of the scheduler.
-pub(super) fn count(metrics: &metrics::Metrics, note: &LogEntry) {
-    match note {
+pub(super) fn count(metrics: &metrics::Metrics, log_entry: &LogEntry) {
+    match log_entry {
         LogEntry::JobEnded {
             state, after, late, ..
         } => {
@@ -33,8 +33,8 @@
 }
 
 /// Writes a decision of the scheduler to the log.
-pub(super) fn log(note: &LogEntry) {
-    match note {
+pub(super) fn log(log_entry: &LogEntry) {
+    match log_entry {
         LogEntry::JobEnded {
             job,
             state,
--- a/crates/figscale/src/fleet/heartbeat.rs
+++ b/crates/figscale/src/fleet/heartbeat.rs
@@ -294,7 +294,7 @@
         let took = context.clock.now().saturating_duration_since(begun);
         match answer {
             Ok(answer) => {
-                mutex::lock(&answer_times).note(took);
+                mutex::lock(&answer_times).record_response(took);
                 apply_config_proof(&context, &answer, asked_at);
                 return apply_answer(&context, &leader, answer, took);
             }
--- a/crates/figscale/src/fleet/relay/mod.rs
+++ b/crates/figscale/src/fleet/relay/mod.rs
@@ -109,7 +109,7 @@
             return None;
         }
         let now = self.context.clock.now();
-        let carriers = self
+        let candidates = self
             .relays
             .iter()
             .map(|(member, relay)| scheduling::RelayCandidate {
@@ -117,7 +117,7 @@
                 ejected: is_large(workers) && relay.link.is_ejected(now),
                 hash: hash::hash(&[member.as_str(), worker.as_str()]),
             });
-        let position = scheduling::choose_relay(carriers)?;
+        let position = scheduling::choose_relay(candidates)?;
         let (_, relay) = self.relays.get_index(position)?;
         (is_large(workers) || !relay.link.is_ejected(now)).then(|| relay.link.clone())
     }
--- a/crates/figscale/src/fleet/term/advice.rs
+++ b/crates/figscale/src/fleet/term/advice.rs
@@ -24,32 +24,29 @@
 
 impl Term {
     /// Sends a query; the result comes back as a message.
-    pub(super) fn query_advice(&self, question: AdviceQuery) {
+    pub(super) fn query_advice(&self, query: AdviceQuery) {
         let context = self.context.clone();
         let messages = self.messages.clone();
-        let address = self
-            .members
-            .get(&question.member)
-            .map(|member| member.address);
+        let address = self.members.get(&query.member).map(|member| member.address);
         tokio::spawn(async move {
-            let query = advice::Question {
-                task: question.task,
-                workers: question.workers.clone(),
+            let question = advice::Question {
+                task: query.task,
+                workers: query.workers.clone(),
             };
-            let answer = query_through(&context, address, &query, question.expected).await;
+            let answer = query_through(&context, address, &question, query.expected).await;
             if let Err(error) = &answer {
                 crate::event!(
                     events::fleet::ADVICE_FAILED,
-                    task = question.task,
-                    member = question.member,
+                    task = query.task,
+                    member = query.member,
                     error = format_args!("{error:#}")
                 );
                 if is_unreachable(error) {
-                    let unreachable = Message::MemberGone(question.member.clone());
+                    let unreachable = Message::MemberGone(query.member.clone());
                     let _ = messages.send(unreachable).await;
                 }
             }
-            let _ = messages.send(Message::Advised(question, answer.ok())).await;
+            let _ = messages.send(Message::Advised(query, answer.ok())).await;
         });
     }
 }
--- a/crates/figscale/src/fleet/term/messages.rs
+++ b/crates/figscale/src/fleet/term/messages.rs
@@ -28,8 +28,8 @@
             }
             Message::Overdue(id) => self.scheduler.worker_call_failed(&id, now),
             Message::AnswerLost => self.workers.record_lost_answer(now),
-            Message::Advised(question, good) => {
-                self.scheduler.advice_answered(&question, good, now);
+            Message::Advised(query, good) => {
+                self.scheduler.advice_answered(&query, good, now);
             }
             Message::MemberGone(member) => self.drop_member(&member),
             Message::Written(result, ledger) => self.on_written(result, ledger),
--- a/crates/figscale/src/fleet/term/mod.rs
+++ b/crates/figscale/src/fleet/term/mod.rs
@@ -375,11 +375,11 @@
                 task,
                 attempt,
             } => self.workers.stop(worker, task, attempt),
-            Action::QueryAdvice(question) => self.query_advice(question),
+            Action::QueryAdvice(query) => self.query_advice(query),
             Action::StepDown => self.ended = Some(Ended::Deposed),
-            Action::Log(note) => {
-                decision_log::count(&self.context.metrics, &note);
-                decision_log::log(&note);
+            Action::Log(log_entry) => {
+                decision_log::count(&self.context.metrics, &log_entry);
+                decision_log::log(&log_entry);
             }
         }
     }
