--- a/crates/figscale-core/src/fleet/advice.rs
+++ b/crates/figscale-core/src/fleet/advice.rs
@@ -13,12 +13,12 @@
 use figscale_types::ids;
 
 use super::action::Action;
-use super::action::Note;
-use super::action::Question;
-use super::draft::Breadth;
-use super::draft::UnassignedQuery;
+use super::action::AdviceQuery;
+use super::action::LogEntry;
 use super::job;
 use super::pass;
+use super::query::Breadth;
+use super::query::UnassignedQuery;
 use super::scheduler;
 
 /// Longer queries may not use the channels reserved for short ones. Queries for
@@ -39,16 +39,16 @@
 impl scheduler::Scheduler {
     /// Adds an entry instance that can query the advisory service.
     pub fn member_joined(&mut self, member: &ids::MemberId) {
-        self.lanes.by_member.entry(member.clone()).or_default();
+        self.channels.by_member.entry(member.clone()).or_default();
     }
 
     /// Removes an entry instance, and with it the query that it had in flight.
     pub fn member_left(&mut self, member: &ids::MemberId) {
-        let channel = self.lanes.by_member.shift_remove(member);
+        let channel = self.channels.by_member.shift_remove(member);
         if let Some(task) = channel.and_then(|channel| channel.in_flight)
             && let Some(step) = self.step_of(&task)
         {
-            step.advice.asking = None;
+            step.advice.pending_query = None;
         }
     }
 
@@ -59,52 +59,52 @@
     /// Applies the response to a query; `None` if there was no response.
     pub fn advice_answered(
         &mut self,
-        question: &Question,
+        query: &AdviceQuery,
         good: Option<Vec<fleet::Ticket>>,
         now: time::Instant,
     ) {
-        if let Some(channel) = self.lanes.by_member.get_mut(&question.member)
-            && channel.in_flight == Some(question.task)
+        if let Some(channel) = self.channels.by_member.get_mut(&query.member)
+            && channel.in_flight == Some(query.task)
         {
             channel.in_flight = None;
         }
-        let Some(job) = self.jobs.get_mut(&question.task.job) else {
+        let Some(job) = self.jobs.get_mut(&query.task.job) else {
             return;
         };
         let queue = job.queue.clone();
-        let Some(step) = job.step_mut(&question.task) else {
+        let Some(step) = job.step_mut(&query.task) else {
             return;
         };
         // The queried instance may have left since, and the step may have sent
         // another query through another one.
-        let current = step.advice.asking.as_ref();
-        if current.is_some_and(|sent| sent.member == question.member) {
-            step.advice.asking = None;
+        let current = step.advice.pending_query.as_ref();
+        if current.is_some_and(|sent| sent.member == query.member) {
+            step.advice.pending_query = None;
         } else if good.is_none() {
             return;
         }
-        self.lanes.record_response(good.is_some());
+        self.channels.record_response(good.is_some());
         let Some(good) = good else {
             step.advice.not_before = Some(now + RETRY_PAUSE);
-            step.advice.promise = None;
+            step.advice.commitment = None;
             return;
         };
         let valid_ms = queue.advice.map_or(0, |advice| advice.valid_ms);
         let valid = time::Duration::from_millis(valid_ms).saturating_sub(TICKET_MARGIN);
-        let queried = question.workers.len().max(1) as f64;
-        let unknown = question
+        let queried = query.workers.len().max(1) as f64;
+        let unknown = query
             .workers
             .iter()
             .filter(|id| !step.advice.verdicts.contains_key(*id));
-        let all_unknown = unknown.count() == question.workers.len();
-        for worker in &question.workers {
+        let all_unknown = unknown.count() == query.workers.len();
+        for worker in &query.workers {
             step.advice.verdicts.insert(worker.clone(), false);
         }
         let fraction = good.len() as f64 / queried;
-        let note = Note::AdviceGiven {
-            task: question.task,
-            member: question.member.clone(),
-            asked: question.workers.len(),
+        let log_entry = LogEntry::AdviceReceived {
+            task: query.task,
+            member: query.member.clone(),
+            asked: query.workers.len(),
             good: good.len(),
         };
         for ticket in good {
@@ -115,9 +115,9 @@
             };
             step.advice.tickets.insert(ticket.worker, held);
         }
-        self.actions.push(Action::Tell(note));
+        self.actions.push(Action::Log(log_entry));
         if all_unknown {
-            self.lanes.learn(&queue.name, fraction);
+            self.channels.learn(&queue.name, fraction);
         }
     }
 
@@ -135,7 +135,7 @@
     /// otherwise always take it first. With several channels such steps get one
     /// without this.
     fn send_overdue_queries(&mut self, pass: &pass::Pass) {
-        if self.lanes.long_query_channels() > 1 {
+        if self.channels.long_query_channels() > 1 {
             return;
         }
         let overdue = pass.unplaced.iter();
@@ -146,11 +146,11 @@
             let Some(advice) = self.step_of(&candidate.task).map(|step| &mut step.advice) else {
                 continue;
             };
-            let Some(expected) = expected.filter(|_| advice.asking.is_none()) else {
-                advice.lane_wanted_since = None;
+            let Some(expected) = expected.filter(|_| advice.pending_query.is_none()) else {
+                advice.channel_wanted_since = None;
                 continue;
             };
-            let since = *advice.lane_wanted_since.get_or_insert(pass.now);
+            let since = *advice.channel_wanted_since.get_or_insert(pass.now);
             if pass.now >= since + expected * MAX_CHANNEL_WAIT {
                 self.send_query_if_possible(candidate, Breadth::Needed, pass);
             }
@@ -167,7 +167,7 @@
     ) {
         if self.may_query(&candidate.task)
             && let Some(query) = self.next_query(candidate, breadth, pass)
-            && let Some(member) = self.lanes.free(query.expected > LONG_QUERY)
+            && let Some(member) = self.channels.free(query.expected > LONG_QUERY)
         {
             self.send_query(candidate.task, query, member, pass.now);
         }
@@ -175,7 +175,7 @@
 
     fn send_query_round(&mut self, pass: &pass::Pass, breadth: Breadth) {
         for candidate in &pass.unplaced {
-            if self.lanes.free(false).is_none() {
+            if self.channels.free(false).is_none() {
                 return;
             }
             // Steps other than gangs need the same query in both rounds.
@@ -200,23 +200,23 @@
         member: ids::MemberId,
         now: time::Instant,
     ) {
-        if let Some(channel) = self.lanes.by_member.get_mut(&member) {
+        if let Some(channel) = self.channels.by_member.get_mut(&member) {
             channel.in_flight = Some(task);
         }
-        let answered_at = now + query.expected;
+        let response_due_at = now + query.expected;
         if let Some(step) = self.step_of(&task) {
-            step.advice.lane_wanted_since = None;
-            step.advice.asking = Some(job::Asking {
+            step.advice.channel_wanted_since = None;
+            step.advice.pending_query = Some(job::PendingQuery {
                 member: member.clone(),
                 workers: query.workers.iter().cloned().collect(),
-                answered_at,
+                response_due_at,
             });
-            step.advice.promise = query.reservation.map(|reservation| job::Promise {
+            step.advice.commitment = query.reservation.map(|reservation| job::Commitment {
                 reservation,
-                until: answered_at + RESPONSE_SLACK,
+                until: response_due_at + RESPONSE_SLACK,
             });
         }
-        self.actions.push(Action::Ask(Question {
+        self.actions.push(Action::QueryAdvice(AdviceQuery {
             member,
             task,
             workers: query.workers,
@@ -232,10 +232,10 @@
         };
         let in_flight = job
             .step(task)
-            .is_some_and(|step| step.advice.asking.is_some());
+            .is_some_and(|step| step.advice.pending_query.is_some());
         job.queue.advice.is_some_and(|policy| {
             let long = duration(&policy, 1) > LONG_QUERY;
-            !in_flight && self.lanes.free(long).is_some()
+            !in_flight && self.channels.free(long).is_some()
         })
     }
 }
--- a/crates/figscale-core/src/fleet/crashes.rs
+++ b/crates/figscale-core/src/fleet/crashes.rs
@@ -26,7 +26,7 @@
 use serde::Serialize;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::job;
 use super::lease::millis;
 use super::scheduler;
@@ -262,7 +262,7 @@
     ) -> Vec<(worker::RunKey, Loss)> {
         let worker = self.workers.get(id);
         let last_contact = worker.and_then(|worker| worker.lease.read_at());
-        let unresponsive_since = worker.and_then(|worker| worker.silent_since);
+        let unresponsive_since = worker.and_then(|worker| worker.unresponsive_since);
         let young: Vec<&worker::RunKey> = runs
             .iter()
             .filter(|(_, run)| run.age_at(last_contact) <= CRASH_WINDOW)
@@ -379,7 +379,7 @@
         let Some(history) = history.filter(|history| has_to_fail(history)) else {
             return;
         };
-        self.actions.push(Action::Tell(Note::TaskCrashesWorkers {
+        self.actions.push(Action::Log(LogEntry::TaskCrashesWorkers {
             task: *task,
             losses: history.attempts(|_| true),
         }));
--- a/crates/figscale-core/src/fleet/plan.rs
+++ b/crates/figscale-core/src/fleet/plan.rs
@@ -18,11 +18,11 @@
 use indexmap::IndexSet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::customers;
 use super::job;
+use super::open_workers;
 use super::pass;
-use super::places;
 use super::scheduler;
 use super::worker;
 
@@ -76,7 +76,7 @@
     fn run_pass(&mut self, now: time::Instant, step_filter: pass::StepFilter) {
         let mut candidates = self.candidates(now);
         if candidates.is_empty() {
-            self.pass_looks = 0;
+            self.pass_scans = 0;
             return;
         }
         let headroom = self.headroom();
@@ -104,7 +104,7 @@
             }
         }
         self.send_queries(&pass);
-        self.pass_looks = pass.scans();
+        self.pass_scans = pass.scans();
     }
 
     fn free_capacity(&self, usable: &[usize]) -> pass::FreeCapacity {
@@ -155,9 +155,9 @@
         for candidate in candidates {
             let job = self.jobs.get(&candidate.task.job);
             let step = job.and_then(|job| job.step(&candidate.task));
-            let promise = step.and_then(|step| step.advice.promise.as_ref());
-            if let Some(promise) = promise.filter(|promise| promise.until > pass.now) {
-                pass.reserve(candidate.task, &promise.reservation);
+            let commitment = step.and_then(|step| step.advice.commitment.as_ref());
+            if let Some(commitment) = commitment.filter(|commitment| commitment.until > pass.now) {
+                pass.reserve(candidate.task, &commitment.reservation);
             }
         }
     }
@@ -272,7 +272,7 @@
         let Some(job) = self.jobs.get(&task.job).filter(|_| placed.tasks > 0) else {
             return;
         };
-        let note = Note::StepPlaced {
+        let log_entry = LogEntry::StepPlaced {
             task: *task,
             tasks: placed.tasks,
             workers: placed.workers.len(),
@@ -280,7 +280,7 @@
             after: now.saturating_duration_since(job.submitted),
             slack: job.objective_at.checked_duration_since(now),
         };
-        self.actions.push(Action::Tell(note));
+        self.actions.push(Action::Log(log_entry));
     }
 
     fn place_gang(
@@ -327,16 +327,16 @@
     ) -> Option<Vec<fleet::WorkerId>> {
         let open = self.open_workers(&candidate.task, description, candidate.rank, pass);
         if !description.same_rack {
-            return places::assign_fullest_first(open, description, description.count);
+            return open_workers::assign_fullest_first(open, description, description.count);
         }
-        let mut by_rack: IndexMap<&str, Vec<places::OpenWorker<'_>>> = IndexMap::new();
+        let mut by_rack: IndexMap<&str, Vec<open_workers::OpenWorker<'_>>> = IndexMap::new();
         for place in &open {
             by_rack.entry(place.rack).or_default().push(place.clone());
         }
-        let in_one = by_rack
-            .into_values()
-            .find_map(|rack| places::assign_fullest_first(rack, description, description.count));
-        in_one.or_else(|| places::assign_fullest_first(open, description, description.count))
+        let in_one = by_rack.into_values().find_map(|rack| {
+            open_workers::assign_fullest_first(rack, description, description.count)
+        });
+        in_one.or_else(|| open_workers::assign_fullest_first(open, description, description.count))
     }
 
     /// Reserves the workers that become free first until a gang fits.
@@ -366,11 +366,11 @@
             return;
         }
         let max_early_queries =
-            (self.lanes.by_member.len() / CHANNELS_PER_EARLY_GANG).max(MIN_EARLY_GANGS);
+            (self.channels.by_member.len() / CHANNELS_PER_EARLY_GANG).max(MIN_EARLY_GANGS);
         candidate.may_query_early = pass.reserving_gangs < max_early_queries || is_aging;
         pass.reserving_gangs += usize::from(reservation.is_none());
         candidate.reservation = reservation.map(|mut reservation| {
-            let soon = !self.lanes.service_is_unavailable()
+            let soon = !self.channels.service_is_unavailable()
                 && self.starts_soon(&candidate.task, &reservation, pass.now);
             if soon || is_aging || may_reserve {
                 pass.reserve(candidate.task, &reservation);
@@ -422,7 +422,7 @@
             return;
         };
         let expires_clock_ms = worker.lease.clock_ms(now).unwrap_or(0) + expiry_ms;
-        worker.lease.sent(expires_clock_ms);
+        worker.lease.record_sent(expires_clock_ms);
         task.attempt = attempt;
         task.state = job::TaskState::Placed {
             worker: worker_id.clone(),
--- a/crates/figscale-core/src/fleet/records.rs
+++ b/crates/figscale-core/src/fleet/records.rs
@@ -45,8 +45,8 @@
         let ends = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.taken_in > worker.acknowledged);
-        let ends = ends.map(|(id, worker)| (id.clone(), worker.taken_in));
+            .filter(|(_, worker)| worker.applied > worker.acknowledged);
+        let ends = ends.map(|(id, worker)| (id.clone(), worker.applied));
         self.unsaved.add_ends(ends.collect());
         records
     }
@@ -76,7 +76,7 @@
             .workers
             .iter()
             .filter(|(_, worker)| !worker.is_retired());
-        let ids = used.map(|(id, _)| id).chain(self.unheard.keys());
+        let ids = used.map(|(id, _)| id).chain(self.not_yet_reported.keys());
         let ids: maps::WorkerSet = ids.cloned().collect();
         // Workers that this record leaves out get no more work from now on.
         let mut recorded = self.recorded.clone();
@@ -103,7 +103,8 @@
     pub(crate) fn workers_record_differs(&self) -> bool {
         let used = |id: &fleet::WorkerId| {
             let worker = self.workers.get(id);
-            worker.is_some_and(|worker| !worker.is_retired()) || self.unheard.contains_key(id)
+            worker.is_some_and(|worker| !worker.is_retired())
+                || self.not_yet_reported.contains_key(id)
         };
         let gone = self.recorded.iter().any(|id| !used(id));
         gone || self.workers_record_outdated || self.has_unrecorded_workers()
@@ -124,7 +125,7 @@
 
     /// Whether there are records to be written or ends to be acknowledged.
     pub fn has_records(&self) -> bool {
-        let unacknowledged = |worker: &worker::Worker| worker.taken_in > worker.acknowledged;
+        let unacknowledged = |worker: &worker::Worker| worker.applied > worker.acknowledged;
         self.unsaved.ready().next().is_some()
             || self.workers.values().any(unacknowledged)
             || !self.workers_record_in_flight && self.workers_record_dirty
@@ -134,7 +135,7 @@
     pub fn has_unacknowledged(&self, id: &fleet::WorkerId) -> bool {
         self.workers
             .get(id)
-            .is_some_and(|worker| worker.taken_in > worker.acknowledged)
+            .is_some_and(|worker| worker.applied > worker.acknowledged)
     }
 
     /// Confirms that all of `records` are in the store.
--- a/crates/figscale-core/src/fleet/waits.rs
+++ b/crates/figscale-core/src/fleet/starvation.rs
@@ -14,7 +14,7 @@
 use indexmap::IndexSet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::job;
 use super::pass;
 use super::reserve;
@@ -36,7 +36,7 @@
 
 /// Result of the last scan.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Waits {
+pub(crate) struct Starvation {
     scanned_at: Option<time::Instant>,
     /// First tasks of the steps that were ready and had nothing running.
     idle: IndexSet<fleet::TaskId>,
@@ -61,36 +61,37 @@
 impl scheduler::Scheduler {
     /// Counts the starved steps and reports the oldest of them, if a scan is
     /// due.
-    pub(crate) fn look_at_waits(&mut self, now: time::Instant) {
+    pub(crate) fn report_starvation(&mut self, now: time::Instant) {
         let recent = |scanned_at| now < scanned_at + SCAN_INTERVAL;
-        if self.waits.scanned_at.is_some_and(recent) {
+        if self.starvation.scanned_at.is_some_and(recent) {
             return;
         }
         let idle = self.idle_steps();
         let mut waiting = self.waiting_long(&idle, now);
-        self.waits = Waits {
+        self.starvation = Starvation {
             scanned_at: Some(now),
             idle,
             steps: waiting.len(),
         };
         waiting.sort_unstable();
         waiting.truncate(MAX_REPORTED);
-        let notes = self.starvation_notes(&waiting, now);
-        self.actions.extend(notes.into_iter().map(Action::Tell));
+        let log_entries = self.starvation_entries(&waiting, now);
+        self.actions
+            .extend(log_entries.into_iter().map(Action::Log));
     }
 
-    fn starvation_notes(
+    fn starvation_entries(
         &self,
         waiting: &[(time::Instant, fleet::TaskId)],
         now: time::Instant,
-    ) -> Vec<Note> {
+    ) -> Vec<LogEntry> {
         if waiting.is_empty() {
             return Vec::new();
         }
         let usable = |(_, worker): &(_, &worker::Worker)| self.is_usable(worker, now);
         let usable: Vec<_> = self.workers.iter().filter(usable).collect();
-        let notes = waiting.iter();
-        notes
+        let log_entries = waiting.iter();
+        log_entries
             .filter_map(|(_, task)| self.starvation_note(task, &usable, now))
             .collect()
     }
@@ -118,7 +119,9 @@
         idle: &IndexSet<fleet::TaskId>,
         now: time::Instant,
     ) -> Vec<(time::Instant, fleet::TaskId)> {
-        let still = idle.iter().filter(|task| self.waits.idle.contains(*task));
+        let still = idle
+            .iter()
+            .filter(|task| self.starvation.idle.contains(*task));
         let submitted = still.filter_map(|task| {
             let job = self.jobs.get(&task.job)?;
             Some((job.submitted, *task))
@@ -133,12 +136,12 @@
         task: &fleet::TaskId,
         usable: &[Usable<'_>],
         now: time::Instant,
-    ) -> Option<Note> {
+    ) -> Option<LogEntry> {
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task)?;
         let description = job.step_description(task)?;
         let slots = slots_for(job, step, description, usable, now);
-        Some(Note::StepWaits {
+        Some(LogEntry::StepStarved {
             task: *task,
             waits: now.saturating_duration_since(job.submitted),
             tasks: step.waiting(),
@@ -146,7 +149,7 @@
             good_slots: slots.good,
             ticket_slots: slots.ticket,
             free_slots: slots.free,
-            asking: step.advice.asking.is_some(),
+            asking: step.advice.pending_query.is_some(),
         })
     }
 }
--- a/crates/figscale-core/src/fleet/stops.rs
+++ b/crates/figscale-core/src/fleet/stops.rs
@@ -6,7 +6,7 @@
 use figscale_types::fleet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::job;
 use super::scheduler;
 use super::worker;
@@ -20,7 +20,7 @@
 impl scheduler::Scheduler {
     /// Makes a task startable again after a run that ended without finishing it.
     /// The rest of its gang is stopped.
-    pub(crate) fn task_free_again(&mut self, worker: &fleet::WorkerId, key: &worker::RunKey) {
+    pub(crate) fn requeue_task(&mut self, worker: &fleet::WorkerId, key: &worker::RunKey) {
         let (id, attempt) = key;
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
@@ -165,14 +165,14 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.health.is_set_aside(now) {
+        if worker.health.is_out_of_use(now) {
             return;
         }
-        worker.health.set_aside(now);
-        let note = Note::WorkerSetAside {
+        worker.health.eject(now);
+        let log_entry = LogEntry::WorkerEjected {
             worker: id.clone(),
             cause,
         };
-        self.actions.push(Action::Tell(note));
+        self.actions.push(Action::Log(log_entry));
     }
 }
--- a/crates/figscale/src/fleet/election.rs
+++ b/crates/figscale/src/fleet/election.rs
@@ -24,11 +24,11 @@
 use tokio::task;
 
 use super::Context;
-use super::fitness;
+use super::heartbeat;
 use super::keys;
 use super::leadership;
 use super::ledger;
-use super::membership;
+use super::machine_health;
 use super::term;
 use crate::events;
 use crate::peer;
@@ -50,7 +50,7 @@
 
 /// Starts to track the leader, and to run for leader when there is none.
 pub(super) fn start(context: &Context, handlers: &mut peer::Handlers) {
-    membership::start(context, handlers);
+    heartbeat::start(context, handlers);
     tokio::spawn(watch_leader_key(context.clone()));
     tokio::spawn(candidate_loop(context.clone()));
 }
@@ -66,7 +66,7 @@
         // The cause is logged by the call to the store.
         if followed.is_err() {
             leadership::update_silently(&context, |known| known.store_was_unavailable = true);
-            let pause = scheduling::spread_over(RETRY_PAUSE, context.store.instances());
+            let pause = scheduling::scaled_interval(RETRY_PAUSE, context.store.instances());
             tokio::time::sleep(pause).await;
         }
     }
@@ -164,7 +164,7 @@
         false => JITTER_SPAN.mul_f64(fraction * 0.75 + 0.25),
     };
     let strongest_millis = context.leadership.borrow().strongest_millis;
-    jitter + scheduling::standing_delay(fitness::cpu_millis(context), strongest_millis)
+    jitter + scheduling::candidacy_delay(machine_health::cpu_millis(context), strongest_millis)
 }
 
 /// Whether there is a leader.
@@ -190,16 +190,16 @@
             Vacancy::Unknown
         };
     }
-    let may_be_led = scheduling::may_be_led(scheduling::Sight {
+    let may_have_leader = scheduling::may_have_leader(scheduling::LeaderEvidence {
         answered_ago: known
             .answered_as_leader_at
             .map(|at| now.saturating_duration_since(at)),
         knows_leader: known.leader.is_some(),
-        store_was_away: known.store_was_unavailable,
+        store_was_unavailable: known.store_was_unavailable,
     });
     let until = known
         .vacant_since
-        .filter(|_| may_be_led)
+        .filter(|_| may_have_leader)
         .map(|since| since + scheduling::RENEWAL_GRACE);
     match until.filter(|until| now < *until) {
         Some(until) => Vacancy::In(until - now),
@@ -224,12 +224,12 @@
     let lease = lease.joined().await?;
     let head = ledger::Head {
         epoch,
-        leader: context.me.clone(),
+        leader: context.own_member.clone(),
         sequence: 0,
         strongest_millis: strongest_known(context),
     };
     let leader = leadership::Leader {
-        member: context.me.clone(),
+        member: context.own_member.clone(),
         address: context.settings.peer_address,
         epoch,
     };
@@ -277,8 +277,8 @@
     if context.leadership.borrow().strongest_millis > 0 {
         return;
     }
-    let own_millis = fitness::cpu_millis(context);
-    let delay = scheduling::standing_delay(own_millis, heads.strongest_millis);
+    let own_millis = machine_health::cpu_millis(context);
+    let delay = scheduling::candidacy_delay(own_millis, heads.strongest_millis);
     tokio::time::sleep(delay).await;
 }
 
@@ -286,7 +286,7 @@
 /// thousandths of a core.
 fn strongest_known(context: &Context) -> u64 {
     let reported_millis = context.leadership.borrow().strongest_millis;
-    reported_millis.max(fitness::cpu_millis(context))
+    reported_millis.max(machine_health::cpu_millis(context))
 }
 
 async fn grant(context: Context) -> Result<store::LeaseId, CallError> {
--- a/crates/figscale/src/fleet/membership.rs
+++ b/crates/figscale/src/fleet/heartbeat.rs
@@ -21,9 +21,9 @@
 
 use super::Context;
 use super::calls;
-use super::fitness;
 use super::leadership;
 use super::ledger;
+use super::machine_health;
 use crate::events;
 use crate::peer;
 
@@ -129,25 +129,25 @@
 
 async fn heartbeat_loop(context: Context) {
     let mut not_leading = fleet::NotLeading::default();
-    let answer_times = sync::Arc::new(sync::Mutex::new(fleet::AnswerTimes::default()));
+    let answer_times = sync::Arc::new(sync::Mutex::new(fleet::ResponseTimes::default()));
     let mut changes = context.leadership.subscribe();
     loop {
         let known = changes.borrow_and_update().clone();
         if let Some(leader) = known.leader
-            && leader.member != context.me
+            && leader.member != context.own_member
         {
             let outcome = send_heartbeat(&context, &leader, &answer_times).await;
             if outcome != Outcome::NotLeading {
                 not_leading.reset();
             }
-            let allowed = mutex::lock(&answer_times).allowed_silence();
+            let allowed = mutex::lock(&answer_times).response_limit();
             let cause = cause_of_end(&context, &leader, outcome, allowed, &mut not_leading).await;
             if let Some(cause) = cause {
                 mark_ended(&context, &leader, known.key_revision, cause);
             }
         }
         // A new leader gets a heartbeat at once.
-        let pause = fleet::hello_pause(context.store.instances());
+        let pause = fleet::heartbeat_interval(context.store.instances());
         let _ = tokio::time::timeout(pause, changes.changed()).await;
     }
 }
@@ -242,7 +242,7 @@
 }
 
 /// How quickly the leader answers.
-type SharedAnswerTimes = sync::Arc<sync::Mutex<fleet::AnswerTimes>>;
+type SharedAnswerTimes = sync::Arc<sync::Mutex<fleet::ResponseTimes>>;
 
 /// Sends one heartbeat to the leader. An overdue one continues in the background
 /// beside the next, since a late answer also shows that the leader is alive.
@@ -251,13 +251,13 @@
     leader: &leadership::Leader,
     answer_times: &SharedAnswerTimes,
 ) -> Outcome {
-    if leader.member.id == context.me.id {
+    if leader.member.id == context.own_member.id {
         // An earlier incarnation of this instance.
         return Outcome::Ended;
     }
     let heartbeat = call_leader(context.clone(), leader.clone(), answer_times.clone());
     let heartbeat = tokio::spawn(heartbeat);
-    match tokio::time::timeout(fleet::HELLO_TIMEOUT, heartbeat).await {
+    match tokio::time::timeout(fleet::HEARTBEAT_TIMEOUT, heartbeat).await {
         Ok(Ok(outcome)) => outcome,
         Ok(Err(_)) | Err(_) => Outcome::NoResponse,
     }
@@ -270,13 +270,13 @@
 ) -> Outcome {
     let call = calls::LeaderCall::Hello {
         leader: leader.member.clone(),
-        member: context.me.id.clone(),
+        member: context.own_member.id.clone(),
         address: context.settings.peer_address,
         failure_domain: context.settings.failure_domain.clone(),
         cpu_millis: match leadership::may_run_for_leader(&context)
             && context.store.answers_directly()
         {
-            true => fitness::cpu_millis(&context),
+            true => machine_health::cpu_millis(&context),
             false => 0,
         },
         roster: context.store.roster_hash(),
@@ -289,12 +289,12 @@
         let service = calls::LEADER_SERVICE;
         let answer = context
             .peers
-            .call(leader.address, service, &call, fleet::LATE_ANSWER)
+            .call(leader.address, service, &call, fleet::LATE_RESPONSE)
             .await;
         let took = context.clock.now().saturating_duration_since(begun);
         match answer {
             Ok(answer) => {
-                mutex::lock(&answer_times).note(took);
+                mutex::lock(&answer_times).record_response(took);
                 apply_config_proof(&context, &answer, asked_at);
                 return apply_answer(&context, &leader, answer, took);
             }
@@ -303,7 +303,7 @@
                 if error.is_refused() {
                     return Outcome::Ended;
                 }
-                if took >= fleet::HELLO_TIMEOUT / 2 {
+                if took >= fleet::HEARTBEAT_TIMEOUT / 2 {
                     return Outcome::NoResponse;
                 }
             }
@@ -347,7 +347,7 @@
         context.store.set_roster(others);
     }
     let same = context.leadership.borrow().leader.as_ref() == Some(leader);
-    if took > fleet::HELLO_TIMEOUT && same {
+    if took > fleet::HEARTBEAT_TIMEOUT && same {
         record_contact(context, true);
     }
     Outcome::Welcome
@@ -383,12 +383,12 @@
 async fn ask_peers(context: &Context, leader: &leadership::Leader) -> Vec<fleet::PeerView> {
     let mut others = context.store.roster();
     others.retain(|address| *address != leader.address);
-    others.truncate(fleet::MAX_PEERS_ASKED);
+    others.truncate(fleet::MAX_PEERS_QUERIED);
     let calls = others.into_iter().map(|other| {
         let peers = context.peers.clone();
         async move {
             peers
-                .call(other, WHO_LEADS, &WhoLeads, fleet::SIGHTING_TIMEOUT)
+                .call(other, WHO_LEADS, &WhoLeads, fleet::LEADER_QUERY_TIMEOUT)
                 .await
         }
     });
@@ -411,7 +411,7 @@
 fn peer_view(observation: &LeaderObservation, leader: &leadership::Leader) -> fleet::PeerView {
     let same = observation.leader.as_ref() == Some(leader);
     match observation.heard_ms_ago {
-        Some(ago) if same => fleet::PeerView::Heard(time::Duration::from_millis(ago)),
+        Some(ago) if same => fleet::PeerView::LastResponse(time::Duration::from_millis(ago)),
         _ => fleet::PeerView::Unknown,
     }
 }
--- a/crates/figscale/src/fleet/operators/catalogue.rs
+++ b/crates/figscale/src/fleet/operators/catalogue.rs
@@ -40,8 +40,8 @@
 }
 
 async fn managed_in_store() -> answer::Refusal {
-    let text = "the catalogue of this cell is the configuration in the platform's store; \
-                change it and read its history there";
+    let text = "the catalogue of this cell is the configuration in the platform's store: \
+                change it, and look up earlier ones, there";
     answer::invalid(text).into()
 }
 
@@ -62,7 +62,7 @@
     let revision = ids::Revision(current_table(&context)?.version);
     Ok(Json(operator::CatalogueStatus {
         revision,
-        in_force: IndexMap::from([(context.me.id.clone(), Some(revision))]),
+        in_force: IndexMap::from([(context.own_member.id.clone(), Some(revision))]),
     }))
 }
 
--- a/crates/figscale/src/fleet/operators/jobs.rs
+++ b/crates/figscale/src/fleet/operators/jobs.rs
@@ -25,10 +25,10 @@
 use figscale_types::verdict::Verdict;
 
 use crate::fleet::Context;
-use crate::fleet::ask;
 use crate::fleet::calls::Caller;
 use crate::fleet::calls::LeaderAnswer;
 use crate::fleet::calls::LeaderCall;
+use crate::fleet::leader_client;
 use crate::operator::answer;
 use crate::operator::query;
 
@@ -50,7 +50,7 @@
 /// have taken effect.
 async fn ask_leader(context: &Context, call: &LeaderCall) -> (Option<LeaderAnswer>, Verdict) {
     let limit = time::Duration::from_millis(context.settings.operator.timeout_ms);
-    ask::call_leader(context, call, context.clock.now() + limit).await
+    leader_client::call_leader(context, call, context.clock.now() + limit).await
 }
 
 async fn status(
@@ -131,16 +131,14 @@
     match ask_leader(&context, &call).await {
         (Some(LeaderAnswer::Accepted), _) => Ok(Json(show(&context, job).await?)),
         (Some(LeaderAnswer::Refused { retry_after_ms }), Verdict::NotRun) => {
-            let text = "queued work ahead of the job would take too long; the job was not accepted";
+            let text = "the work in front of it would last too long; it was not taken";
             Err(retry_later(text, retry_after_ms).into())
         }
-        (Some(LeaderAnswer::StoreAway { retry_after_ms }), Verdict::NotRun) => Err(retry_later(
-            "the store is unavailable; the job was not accepted",
-            retry_after_ms,
-        )
-        .into()),
+        (Some(LeaderAnswer::StoreAway { retry_after_ms }), Verdict::NotRun) => {
+            Err(retry_later("the store is away; it was not taken", retry_after_ms).into())
+        }
         // An earlier attempt may have been accepted, so this is never reported as
-        // "not accepted".
+        // "not taken".
         _ => Err(unanswered(Verdict::MayHaveRun).into()),
     }
 }
@@ -164,11 +162,11 @@
 /// The job in the scheduler's form, with one step.
 fn description_of(spec: schema::JobSpec) -> Result<fleet::JobDescription, operator::OperatorError> {
     if !spec.idempotent {
-        let text = "idempotent: expected true; this cell retries failed tasks";
+        let text = "idempotent: expected true; tasks of this cell run again after a failure";
         return Err(answer::invalid(text));
     }
     if spec.deadline_ms.is_some() {
-        let text = "deadline_ms: not supported here; the queue's latency objective applies";
+        let text = "deadline_ms: not supported here; the latency objective of the queue holds";
         return Err(answer::invalid(text));
     }
     let step = fleet::StepDescription {
@@ -187,7 +185,7 @@
         steps: vec![step],
         ..fleet::JobDescription::default()
     };
-    match scheduling::fault_of(&description) {
+    match scheduling::validation_error(&description) {
         Some(fault) => Err(answer::invalid(fault)),
         None => Ok(description),
     }
--- a/crates/figscale/src/fleet/relay/mod.rs
+++ b/crates/figscale/src/fleet/relay/mod.rs
@@ -74,7 +74,7 @@
     }
 
     /// Adds an instance that has sent a heartbeat, or updates its address.
-    pub(super) fn joined(
+    pub(super) fn add_or_update(
         &mut self,
         member: &ids::MemberId,
         address: net::SocketAddr,
@@ -93,7 +93,7 @@
     }
 
     /// Removes an instance that is gone.
-    pub(super) fn left(&mut self, member: &ids::MemberId) {
+    pub(super) fn remove(&mut self, member: &ids::MemberId) {
         self.relays.swap_remove(member);
     }
 
@@ -109,15 +109,15 @@
             return None;
         }
         let now = self.context.clock.now();
-        let carriers = self
+        let candidates = self
             .relays
             .iter()
-            .map(|(member, relay)| scheduling::Carrier {
-                near: relay.failure_domain.as_str() == failure_domain,
-                set_aside: is_large(workers) && relay.link.is_ejected(now),
+            .map(|(member, relay)| scheduling::RelayCandidate {
+                in_failure_domain: relay.failure_domain.as_str() == failure_domain,
+                ejected: is_large(workers) && relay.link.is_ejected(now),
                 hash: hash::hash(&[member.as_str(), worker.as_str()]),
             });
-        let position = scheduling::choose_carrier(carriers)?;
+        let position = scheduling::choose_relay(candidates)?;
         let (_, relay) = self.relays.get_index(position)?;
         (is_large(workers) || !relay.link.is_ejected(now)).then(|| relay.link.clone())
     }
--- a/crates/figscale/src/fleet/term/messages.rs
+++ b/crates/figscale/src/fleet/term/messages.rs
@@ -26,10 +26,10 @@
                 self.scheduler
                     .start_answered(&worker, task, attempt, outcome, now);
             }
-            Message::Overdue(id) => self.scheduler.worker_doubted(&id, now),
-            Message::AnswerLost => self.workers.answer_lost(now),
-            Message::Advised(question, good) => {
-                self.scheduler.advice_answered(&question, good, now);
+            Message::Overdue(id) => self.scheduler.worker_call_failed(&id, now),
+            Message::AnswerLost => self.workers.record_lost_answer(now),
+            Message::Advised(query, good) => {
+                self.scheduler.advice_answered(&query, good, now);
             }
             Message::MemberGone(member) => self.drop_member(&member),
             Message::Written(result, ledger) => self.on_written(result, ledger),
@@ -106,9 +106,9 @@
                 self.scheduler.worker_replaced(id, now)
             }
             Ok(platform_workers::ReportOutcome::Unhealthy) => (),
-            Err(_) => self.scheduler.worker_doubted(id, now),
+            Err(_) => self.scheduler.worker_call_failed(id, now),
         }
         let waits = self.scheduler.has_unacknowledged(id);
-        self.workers.reported(id, &report, waits, now);
+        self.workers.schedule_next_call(id, &report, waits, now);
     }
 }
