--- a/crates/figscale-core/src/catalogue/apply.rs
+++ b/crates/figscale-core/src/catalogue/apply.rs
@@ -176,13 +176,13 @@
             true => (
                 operator::ErrorKind::Unknown,
                 format!(
-                    "change {id} may have been accepted: the store did not respond in \
-                     time; retry with the same change id, which is applied at most once"
+                    "change {id} may have been accepted: the store did not answer in time; \
+                     ask again with the same change id, it counts once"
                 ),
             ),
             false => (
                 operator::ErrorKind::Unavailable,
-                format!("change {id} was not accepted: the store is unavailable; retry later"),
+                format!("change {id} was not accepted: the store is away; ask again later"),
             ),
         };
         operator::OperatorError {
@@ -262,8 +262,8 @@
             return Err(operator::OperatorError::new(
                 operator::ErrorKind::Invalid,
                 format!(
-                    "change: id {} was already used for another catalogue, that of \
-                     revision {revision}; use a new id for each change",
+                    "change: id {} already stands for another catalogue, that of revision \
+                     {revision}; use a new id for each change",
                     self.change.id
                 ),
             ));
@@ -278,8 +278,8 @@
         operator::OperatorError::new(
             operator::ErrorKind::Unavailable,
             format!(
-                "change {} was not accepted: the store's key {} does not hold a catalogue \
-                 document that can be read, perhaps one of a newer version; it is not overwritten",
+                "change {} was not accepted: the store's key {} holds no catalogue document, \
+                 perhaps that of a newer version; it is not written over",
                 self.change.id,
                 catalogue::KEY
             ),
@@ -361,7 +361,7 @@
     operator::OperatorError::new(
         operator::ErrorKind::NotFound,
         format!(
-            "the catalogue of revision {to} is not retained; available are {} and the newest, {}",
+            "the catalogue of revision {to} is not kept; kept are {} and the newest, {}",
             retained.join(", "),
             latest.accepted.revision
         ),
--- a/crates/figscale-core/src/catalogue/check.rs
+++ b/crates/figscale-core/src/catalogue/check.rs
@@ -108,9 +108,7 @@
         if !valid {
             problems.add(
                 path,
-                format!(
-                    "{rate} is not a valid rate: expected above 0 and at most {MAX_RATE_PER_S}"
-                ),
+                format!("{rate} is no rate: expected above 0 and at most {MAX_RATE_PER_S}"),
             );
         }
     }
@@ -193,7 +191,7 @@
         let path = format!("{path}[{index}]");
         check_known_owner(&path, caller, catalogue, problems);
         if callers[..index].contains(caller) {
-            problems.add(path, format!("{caller} is listed twice"));
+            problems.add(path, format!("{caller} stands twice"));
         }
     }
 }
@@ -257,7 +255,7 @@
     let len = super::history::encoded_len(catalogue);
     if len > MAX_CATALOGUE_BYTES {
         let largest = largest_entry(catalogue).map_or_else(String::new, |(name, len)| {
-            format!("; the largest entry, entries.{name}, has {len}")
+            format!("; the largest entry, entries.{name}, takes {len}")
         });
         problems.add(
             ".",
--- a/crates/figscale-core/src/job/home/job.rs
+++ b/crates/figscale-core/src/job/home/job.rs
@@ -173,7 +173,7 @@
         if self.record.ended.is_some() {
             None
         } else if any(|stage| matches!(stage, Stage::Unknown { .. })) {
-            Some("waits until every placer has reported its tasks, after a change of holder".into())
+            Some("waits until every placer has told what it runs, after a change of holder".into())
         } else if let Some(reason) = &self.refusal {
             any(|stage| matches!(stage, Stage::Queued { .. })).then(|| reason.clone())
         } else {
--- a/crates/figscale-core/src/job/home/queue.rs
+++ b/crates/figscale-core/src/job/home/queue.rs
@@ -349,10 +349,7 @@
             }
             message::OrderAnswer::NoRoom => {
                 task.attempt -= 1;
-                self.set_refusal(
-                    &id.job,
-                    "no worker has free resources for it now".to_owned(),
-                );
+                self.set_refusal(&id.job, "no worker has room for it now".to_owned());
                 let until = now.at + self.config.room_retry;
                 if let Some(view) = self.placers.get_mut(placer) {
                     view.record_refusal(order.resources, until);
--- a/crates/figscale-core/src/job/home/submit.rs
+++ b/crates/figscale-core/src/job/home/submit.rs
@@ -37,7 +37,7 @@
         let Submission { id, spec, terms } = submission;
         if let Some(known) = self.jobs.get(&id) {
             if known.record.spec != spec {
-                let message = format!("job {id} exists with a different specification");
+                let message = format!("job {id} exists and is another one");
                 return self.refuse(ticket, operator::ErrorKind::Conflict, message, None);
             }
             if known.written {
@@ -52,7 +52,7 @@
             let job = new_job(now, spec, terms);
             let used: usize = self.jobs.values().map(|job| job.bytes).sum();
             if used + job.bytes > self.config.max_document_bytes {
-                let message = "the home of this job has no space for more jobs".to_owned();
+                let message = "the home of this job keeps as many jobs as it can".to_owned();
                 return self.refuse(
                     ticket,
                     operator::ErrorKind::Unavailable,
@@ -125,7 +125,7 @@
         if let Some(retry) = self.document.retry_after(self.config.store_retry) {
             let mut error = operator::OperatorError::new(
                 operator::ErrorKind::Unavailable,
-                "the store is unavailable, so nothing can be accepted",
+                "the store does not answer, so nothing can be accepted",
             );
             error.retry_after_ms = Some(clock::millis(retry));
             return Err(error);
--- a/crates/figscale-core/src/job/home/write.rs
+++ b/crates/figscale-core/src/job/home/write.rs
@@ -316,7 +316,7 @@
                 self.refuse(
                     ticket,
                     operator::ErrorKind::Unavailable,
-                    format!("job {id} was not accepted: the store is unavailable"),
+                    format!("job {id} was not accepted: the store does not answer"),
                     Some(retry),
                 );
             }
@@ -341,7 +341,7 @@
             self.refuse(
                 ticket,
                 operator::ErrorKind::Unknown,
-                format!("job {id}: unknown whether the change was stored; retry with the same id"),
+                format!("job {id}: the store's answer was lost; ask again with the same id"),
                 Some(retry),
             );
         }
--- a/crates/figscale-core/tests/catalogue_apply.rs
+++ b/crates/figscale-core/tests/catalogue_apply.rs
@@ -142,7 +142,7 @@
     let mut apply = start(change(3, 3));
     let error = refusal(apply.step(read(8, &document(3)), &empty()));
     assert_eq!(error.kind, operator::ErrorKind::Invalid);
-    assert!(error.message.contains("was already used for"), "{error}");
+    assert!(error.message.contains("already stands for"), "{error}");
 }
 
 #[test]
--- a/crates/figscale-core/tests/catalogue_check.rs
+++ b/crates/figscale-core/tests/catalogue_check.rs
@@ -44,7 +44,7 @@
 #[case::caller_twice(
     "/entries/hull-quote/callers",
     r#"["brokers", "brokers"]"#,
-    "entries.hull-quote.callers[1]: brokers is listed twice"
+    "entries.hull-quote.callers[1]: brokers stands twice"
 )]
 #[case::zero_weight(
     "/owners/brokers/weight",
@@ -54,12 +54,12 @@
 #[case::negative_rate(
     "/owners/brokers/rate_per_s",
     "-1.5",
-    "owners.brokers.rate_per_s: -1.5 is not a valid rate"
+    "owners.brokers.rate_per_s: -1.5 is no rate"
 )]
 #[case::zero_rate(
     "/owners/brokers/rate_per_s",
     "0",
-    "owners.brokers.rate_per_s: 0 is not a valid rate"
+    "owners.brokers.rate_per_s: 0 is no rate"
 )]
 #[case::zero_concurrency(
     "/owners/brokers/concurrency",
--- a/crates/figscale-types/src/catalogue.rs
+++ b/crates/figscale-types/src/catalogue.rs
@@ -31,7 +31,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Owner {
     /// Share in fair queueing, relative to other owners. Default 1.
-    #[serde(default = "default_weight")]
+    #[serde(default = "one")]
     pub weight: u32,
     /// Requests admitted per second. Default: no limit.
     #[serde(default)]
@@ -197,7 +197,7 @@
     pub catalogue: Catalogue,
 }
 
-fn default_weight() -> u32 {
+fn one() -> u32 {
     1
 }
 
--- a/crates/figscale-types/src/fleet/customer.rs
+++ b/crates/figscale-types/src/fleet/customer.rs
@@ -94,7 +94,7 @@
         keys: impl IntoIterator<Item = KeyDigest>,
     ) -> Result<(), String> {
         if self.terms.contains_key(&name) {
-            return Err(format!("customer {name} is defined twice"));
+            return Err(format!("customer {name} is there twice"));
         }
         for key in keys {
             match self.keys.get(&key) {
--- a/crates/figscale/src/jobs/calls.rs
+++ b/crates/figscale/src/jobs/calls.rs
@@ -347,7 +347,7 @@
         ),
         _ => (
             operator::ErrorKind::Unknown,
-            "the home of the job did not answer in time; retry with the same id",
+            "the home of the job did not answer in time; ask again with the same id",
         ),
     };
     let mut error = operator::OperatorError::new(kind, message);
--- a/crates/figscale/src/peer/codec.rs
+++ b/crates/figscale/src/peer/codec.rs
@@ -20,7 +20,7 @@
     let (message, used) = bincode::serde::decode_from_slice(bytes, config)?;
     eyre::ensure!(
         used == bytes.len(),
-        "{} trailing bytes after a message",
+        "{} bytes left over after a message",
         bytes.len() - used
     );
     Ok(message)
--- a/crates/figscale/src/peer/frames.rs
+++ b/crates/figscale/src/peer/frames.rs
@@ -43,10 +43,7 @@
     /// Reads the next frame; fails if the stream ends first.
     pub(crate) async fn frame<T: de::DeserializeOwned>(&mut self) -> eyre::Result<T> {
         let length = self.take(LENGTH_BYTES).await?.get_u32() as usize;
-        eyre::ensure!(
-            length <= MAX_FRAME_BYTES,
-            "frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"
-        );
+        eyre::ensure!(length <= MAX_FRAME_BYTES, "a frame of {length} bytes");
         let body = self.take(length).await?;
         codec::decode(&body)
     }
@@ -55,7 +52,7 @@
         while self.buffer.len() < length {
             match self.part().await? {
                 Some(part) => self.buffer.extend_from_slice(&part),
-                None => eyre::bail!("stream ended within a frame"),
+                None => eyre::bail!("the stream ended early"),
             }
         }
         Ok(self.buffer.split_to(length).freeze())
@@ -84,15 +81,9 @@
         let mut all = BytesMut::new();
         while let Some(part) = self.raw().await? {
             all.extend_from_slice(&part);
-            eyre::ensure!(
-                all.len() as u64 <= length,
-                "body is longer than the announced {length} bytes"
-            );
+            eyre::ensure!(all.len() as u64 <= length, "more bytes than announced");
         }
-        eyre::ensure!(
-            all.len() as u64 == length,
-            "body is shorter than the announced {length} bytes"
-        );
+        eyre::ensure!(all.len() as u64 == length, "fewer bytes than announced");
         Ok(all.freeze())
     }
 }
--- a/crates/figscale/src/traffic/answer.rs
+++ b/crates/figscale/src/traffic/answer.rs
@@ -36,7 +36,7 @@
 
 impl std::fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("answer truncated")
+        f.write_str("the answer broke off")
     }
 }
 
@@ -222,14 +222,14 @@
                 "the request id is not a UUIDv7, or is stamped in the future".to_owned()
             }
             Self::Repeat(once::Begin::NotHome) => {
-                "the home of this request id is not available at the moment".to_owned()
+                "nobody remembers request ids like this one just now".to_owned()
             }
             Self::Repeat(once::Begin::Forgotten) => {
-                "the request id is older than the period for which ids are remembered".to_owned()
+                "the request id is older than the memory of request ids".to_owned()
             }
-            Self::Repeat(_) => "a request with this id was received before".to_owned(),
+            Self::Repeat(_) => "a request with this id was begun before".to_owned(),
             Self::Failed { fault, .. } => format!("the last attempt failed: {}", fault.as_str()),
-            Self::Expired { .. } => "the deadline passed before there was an answer".to_owned(),
+            Self::Expired { .. } => "the deadline came before an answer".to_owned(),
         }
     }
 
@@ -319,7 +319,7 @@
             Self::Header(text) => text.clone(),
             Self::TooLarge(limit) => format!("the body is larger than {limit} bytes"),
             Self::TooSlow => "the body did not arrive in time".to_owned(),
-            Self::Body => "the body is truncated or malformed".to_owned(),
+            Self::Body => "the body broke off or is malformed".to_owned(),
         }
     }
 }
--- a/crates/figscale/src/traffic/peer_side.rs
+++ b/crates/figscale/src/traffic/peer_side.rs
@@ -134,7 +134,7 @@
 ) -> eyre::Result<Call> {
     eyre::ensure!(
         head.body_bytes <= policy.max_body_bytes,
-        "body of {} bytes exceeds the limit of the entry",
+        "a body of {} bytes",
         head.body_bytes
     );
     Ok(Call {
