--- a/crates/figscale-core/examples/placement_bench/baseline.rs
+++ b/crates/figscale-core/examples/placement_bench/baseline.rs
@@ -22,13 +22,13 @@
     pub(crate) fn place(
         self,
         cluster: &mut placement::Cluster,
-        ask: &placement::Ask,
+        request: &placement::PlacementRequest,
         now: time::Instant,
         rng: &mut StdRng,
     ) -> Option<ids::InstanceId> {
-        let fits = |w: &&placement::Worker| w.admits(ask) && w.free().holds(&ask.size);
+        let fits = |w: &&placement::Worker| w.admits(request) && w.free().holds(&request.size);
         let id = match self {
-            Self::Scored => return cluster.place(ask, now, None).ok(),
+            Self::Scored => return cluster.place(request, now, None).ok(),
             Self::FirstFit => cluster.workers().find(fits)?.id().clone(),
             Self::Random => {
                 let fitting: Vec<_> = cluster.workers().filter(fits).collect();
@@ -38,7 +38,7 @@
                 fitting[rng.random_range(0..fitting.len())].id().clone()
             }
         };
-        cluster.reserve(ask.clone(), &id, now, None).ok()?;
+        cluster.reserve(request.clone(), &id, now, None).ok()?;
         Some(id)
     }
 }
--- a/crates/figscale-core/examples/placement_bench/drive.rs
+++ b/crates/figscale-core/examples/placement_bench/drive.rs
@@ -211,7 +211,7 @@
             urgency: job.urgency,
             size: job.size,
             declared: job.size,
-            guard: placement::Guard {
+            interruptibility: placement::Interruptibility {
                 idempotent: true,
                 checkpointable: job.checkpointable,
                 preemptible: job.preemptible,
@@ -325,8 +325,8 @@
                 continue;
             }
             self.refresh_ran();
-            let ask = work.ask(&placement::Pending::first(0));
-            if let Some(plan) = planner.plan(&mut self.cluster, &ask) {
+            let request = work.request(&placement::Pending::first(0));
+            if let Some(plan) = planner.plan(&mut self.cluster, &request) {
                 self.execute(plan);
             }
         }
@@ -340,16 +340,16 @@
             let Some(worker) = self.cluster.worker(&id) else {
                 continue;
             };
-            let tasks = worker.tasks().filter_map(|t| self.cluster.holding(t));
-            let reports = tasks.map(|holding| protocol::TaskReport {
-                task: holding.ask.task.clone(),
-                attempt: holding.ask.attempt,
+            let tasks = worker.tasks().filter_map(|t| self.cluster.allocation(t));
+            let reports = tasks.map(|allocation| protocol::TaskReport {
+                task: allocation.request.task.clone(),
+                attempt: allocation.request.attempt,
                 phase: protocol::TaskPhase::Running,
-                reserved: holding.ask.size,
-                used: holding.ask.size,
+                reserved: allocation.request.size,
+                used: allocation.request.size,
                 ran_ms: self
                     .attempts
-                    .get(&holding.ask.task)
+                    .get(&allocation.request.task)
                     .map_or(0, |a| ((self.now_s - a.started_s) * 1e3) as u64),
                 home_epoch: ids::Epoch(1),
             });
@@ -410,10 +410,10 @@
         let now = self.now();
         let mut placed = Vec::new();
         for index in tasks.iter() {
-            let ask = work.ask(&placement::Pending::first(*index));
+            let request = work.request(&placement::Pending::first(*index));
             self.report.scans += 1;
             if choice
-                .place(&mut self.cluster, &ask, now, &mut self.rng)
+                .place(&mut self.cluster, &request, now, &mut self.rng)
                 .is_none()
             {
                 break;
--- a/crates/figscale-core/examples/placement_bench/speed.rs
+++ b/crates/figscale-core/examples/placement_bench/speed.rs
@@ -54,10 +54,10 @@
     cluster
 }
 
-fn ask(index: u32, rng: &mut StdRng) -> placement::Ask {
+fn request(index: u32, rng: &mut StdRng) -> placement::PlacementRequest {
     let size = mix::size(rng.random_range(1..=8), rng.random_range(1..=16), 0);
     let service = rng.random_range(0..5) == 0;
-    placement::Ask {
+    placement::PlacementRequest {
         task: ids::TaskId {
             job: format!("job-{}", index / 20).parse().expect("legal"),
             index,
@@ -71,7 +71,7 @@
         urgency: catalogue::Urgency::Deadline,
         size,
         declared: size,
-        guard: placement::Guard::PROTECTED,
+        interruptibility: placement::Interruptibility::PROTECTED,
         avoid: Vec::new(),
     }
 }
@@ -93,10 +93,10 @@
             cluster.release(&tasks.swap_remove(at));
             continue;
         }
-        let ask = ask(index, &mut rng);
+        let request = request(index, &mut rng);
         index += 1;
         let before = (time::Instant::now(), cluster.examined());
-        let chosen = choice.place(&mut cluster, &ask, now, &mut rng);
+        let chosen = choice.place(&mut cluster, &request, now, &mut rng);
         let took = before.0.elapsed();
         // Decisions that fill the cluster at first are not timed.
         if index > workers * 20 {
@@ -105,7 +105,7 @@
             placed += u32::from(chosen.is_some());
         }
         if chosen.is_some() {
-            tasks.push(ask.task);
+            tasks.push(request.task);
         }
     }
     let per_s = f64::from(placed) / (times.mean() * times.len() as f64 / 1e6);
@@ -120,18 +120,18 @@
 
 fn enqueue_jobs(queue: &mut placement::Queue, now: time::Instant, rng: &mut StdRng) {
     for number in 0..WAITING_JOBS {
-        let ask = ask(number * 20, rng);
+        let request = request(number * 20, rng);
         let work = placement::Work {
-            job: ask.task.job,
-            owner: ask.owner.expect("given"),
+            job: request.task.job,
+            owner: request.owner.expect("given"),
             class: catalogue::JobClass::Batch,
             urgency: match number % 3 {
                 0 => catalogue::Urgency::Deadline,
                 _ => catalogue::Urgency::BestEffort,
             },
-            size: ask.size,
-            declared: ask.size,
-            guard: ask.guard,
+            size: request.size,
+            declared: request.size,
+            interruptibility: request.interruptibility,
             queued_at: now,
             deadline: None,
             run: time::Duration::from_secs(60),
@@ -149,9 +149,9 @@
     let mut running: Vec<ids::TaskId> = Vec::new();
     // Fill the cluster, so that the queued jobs have to wait.
     for index in 0..workers * 40 {
-        let ask = ask(WAITING_JOBS * 20 + index, &mut rng);
-        if cluster.place(&ask, now, None).is_ok() {
-            running.push(ask.task);
+        let request = request(WAITING_JOBS * 20 + index, &mut rng);
+        if cluster.place(&request, now, None).is_ok() {
+            running.push(request.task);
         }
     }
     let mut queue = placement::Queue::new(placement::QueueConfig::default());
@@ -204,9 +204,9 @@
     let now = time::Instant::now();
     let mut tasks = Vec::new();
     for index in 0..92 * 4 {
-        let ask = ask(index, &mut rng);
-        if cluster.place(&ask, now, None).is_ok() {
-            tasks.push(ask.task);
+        let request = request(index, &mut rng);
+        if cluster.place(&request, now, None).is_ok() {
+            tasks.push(request.task);
         }
     }
     let mut summarizer = summary::Summarizer::default();
--- a/crates/figscale-core/src/job/placement/cluster.rs
+++ b/crates/figscale-core/src/job/placement/cluster.rs
@@ -19,7 +19,7 @@
 use indexmap::IndexSet;
 
 use super::config;
-use super::kept;
+use super::reservation;
 use super::work;
 use super::worker;
 
@@ -62,7 +62,7 @@
 pub struct Cluster {
     pub(super) config: config::Config,
     pub(super) workers: IndexMap<ids::InstanceId, worker::Worker>,
-    pub(super) allocations: IndexMap<ids::TaskId, work::Holding>,
+    pub(super) allocations: IndexMap<ids::TaskId, work::Allocation>,
     pub(super) spreads: IndexMap<ids::JobId, Spread>,
     usage: IndexMap<ids::OwnerName, sizes::Resources>,
     domains: IndexSet<ids::FailureDomain>,
@@ -71,9 +71,9 @@
     pub(super) counted: sizes::Resources,
     pub(super) examined: u64,
     /// The most urgent work that needs accelerators and has none.
-    pub(super) accelerator_demand: Option<kept::AcceleratorDemand>,
+    pub(super) accelerator_demand: Option<reservation::AcceleratorDemand>,
     /// The worker reserved for a job between requests for placement.
-    pub(super) worker_reservation: Option<kept::WorkerReservation>,
+    pub(super) worker_reservation: Option<reservation::WorkerReservation>,
 }
 
 impl Cluster {
@@ -113,7 +113,7 @@
             counted: sizes::Resources::default(),
             readiness,
             leaving,
-            standing: worker::Standing::InUse,
+            ejection_state: worker::EjectionState::InUse,
             reserved_for: None,
             tasks: IndexSet::new(),
         };
@@ -122,7 +122,7 @@
     }
 
     /// Removes a worker; returns the allocations of its tasks.
-    pub fn remove_worker(&mut self, id: &ids::InstanceId) -> Vec<work::Holding> {
+    pub fn remove_worker(&mut self, id: &ids::InstanceId) -> Vec<work::Allocation> {
         let Some(worker) = self.workers.get(id) else {
             return Vec::new();
         };
@@ -135,7 +135,7 @@
     }
 
     /// Removes the workers of a shard; returns the allocations of their tasks.
-    pub fn remove_shard(&mut self, shard: &ids::ShardId) -> Vec<work::Holding> {
+    pub fn remove_shard(&mut self, shard: &ids::ShardId) -> Vec<work::Allocation> {
         let of_shard = |worker: &&worker::Worker| worker.shard == *shard;
         let ids: Vec<_> = self.workers.values().filter(of_shard).collect();
         let ids: Vec<_> = ids.into_iter().map(|worker| worker.id.clone()).collect();
@@ -158,9 +158,13 @@
     }
 
     /// Sets whether a worker is ejected, probed or in use.
-    pub fn set_standing(&mut self, id: &ids::InstanceId, standing: worker::Standing) {
+    pub fn set_ejection_state(
+        &mut self,
+        id: &ids::InstanceId,
+        ejection_state: worker::EjectionState,
+    ) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.standing = standing;
+            worker.ejection_state = ejection_state;
         }
     }
 
@@ -175,12 +179,12 @@
     }
 
     /// The allocation of a task.
-    pub fn holding(&self, task: &ids::TaskId) -> Option<&work::Holding> {
+    pub fn allocation(&self, task: &ids::TaskId) -> Option<&work::Allocation> {
         self.allocations.get(task)
     }
 
     /// The allocations of all tasks.
-    pub fn allocations(&self) -> impl ExactSizeIterator<Item = &work::Holding> {
+    pub fn allocations(&self) -> impl ExactSizeIterator<Item = &work::Allocation> {
         self.allocations.values()
     }
 
@@ -189,12 +193,12 @@
         self.capacity
     }
 
-    /// Sum of [`work::Holding::counted`] over all tasks.
+    /// Sum of [`work::Allocation::counted`] over all tasks.
     pub fn counted(&self) -> sizes::Resources {
         self.counted
     }
 
-    /// Sum of [`work::Holding::counted`] over an owner's tasks on these workers.
+    /// Sum of [`work::Allocation::counted`] over an owner's tasks on these workers.
     pub fn usage(&self, owner: &ids::OwnerName) -> sizes::Resources {
         self.usage.get(owner).copied().unwrap_or_default()
     }
@@ -219,23 +223,23 @@
     /// Nothing changes if the resources cannot be allocated.
     pub fn reserve(
         &mut self,
-        ask: work::Ask,
+        request: work::PlacementRequest,
         id: &ids::InstanceId,
         now: time::Instant,
         expires: Option<time::Instant>,
     ) -> Result<(), ReserveError> {
-        if self.allocations.contains_key(&ask.task) {
+        if self.allocations.contains_key(&request.task) {
             return Err(ReserveError::AlreadyAllocated);
         }
         let worker = self.workers.get(id).ok_or(ReserveError::UnknownWorker)?;
-        if !worker.admits(&ask) {
+        if !worker.admits(&request) {
             return Err(ReserveError::NotAccepting);
         }
-        if !worker.free().holds(&ask.size) {
+        if !worker.free().holds(&request.size) {
             return Err(ReserveError::NoCapacity);
         }
-        self.insert(work::Holding {
-            ask,
+        self.insert(work::Allocation {
+            request,
             worker: id.clone(),
             used: sizes::Resources::default(),
             peak: sizes::Resources::default(),
@@ -249,26 +253,30 @@
     }
 
     /// Releases the allocation of a task.
-    pub fn release(&mut self, task: &ids::TaskId) -> Option<work::Holding> {
-        let holding = self.allocations.swap_remove(task)?;
-        let counted = holding.counted();
+    pub fn release(&mut self, task: &ids::TaskId) -> Option<work::Allocation> {
+        let allocation = self.allocations.swap_remove(task)?;
+        let counted = allocation.counted();
         self.counted = self.counted.minus(&counted);
-        self.charge(&holding.ask.owner, &counted, &sizes::Resources::default());
-        if let Some(worker) = self.workers.get_mut(&holding.worker) {
+        self.charge(
+            &allocation.request.owner,
+            &counted,
+            &sizes::Resources::default(),
+        );
+        if let Some(worker) = self.workers.get_mut(&allocation.worker) {
             worker.counted = worker.counted.minus(&counted);
             worker.tasks.swap_remove(task);
             let (domain, rack) = (worker.domain, worker.rack);
             self.count_spread(&task.job, domain, rack, false);
         }
-        Some(holding)
+        Some(allocation)
     }
 
     /// Confirms a task: its allocation no longer expires. Returns whether the task
     /// has an allocation.
     pub fn confirm(&mut self, task: &ids::TaskId) -> bool {
         match self.allocations.get_mut(task) {
-            Some(holding) => {
-                holding.expires = None;
+            Some(allocation) => {
+                allocation.expires = None;
                 true
             }
             None => false,
@@ -279,8 +287,8 @@
     /// whether the task has an allocation.
     pub fn extend(&mut self, task: &ids::TaskId, expires: time::Instant) -> bool {
         match self.allocations.get_mut(task) {
-            Some(holding) if holding.expires.is_some() => {
-                holding.expires = Some(expires);
+            Some(allocation) if allocation.expires.is_some() => {
+                allocation.expires = Some(expires);
                 true
             }
             Some(_) => true,
@@ -291,69 +299,73 @@
     /// Records that a task was told to end or to use less processor time. A
     /// throttled task reserves no more processor time than it declared.
     pub(super) fn mark_ending(&mut self, task: &ids::TaskId, action: protocol::TaskAction) {
-        let Some(holding) = self.allocations.get_mut(task) else {
+        let Some(allocation) = self.allocations.get_mut(task) else {
             return;
         };
         if action == protocol::TaskAction::Throttle {
-            let before = holding.counted();
-            let declared = holding.ask.declared.cpu_millis;
-            holding.ask.size.cpu_millis = holding.ask.size.cpu_millis.min(declared);
-            let after = holding.counted();
+            let before = allocation.counted();
+            let declared = allocation.request.declared.cpu_millis;
+            allocation.request.size.cpu_millis = allocation.request.size.cpu_millis.min(declared);
+            let after = allocation.counted();
             self.recount(task, &before, &after);
         } else {
-            holding.ending = true;
+            allocation.ending = true;
         }
     }
 
     /// Releases the allocations that have expired, and returns them.
-    pub fn expire(&mut self, now: time::Instant) -> Vec<work::Holding> {
-        let late = |holding: &work::Holding| holding.expires.is_some_and(|at| at <= now);
+    pub fn expire(&mut self, now: time::Instant) -> Vec<work::Allocation> {
+        let late = |allocation: &work::Allocation| allocation.expires.is_some_and(|at| at <= now);
         let tasks: Vec<_> = self
             .allocations
             .iter()
-            .filter(|(_, holding)| late(holding))
+            .filter(|(_, allocation)| late(allocation))
             .map(|(task, _)| task.clone())
             .collect();
         tasks.iter().filter_map(|task| self.release(task)).collect()
     }
 
-    pub(super) fn insert(&mut self, holding: work::Holding) {
-        let counted = holding.counted();
-        let task = holding.ask.task.clone();
-        if let Some(worker) = self.workers.get_mut(&holding.worker) {
+    pub(super) fn insert(&mut self, allocation: work::Allocation) {
+        let counted = allocation.counted();
+        let task = allocation.request.task.clone();
+        if let Some(worker) = self.workers.get_mut(&allocation.worker) {
             worker.counted = worker.counted.plus(&counted);
             worker.tasks.insert(task.clone());
             let (domain, rack) = (worker.domain, worker.rack);
             self.count_spread(&task.job, domain, rack, true);
         }
         self.counted = self.counted.plus(&counted);
-        self.charge(&holding.ask.owner, &sizes::Resources::default(), &counted);
-        self.allocations.insert(task, holding);
+        self.charge(
+            &allocation.request.owner,
+            &sizes::Resources::default(),
+            &counted,
+        );
+        self.allocations.insert(task, allocation);
     }
 
     /// Updates the use of a task from a report.
     pub(super) fn set_used(&mut self, task: &ids::TaskId, used: sizes::Resources, ran_ms: u64) {
-        let Some(holding) = self.allocations.get_mut(task) else {
+        let Some(allocation) = self.allocations.get_mut(task) else {
             return;
         };
-        let before = holding.counted();
-        holding.used = used;
-        holding.peak = holding.peak.larger(&used);
-        holding.ran_ms = ran_ms;
-        let after = holding.counted();
+        let before = allocation.counted();
+        allocation.used = used;
+        allocation.peak = allocation.peak.larger(&used);
+        allocation.ran_ms = ran_ms;
+        let after = allocation.counted();
         self.recount(task, &before, &after);
     }
 
     /// Replaces `before` by `after` in the sums that a task is part of.
     fn recount(&mut self, task: &ids::TaskId, before: &sizes::Resources, after: &sizes::Resources) {
-        let Some(holding) = self.allocations.get(task) else {
+        let Some(allocation) = self.allocations.get(task) else {
             return;
         };
         self.counted = self.counted.minus(before).plus(after);
-        if let Some(worker) = self.workers.get_mut(&holding.worker) {
+        if let Some(worker) = self.workers.get_mut(&allocation.worker) {
             worker.counted = worker.counted.minus(before).plus(after);
         }
-        let owner = holding.ask.owner.clone();
+        let owner = allocation.request.owner.clone();
         self.charge(&owner, before, after);
     }
 
--- a/crates/figscale-core/src/job/placement/fault.rs
+++ b/crates/figscale-core/src/job/placement/fault.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Blame {
     /// Workers whose ejection state changed, with the new state.
-    pub workers: Vec<(ids::InstanceId, worker::Standing)>,
+    pub workers: Vec<(ids::InstanceId, worker::EjectionState)>,
     /// Whether the job is at fault and must not be retried.
     pub job: bool,
 }
@@ -71,7 +71,7 @@
 struct WorkerRecord {
     /// Number of failures since the last success, by job.
     failures: IndexMap<ids::JobId, u32>,
-    standing: worker::Standing,
+    ejection_state: worker::EjectionState,
     probe_at: Option<time::Instant>,
     probe_after: time::Duration,
 }
@@ -137,11 +137,11 @@
     ) -> Blame {
         let mut blame = Blame::default();
         if let Some(record) = self.workers.swap_remove(worker)
-            && record.standing != worker::Standing::InUse
+            && record.ejection_state != worker::EjectionState::InUse
         {
             blame
                 .workers
-                .push((worker.clone(), worker::Standing::InUse));
+                .push((worker.clone(), worker::EjectionState::InUse));
         }
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.succeeded = true;
@@ -156,12 +156,12 @@
 
     /// Puts the ejected workers whose delay has passed into the probing state, and
     /// returns them.
-    pub fn probes(&mut self, now: time::Instant) -> Vec<ids::InstanceId> {
+    pub fn take_due_probes(&mut self, now: time::Instant) -> Vec<ids::InstanceId> {
         let mut due = Vec::new();
         for (id, record) in &mut self.workers {
             if record.probe_at.is_some_and(|at| at <= now) {
                 record.probe_at = None;
-                record.standing = worker::Standing::Probing;
+                record.ejection_state = worker::EjectionState::Probing;
                 due.push(id.clone());
             }
         }
@@ -183,7 +183,8 @@
 
     /// Workers that are ejected.
     pub fn ejected(&self) -> impl Iterator<Item = &ids::InstanceId> {
-        let is_ejected = |record: &WorkerRecord| record.standing == worker::Standing::Ejected;
+        let is_ejected =
+            |record: &WorkerRecord| record.ejection_state == worker::EjectionState::Ejected;
         let all = self.workers.iter();
         all.filter(move |(_, r)| is_ejected(r)).map(|(id, _)| id)
     }
@@ -231,7 +232,7 @@
             return true;
         };
         let others = record.failures.keys().filter(|other| *other != job);
-        others.count() == 0 && record.standing == worker::Standing::InUse
+        others.count() == 0 && record.ejection_state == worker::EjectionState::InUse
     }
 
     /// Marks a job as at fault, so that its failures count against no worker.
@@ -255,13 +256,15 @@
         let Some(record) = self.workers.get_mut(id) else {
             return;
         };
-        if record.standing != worker::Standing::Probing || job_at_fault {
+        if record.ejection_state != worker::EjectionState::Probing || job_at_fault {
             return;
         }
         record.probe_after = (record.probe_after * 2).min(max);
         record.probe_at = Some(now + record.probe_after);
-        record.standing = worker::Standing::Ejected;
-        blame.workers.push((id.clone(), worker::Standing::Ejected));
+        record.ejection_state = worker::EjectionState::Ejected;
+        blame
+            .workers
+            .push((id.clone(), worker::EjectionState::Ejected));
     }
 
     fn review_workers_of(&mut self, job: &ids::JobId, now: time::Instant, blame: &mut Blame) {
@@ -281,19 +284,19 @@
         let Some(record) = self.workers.get_mut(id) else {
             return;
         };
-        match (record.standing, too_many_failures) {
-            (worker::Standing::InUse, true) if may_eject => {
-                record.standing = worker::Standing::Ejected;
+        match (record.ejection_state, too_many_failures) {
+            (worker::EjectionState::InUse, true) if may_eject => {
+                record.ejection_state = worker::EjectionState::Ejected;
                 record.probe_after = probe_after;
                 record.probe_at = Some(now + probe_after);
             }
-            (worker::Standing::Ejected, false) => {
-                record.standing = worker::Standing::InUse;
+            (worker::EjectionState::Ejected, false) => {
+                record.ejection_state = worker::EjectionState::InUse;
                 record.probe_at = None;
             }
             _ => return,
         }
-        blame.workers.push((id.clone(), record.standing));
+        blame.workers.push((id.clone(), record.ejection_state));
     }
 
     /// Number of failures on a worker that count against it: those of jobs that
--- a/crates/figscale-core/src/job/placement/gang.rs
+++ b/crates/figscale-core/src/job/placement/gang.rs
@@ -316,27 +316,27 @@
     /// round stay as they are.
     pub fn reserve_gang(
         &mut self,
-        asks: &[work::Ask],
+        requests: &[work::PlacementRequest],
         number: work::RoundNumber,
         now: time::Instant,
         expires: time::Instant,
     ) -> Vec<pass::Placement> {
         let mut reserved = Vec::new();
-        for ask in asks {
-            let _ = self.try_place(ask, now, Some(expires));
-            let Some(holding) = self.allocations.get_mut(&ask.task) else {
+        for request in requests {
+            let _ = self.try_place(request, now, Some(expires));
+            let Some(allocation) = self.allocations.get_mut(&request.task) else {
                 continue;
             };
-            let earlier = holding.gang_round.is_none_or(|known| known <= number);
-            if holding.expires.is_none() || !earlier {
+            let earlier = allocation.gang_round.is_none_or(|known| known <= number);
+            if allocation.expires.is_none() || !earlier {
                 continue;
             }
-            holding.gang_round = Some(number);
-            holding.expires = Some(expires);
+            allocation.gang_round = Some(number);
+            allocation.expires = Some(expires);
             reserved.push(pass::Placement {
-                task: ask.task.clone(),
-                attempt: ask.attempt,
-                worker: holding.worker.clone(),
+                task: request.task.clone(),
+                attempt: request.attempt,
+                worker: allocation.worker.clone(),
             });
         }
         reserved
@@ -351,8 +351,8 @@
         expires: time::Instant,
     ) -> bool {
         let of_try = |task: &ids::TaskId| {
-            let holding = self.allocations.get(task);
-            holding.is_some_and(|holding| holding.gang_round == Some(number))
+            let allocation = self.allocations.get(task);
+            allocation.is_some_and(|allocation| allocation.gang_round == Some(number))
         };
         let all = tasks.iter().all(of_try);
         if all {
@@ -366,8 +366,8 @@
     /// Releases the reservations of a gang's tasks except those of a later round.
     pub fn release_gang(&mut self, tasks: &[ids::TaskId], number: work::RoundNumber) {
         for task in tasks {
-            let holding = self.allocations.get(task);
-            if holding.is_some_and(|h| h.gang_round.is_some_and(|known| known <= number)) {
+            let allocation = self.allocations.get(task);
+            if allocation.is_some_and(|h| h.gang_round.is_some_and(|known| known <= number)) {
                 self.release(task);
             }
         }
--- a/crates/figscale-core/src/job/placement/offer.rs
+++ b/crates/figscale-core/src/job/placement/offer.rs
@@ -12,10 +12,10 @@
 use figscale_types::sizes;
 
 use super::cluster;
-use super::line;
-use super::no_room;
+use super::pass_order;
 use super::queue;
 use super::shares;
+use super::unplaceable;
 
 /// Result of offering a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,8 +41,8 @@
         // All use is known through summaries, also that of the placer in this
         // process.
         let nothing_held = cluster::Cluster::default();
-        let mut order = line::PassOrder::new(self, &nothing_held, shares, now);
-        let mut failed_requirements = no_room::UnplaceableSet::default();
+        let mut order = pass_order::PassOrder::new(self, &nothing_held, shares, now);
+        let mut failed_requirements = unplaceable::UnplaceableSet::default();
         let mut taken = 0;
         for _ in 0..max_offers {
             let Some(head) = order.next() else {
@@ -68,14 +68,15 @@
                     continue;
                 }
                 Offer::NoCapacity => {
-                    failed_requirements.add(no_room::Requirements::of_work(work, &nothing_held))
+                    failed_requirements.add(unplaceable::Requirements::of_work(work, &nothing_held))
                 }
                 Offer::Deferred => {}
             }
             order.advance(head, |position| {
                 let group = self.groups.get_index(position);
                 group.is_none_or(|(_, group)| {
-                    let requirements = no_room::Requirements::of_work(&group.work, &nothing_held);
+                    let requirements =
+                        unplaceable::Requirements::of_work(&group.work, &nothing_held);
                     group.pending.is_empty() || failed_requirements.rules_out(&requirements)
                 })
             });
--- a/crates/figscale-core/src/job/placement/pass.rs
+++ b/crates/figscale-core/src/job/placement/pass.rs
@@ -15,11 +15,11 @@
 use figscale_types::sizes;
 
 use super::cluster;
-use super::line;
-use super::no_room;
+use super::pass_order;
 use super::place;
 use super::queue;
 use super::shares;
+use super::unplaceable;
 use super::work;
 
 /// One worker in this number may be reserved for work that did not fit.
@@ -69,7 +69,7 @@
 impl queue::Queue {
     /// Places what fits, in order; placed tasks leave the queue.
     pub fn pass(&mut self, input: PassInput<'_>) -> PassOutcome {
-        let order = line::PassOrder::new(self, input.cluster, input.shares, input.now);
+        let order = pass_order::PassOrder::new(self, input.cluster, input.shares, input.now);
         let waiting = self.groups.values().map(|group| &group.work);
         let accelerated = waiting.filter(|work| work.size.accelerators > 0);
         let most_urgent = accelerated.map(|work| work.urgency).min();
@@ -82,7 +82,7 @@
             queue: self,
             input,
             order,
-            failed_requirements: no_room::UnplaceableSet::default(),
+            failed_requirements: unplaceable::UnplaceableSet::default(),
             reservations_left,
             outcome: PassOutcome::default(),
         };
@@ -106,9 +106,9 @@
 struct Pass<'a> {
     queue: &'a mut queue::Queue,
     input: PassInput<'a>,
-    order: line::PassOrder,
+    order: pass_order::PassOrder,
     /// Requirements that could not be met in this pass.
-    failed_requirements: no_room::UnplaceableSet,
+    failed_requirements: unplaceable::UnplaceableSet,
     reservations_left: usize,
     outcome: PassOutcome,
 }
@@ -120,15 +120,15 @@
                 self.outcome.more = true;
                 break;
             }
-            let Some(asks) = self.asks(head.group) else {
+            let Some(requests) = self.requests(head.group) else {
                 self.advance(head);
                 continue;
             };
-            match self.attempt(&asks) {
-                AttemptOutcome::Placed => self.on_placed(head, &asks),
+            match self.attempt(&requests) {
+                AttemptOutcome::Placed => self.on_placed(head, &requests),
                 AttemptOutcome::QuotaExceeded => self.advance(head),
                 AttemptOutcome::NoCapacity(reason) => {
-                    self.on_no_capacity(head, &asks, reason);
+                    self.on_no_capacity(head, &requests, reason);
                     self.advance(head);
                 }
             }
@@ -138,7 +138,7 @@
 
     /// Moves on to the next group. Groups that cannot be placed are skipped unless
     /// they are to be reported as blocked or to get a reservation.
-    fn advance(&mut self, head: line::Head) {
+    fn advance(&mut self, head: pass_order::Head) {
         let (queue, cluster) = (&*self.queue, &*self.input.cluster);
         let failed_requirements = &self.failed_requirements;
         let reports = is_urgent(head.level) && self.outcome.blocked.len() < MAX_BLOCKED;
@@ -147,7 +147,7 @@
             let group = queue.groups.get_index(position);
             let skips = |(_, group): (_, &queue::Group)| {
                 let infeasible = failed_requirements
-                    .rules_out(&no_room::Requirements::of_work(&group.work, cluster));
+                    .rules_out(&unplaceable::Requirements::of_work(&group.work, cluster));
                 group.pending.is_empty() || (infeasible && !reports && !may_reserve)
             };
             group.is_none_or(skips)
@@ -155,24 +155,26 @@
     }
 
     /// The next task of a group, or all tasks of a gang; `None` if none is left.
-    fn asks(&self, group: usize) -> Option<Vec<work::Ask>> {
+    fn requests(&self, group: usize) -> Option<Vec<work::PlacementRequest>> {
         let (_, group) = self.queue.groups.get_index(group)?;
         let count = match group.work.class {
             figscale_types::catalogue::JobClass::Gang => group.pending.len(),
             _ => 1,
         };
         let next = group.pending.iter().rev().take(count);
-        let asks: Vec<_> = next.map(|pending| group.work.ask(pending)).collect();
-        (!asks.is_empty()).then_some(asks)
+        let requests: Vec<_> = next.map(|pending| group.work.request(pending)).collect();
+        (!requests.is_empty()).then_some(requests)
     }
 
-    fn attempt(&mut self, asks: &[work::Ask]) -> AttemptOutcome {
-        let Some(first) = asks.first() else {
+    fn attempt(&mut self, requests: &[work::PlacementRequest]) -> AttemptOutcome {
+        let Some(first) = requests.first() else {
             return AttemptOutcome::Placed;
         };
-        let together = asks
+        let together = requests
             .iter()
-            .fold(sizes::Resources::default(), |sum, ask| sum.plus(&ask.size));
+            .fold(sizes::Resources::default(), |sum, request| {
+                sum.plus(&request.size)
+            });
         let admits = |owner| {
             let PassInput {
                 cluster, shares, ..
@@ -182,20 +184,20 @@
         if !first.owner.as_ref().is_none_or(admits) {
             return AttemptOutcome::QuotaExceeded;
         }
-        let requirements = no_room::Requirements::of_ask(first, self.input.cluster);
+        let requirements = unplaceable::Requirements::of_request(first, self.input.cluster);
         if self.failed_requirements.rules_out(&requirements) {
             return AttemptOutcome::NoCapacity(place::PlacementError::NoCapacity);
         }
-        self.outcome.scans += asks.len();
+        self.outcome.scans += requests.len();
         let (now, expires) = (self.input.now, self.input.expires);
-        match self.input.cluster.place_all(asks, now, expires) {
+        match self.input.cluster.place_all(requests, now, expires) {
             Ok(workers) => {
-                let placed = asks.iter().zip(workers);
+                let placed = requests.iter().zip(workers);
                 self.outcome
                     .placed
-                    .extend(placed.map(|(ask, worker)| Placement {
-                        task: ask.task.clone(),
-                        attempt: ask.attempt,
+                    .extend(placed.map(|(request, worker)| Placement {
+                        task: request.task.clone(),
+                        attempt: request.attempt,
                         worker,
                     }));
                 AttemptOutcome::Placed
@@ -204,8 +206,8 @@
         }
     }
 
-    fn on_placed(&mut self, head: line::Head, asks: &[work::Ask]) {
-        self.queue.take_at(head.group, asks.len());
+    fn on_placed(&mut self, head: pass_order::Head, requests: &[work::PlacementRequest]) {
+        self.queue.take_at(head.group, requests.len());
         let Some((_, group)) = self.queue.groups.get_index(head.group) else {
             return;
         };
@@ -217,17 +219,17 @@
 
     fn on_no_capacity(
         &mut self,
-        head: line::Head,
-        asks: &[work::Ask],
+        head: pass_order::Head,
+        requests: &[work::PlacementRequest],
         reason: place::PlacementError,
     ) {
-        let (Some(first), place::PlacementError::NoCapacity) = (asks.first(), reason) else {
+        let (Some(first), place::PlacementError::NoCapacity) = (requests.first(), reason) else {
             return;
         };
         // The failure of a gang, or of a task that avoids workers, says nothing
         // about other work.
-        if asks.len() == 1 && first.avoid.is_empty() {
-            let requirements = no_room::Requirements::of_ask(first, self.input.cluster);
+        if requests.len() == 1 && first.avoid.is_empty() {
+            let requirements = unplaceable::Requirements::of_request(first, self.input.cluster);
             self.failed_requirements.add(requirements);
         }
         let urgent = is_urgent(head.level);
@@ -235,14 +237,14 @@
             self.outcome.blocked.push(first.task.job.clone());
         }
         if urgent || head.level == queue::Level::Aged {
-            self.reserve_workers(asks);
+            self.reserve_workers(requests);
         }
     }
 
     /// Reserves workers for tasks that did not fit, up to the limit of the pass.
-    fn reserve_workers(&mut self, asks: &[work::Ask]) {
-        for ask in asks {
-            if self.reservations_left == 0 || !self.input.cluster.reserve_worker_for(ask) {
+    fn reserve_workers(&mut self, requests: &[work::PlacementRequest]) {
+        for request in requests {
+            if self.reservations_left == 0 || !self.input.cluster.reserve_worker_for(request) {
                 return;
             }
             self.reservations_left -= 1;
--- a/crates/figscale-core/src/job/placement/place.rs
+++ b/crates/figscale-core/src/job/placement/place.rs
@@ -59,18 +59,18 @@
     /// if it does not fit.
     pub(super) fn try_place(
         &mut self,
-        ask: &work::Ask,
+        request: &work::PlacementRequest,
         now: time::Instant,
         expires: Option<time::Instant>,
     ) -> Result<ids::InstanceId, PlacementError> {
-        if self.allocations.contains_key(&ask.task) {
+        if self.allocations.contains_key(&request.task) {
             return Err(PlacementError::AlreadyAllocated);
         }
-        if self.exceeds_best_effort_limit(ask) {
+        if self.exceeds_best_effort_limit(request) {
             return Err(PlacementError::Reserved);
         }
-        let id = self.choose(ask).ok_or(PlacementError::NoCapacity)?;
-        self.reserve(ask.clone(), &id, now, expires)
+        let id = self.choose(request).ok_or(PlacementError::NoCapacity)?;
+        self.reserve(request.clone(), &id, now, expires)
             .map_err(|_| PlacementError::NoCapacity)?;
         Ok(id)
     }
@@ -82,17 +82,17 @@
     /// Nothing changes if one of them cannot be placed now.
     pub fn place_all(
         &mut self,
-        asks: &[work::Ask],
+        requests: &[work::PlacementRequest],
         now: time::Instant,
         expires: Option<time::Instant>,
     ) -> Result<Vec<ids::InstanceId>, PlacementError> {
-        let mut placed = Vec::with_capacity(asks.len());
-        for ask in asks {
-            match self.try_place(ask, now, expires) {
+        let mut placed = Vec::with_capacity(requests.len());
+        for request in requests {
+            match self.try_place(request, now, expires) {
                 Ok(id) => placed.push(id),
                 Err(error) => {
-                    for ask in &asks[..placed.len()] {
-                        self.release(&ask.task);
+                    for request in &requests[..placed.len()] {
+                        self.release(&request.task);
                     }
                     return Err(error);
                 }
@@ -103,11 +103,13 @@
 
     /// Reserves, for the rest of a pass, the worker that lacks the least to run a
     /// task that did not fit; returns whether there is one.
-    pub(super) fn reserve_worker_for(&mut self, ask: &work::Ask) -> bool {
-        let closest_to_fitting = self.closest_to_fitting(ask).map(|worker| worker.id.clone());
+    pub(super) fn reserve_worker_for(&mut self, request: &work::PlacementRequest) -> bool {
+        let closest_to_fitting = self
+            .closest_to_fitting(request)
+            .map(|worker| worker.id.clone());
         match closest_to_fitting.and_then(|id| self.workers.get_mut(&id)) {
             Some(worker) => {
-                worker.reserved_for = Some(ask.urgency);
+                worker.reserved_for = Some(request.urgency);
                 true
             }
             None => false,
@@ -123,12 +125,12 @@
 
     /// Whether this is best-effort work that would use resources reserved for
     /// more urgent work.
-    fn exceeds_best_effort_limit(&self, ask: &work::Ask) -> bool {
-        if ask.urgency != catalogue::Urgency::BestEffort {
+    fn exceeds_best_effort_limit(&self, request: &work::PlacementRequest) -> bool {
+        if request.urgency != catalogue::Urgency::BestEffort {
             return false;
         }
-        let after = self.counted.plus(&ask.size);
-        let share = share_of_asked(&ask.size, &after, &self.capacity);
+        let after = self.counted.plus(&request.size);
+        let share = share_of_asked(&request.size, &after, &self.capacity);
         share > 1.0 - self.config.best_effort_headroom()
     }
 
@@ -146,21 +148,23 @@
         yields && may_wait && size.accelerators == 0
     }
 
-    fn choose(&mut self, ask: &work::Ask) -> Option<ids::InstanceId> {
+    fn choose(&mut self, request: &work::PlacementRequest) -> Option<ids::InstanceId> {
         let mut best: Option<(f64, &worker::Worker)> = None;
-        let spread = match ask.class {
-            catalogue::JobClass::Service => self.spreads.get(&ask.task.job),
+        let spread = match request.class {
+            catalogue::JobClass::Service => self.spreads.get(&request.task.job),
             _ => None,
         };
-        let must_spare_accelerators = self.must_spare_accelerators(&ask.size, ask.urgency);
-        let other_jobs_worker = self.worker_reserved_for_others(ask);
+        let must_spare_accelerators = self.must_spare_accelerators(&request.size, request.urgency);
+        let other_jobs_worker = self.worker_reserved_for_others(request);
         let mut examined = 0;
         for (position, worker) in self.workers.values().enumerate() {
             examined += 1;
-            if other_jobs_worker == Some(position) || !fits(worker, ask, must_spare_accelerators) {
+            if other_jobs_worker == Some(position)
+                || !fits(worker, request, must_spare_accelerators)
+            {
                 continue;
             }
-            let cost = cost(worker, ask, spread);
+            let cost = cost(worker, request, spread);
             if best.is_none_or(|(lowest, _)| cost < lowest) {
                 best = Some((cost, worker));
             }
@@ -194,30 +198,38 @@
     part.dominant_share(whole)
 }
 
-fn fits(worker: &worker::Worker, ask: &work::Ask, must_spare_accelerators: bool) -> bool {
-    let open = worker.admits(ask) && !worker.is_reserved_against(ask);
-    let has_capacity = worker.free().holds(&ask.size)
-        && (!must_spare_accelerators || leaves_accelerators_usable(worker, ask));
-    open && has_capacity && !ask.avoid.contains(&worker.id)
+fn fits(
+    worker: &worker::Worker,
+    request: &work::PlacementRequest,
+    must_spare_accelerators: bool,
+) -> bool {
+    let open = worker.admits(request) && !worker.is_reserved_against(request);
+    let has_capacity = worker.free().holds(&request.size)
+        && (!must_spare_accelerators || leaves_accelerators_usable(worker, request));
+    open && has_capacity && !request.avoid.contains(&worker.id)
 }
 
 /// Whether the task leaves a proportional part of the worker's processors and
 /// memory for each free accelerator.
-fn leaves_accelerators_usable(worker: &worker::Worker, ask: &work::Ask) -> bool {
+fn leaves_accelerators_usable(worker: &worker::Worker, request: &work::PlacementRequest) -> bool {
     let whole = &worker.capacity;
     let free = worker.free();
     if free.accelerators == 0 || whole.accelerators == 0 {
         return true;
     }
-    let left = free.minus(&ask.size);
+    let left = free.minus(&request.size);
     let part = |all: u64| all / u64::from(whole.accelerators) * u64::from(free.accelerators);
     left.cpu_millis.0 >= part(whole.cpu_millis.0)
         && left.memory_bytes.0 >= part(whole.memory_bytes.0)
 }
 
-fn cost(worker: &worker::Worker, ask: &work::Ask, spread: Option<&cluster::Spread>) -> f64 {
-    let mut cost = leftover(worker, &ask.size);
-    if ask.size.accelerators == 0 && worker.capacity.accelerators > 0 {
+fn cost(
+    worker: &worker::Worker,
+    request: &work::PlacementRequest,
+    spread: Option<&cluster::Spread>,
+) -> f64 {
+    let mut cost = leftover(worker, &request.size);
+    if request.size.accelerators == 0 && worker.capacity.accelerators > 0 {
         cost += WASTE_COST;
     }
     if let Some(spread) = spread {
--- a/crates/figscale-core/src/job/placement/promise.rs
+++ b/crates/figscale-core/src/job/placement/placer_reservation.rs
@@ -18,8 +18,8 @@
 use figscale_types::ids;
 
 use super::cluster;
-use super::kept;
 use super::place;
+use super::reservation;
 use super::work;
 use super::worker;
 
@@ -37,24 +37,24 @@
     /// reserved for its job for about a second.
     pub fn place(
         &mut self,
-        ask: &work::Ask,
+        request: &work::PlacementRequest,
         now: time::Instant,
         expires: Option<time::Instant>,
     ) -> Result<ids::InstanceId, place::PlacementError> {
         self.drop_expired(now);
-        let placed = self.try_place(ask, now, expires);
+        let placed = self.try_place(request, now, expires);
         match placed {
             Ok(_)
                 if self
                     .worker_reservation
                     .as_ref()
-                    .is_some_and(|p| p.job == ask.task.job) =>
+                    .is_some_and(|p| p.job == request.task.job) =>
             {
                 self.worker_reservation = None;
             }
             Err(place::PlacementError::NoCapacity) => {
-                self.raise_accelerator_demand(ask, now);
-                self.reserve_worker(ask, now);
+                self.raise_accelerator_demand(request, now);
+                self.reserve_worker(request, now);
             }
             _ => {}
         }
@@ -63,11 +63,14 @@
 
     /// Index of the worker that is reserved for another job and may not run this
     /// task.
-    pub(super) fn worker_reserved_for_others(&self, ask: &work::Ask) -> Option<usize> {
+    pub(super) fn worker_reserved_for_others(
+        &self,
+        request: &work::PlacementRequest,
+    ) -> Option<usize> {
         let worker_reservation = self
             .worker_reservation
             .as_ref()
-            .filter(|worker_reservation| worker_reservation.applies_to(ask))?;
+            .filter(|worker_reservation| worker_reservation.applies_to(request))?;
         self.workers.get_index_of(&worker_reservation.worker)
     }
 
@@ -85,46 +88,52 @@
         now: time::Instant,
     ) {
         let until = now + DEMAND_LIFETIME;
-        self.accelerator_demand = urgency.map(|urgency| kept::AcceleratorDemand { urgency, until });
+        self.accelerator_demand =
+            urgency.map(|urgency| reservation::AcceleratorDemand { urgency, until });
     }
 
-    fn raise_accelerator_demand(&mut self, ask: &work::Ask, now: time::Instant) {
-        if ask.size.accelerators == 0 {
+    fn raise_accelerator_demand(&mut self, request: &work::PlacementRequest, now: time::Instant) {
+        if request.size.accelerators == 0 {
             return;
         }
         let known = self.accelerator_demand.map(|demand| demand.urgency);
-        let urgency = known.map_or(ask.urgency, |known| known.min(ask.urgency));
+        let urgency = known.map_or(request.urgency, |known| known.min(request.urgency));
         self.set_accelerator_demand(Some(urgency), now);
     }
 
-    fn reserve_worker(&mut self, ask: &work::Ask, now: time::Instant) {
+    fn reserve_worker(&mut self, request: &work::PlacementRequest, now: time::Instant) {
         let free = match &self.worker_reservation {
             None => true,
-            Some(known) => known.job == ask.task.job || ask.urgency < known.urgency,
+            Some(known) => known.job == request.task.job || request.urgency < known.urgency,
         };
-        if !free || ask.class == catalogue::JobClass::Gang {
+        if !free || request.class == catalogue::JobClass::Gang {
             return;
         }
-        let closest_to_fitting = self.closest_to_fitting(ask).map(|worker| worker.id.clone());
-        self.worker_reservation = closest_to_fitting.map(|worker| kept::WorkerReservation {
-            job: ask.task.job.clone(),
-            urgency: ask.urgency,
+        let closest_to_fitting = self
+            .closest_to_fitting(request)
+            .map(|worker| worker.id.clone());
+        self.worker_reservation = closest_to_fitting.map(|worker| reservation::WorkerReservation {
+            job: request.task.job.clone(),
+            urgency: request.urgency,
             worker,
             until: now + RESERVATION_LIFETIME,
         });
     }
 
     /// The worker that lacks the smallest share of its capacity to run a task.
-    pub(super) fn closest_to_fitting(&self, ask: &work::Ask) -> Option<&worker::Worker> {
+    pub(super) fn closest_to_fitting(
+        &self,
+        request: &work::PlacementRequest,
+    ) -> Option<&worker::Worker> {
         let open = |worker: &&worker::Worker| {
             let usable = worker.takes_work() && worker.reserved_for.is_none();
             // A worker on which it fits is closed to it for another reason.
-            let full = !worker.free().holds(&ask.size);
-            let fits_empty = worker.capacity.holds(&ask.size);
-            usable && full && fits_empty && !ask.avoid.contains(&worker.id)
+            let full = !worker.free().holds(&request.size);
+            let fits_empty = worker.capacity.holds(&request.size);
+            usable && full && fits_empty && !request.avoid.contains(&worker.id)
         };
         let missing = |worker: &worker::Worker| {
-            let missing = ask.size.minus(&worker.free());
+            let missing = request.size.minus(&worker.free());
             missing.dominant_share(&worker.capacity)
         };
         let workers = self.workers.values().filter(open);
--- a/crates/figscale-core/src/job/placement/preempt.rs
+++ b/crates/figscale-core/src/job/placement/preempt.rs
@@ -75,25 +75,33 @@
     /// Finds the cheapest plan for a task, and marks its victims as ending.
     ///
     /// `None` if no allowed steps free enough for it.
-    pub fn plan(&mut self, cluster: &mut cluster::Cluster, ask: &work::Ask) -> Option<Plan> {
-        let plan = self.cheapest(cluster, ask)?;
+    pub fn plan(
+        &mut self,
+        cluster: &mut cluster::Cluster,
+        request: &work::PlacementRequest,
+    ) -> Option<Plan> {
+        let plan = self.cheapest(cluster, request)?;
         let planned = self.planned.entry(plan.worker.clone()).or_default();
-        *planned = planned.plus(&ask.size);
+        *planned = planned.plus(&request.size);
         for step in &plan.steps {
             cluster.mark_ending(&step.task, step.action);
         }
         Some(plan)
     }
 
-    fn cheapest(&self, cluster: &cluster::Cluster, ask: &work::Ask) -> Option<Plan> {
+    fn cheapest(
+        &self,
+        cluster: &cluster::Cluster,
+        request: &work::PlacementRequest,
+    ) -> Option<Plan> {
         let budget = stop_budget(&cluster.config.weights);
         let mut cheapest: Option<((usize, f64), Plan)> = None;
         for worker in cluster.workers.values() {
-            let usable = worker.takes_work() && worker.capacity.holds(&ask.size);
-            if !usable || ask.avoid.contains(&worker.id) {
+            let usable = worker.takes_work() && worker.capacity.holds(&request.size);
+            if !usable || request.avoid.contains(&worker.id) {
                 continue;
             }
-            let Some(plan) = self.plan_on(cluster, worker, ask, budget) else {
+            let Some(plan) = self.plan_on(cluster, worker, request, budget) else {
                 continue;
             };
             let rank = (plan.stops(), plan.cost_core_s());
@@ -108,7 +116,7 @@
         &self,
         cluster: &cluster::Cluster,
         worker: &worker::Worker,
-        ask: &work::Ask,
+        request: &work::PlacementRequest,
         budget: f64,
     ) -> Option<Plan> {
         let allocations = worker
@@ -119,20 +127,20 @@
         // Resources in use once all tasks that are ending have ended, with those
         // that earlier plans use for their tasks.
         let mut counted = self.planned.get(&worker.id).copied().unwrap_or_default();
-        for holding in allocations {
-            if holding.ending {
+        for allocation in allocations {
+            if allocation.ending {
                 continue;
             }
-            counted = counted.plus(&holding.counted());
-            if may_preempt(holding, ask) {
-                steps.extend(steps_for(holding));
+            counted = counted.plus(&allocation.counted());
+            if may_preempt(allocation, request) {
+                steps.extend(steps_for(allocation));
             }
         }
         steps.sort_by(|a, b| {
             let order = (a.action as u8).cmp(&(b.action as u8));
             order.then(a.cost_core_s.total_cmp(&b.cost_core_s))
         });
-        let steps = choose_steps(steps, &counted, &worker.capacity, &ask.size)?;
+        let steps = choose_steps(steps, &counted, &worker.capacity, &request.size)?;
         let plan = Plan {
             worker: worker.id.clone(),
             steps,
@@ -150,26 +158,28 @@
     STOP_BUDGET_CORE_S * (weights.waiting / weights.packing)
 }
 
-/// Whether a task may be preempted for `ask`: it is less urgent, confirmed, and
+/// Whether a task may be preempted for `request`: it is less urgent, confirmed, and
 /// allows preemption.
-fn may_preempt(holding: &work::Holding, ask: &work::Ask) -> bool {
-    let less_urgent = holding.ask.urgency > ask.urgency;
-    less_urgent && holding.expires.is_none() && holding.ask.guard.may_be_preempted()
+fn may_preempt(allocation: &work::Allocation, request: &work::PlacementRequest) -> bool {
+    let less_urgent = allocation.request.urgency > request.urgency;
+    less_urgent
+        && allocation.expires.is_none()
+        && allocation.request.interruptibility.may_be_preempted()
 }
 
 /// The possible steps for one task; a plan contains at most one of them.
-fn steps_for(holding: &work::Holding) -> Vec<Step> {
-    let counted = holding.counted();
+fn steps_for(allocation: &work::Allocation) -> Vec<Step> {
+    let counted = allocation.counted();
     let cores = counted.cpu_millis.0 as f64 / MILLIS;
     let step = |action, cost_core_s, freed| Step {
-        task: holding.ask.task.clone(),
+        task: allocation.request.task.clone(),
         action,
         cost_core_s,
         freed,
     };
-    let ran_s = holding.ran_ms as f64 / MILLIS;
+    let ran_s = allocation.ran_ms as f64 / MILLIS;
     let mut steps = Vec::new();
-    if holding.ask.guard.checkpointable {
+    if allocation.request.interruptibility.checkpointable {
         let cost = CHECKPOINT_S * cores;
         steps.push(step(protocol::TaskAction::Checkpoint, cost, counted));
         return steps;
@@ -177,7 +187,7 @@
     let over = counted
         .cpu_millis
         .0
-        .saturating_sub(holding.ask.declared.cpu_millis.0);
+        .saturating_sub(allocation.request.declared.cpu_millis.0);
     if over > 0 {
         let freed = sizes::Resources {
             cpu_millis: sizes::CpuMillis(over),
--- a/crates/figscale-core/src/job/placement/queue.rs
+++ b/crates/figscale-core/src/job/placement/queue.rs
@@ -43,7 +43,7 @@
     /// Size of a task declared by the job.
     pub declared: sizes::Resources,
     /// How its tasks may be interrupted once they run.
-    pub guard: work::Guard,
+    pub interruptibility: work::Interruptibility,
     /// When it was first queued; unchanged when a task is queued again.
     pub queued_at: time::Instant,
     /// Deadline for its end.
@@ -258,8 +258,8 @@
     }
 
     /// The request to place the task `pending`.
-    pub fn ask(&self, pending: &Pending) -> work::Ask {
-        work::Ask {
+    pub fn request(&self, pending: &Pending) -> work::PlacementRequest {
+        work::PlacementRequest {
             task: ids::TaskId {
                 job: self.job.clone(),
                 index: pending.index,
@@ -270,7 +270,7 @@
             urgency: self.urgency,
             size: self.size,
             declared: self.declared,
-            guard: self.guard,
+            interruptibility: self.interruptibility,
             avoid: pending.avoid.clone(),
         }
     }
--- a/crates/figscale-core/src/job/placement/kept.rs
+++ b/crates/figscale-core/src/job/placement/reservation.rs
@@ -20,8 +20,8 @@
 
 impl WorkerReservation {
     /// Whether it excludes this task from its worker.
-    pub(super) fn applies_to(&self, ask: &work::Ask) -> bool {
-        self.job != ask.task.job && self.urgency <= ask.urgency
+    pub(super) fn applies_to(&self, request: &work::PlacementRequest) -> bool {
+        self.job != request.task.job && self.urgency <= request.urgency
     }
 }
 
--- a/crates/figscale-core/src/job/placement/sync.rs
+++ b/crates/figscale-core/src/job/placement/sync.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SyncOutcome {
     /// Tasks that ended, with the allocations that were released.
-    pub ended: Vec<(protocol::TaskPhase, work::Holding)>,
+    pub ended: Vec<(protocol::TaskPhase, work::Allocation)>,
     /// Running tasks that were not known here and got an allocation.
     pub adopted: Vec<ids::TaskId>,
     /// Running tasks whose allocation is on another worker.
@@ -29,7 +29,7 @@
     pub missing: Vec<ids::TaskId>,
     /// What to do to tasks when the use exceeds the capacity of the worker, to
     /// protect the other tasks on it.
-    pub relief: Vec<(ids::TaskId, protocol::TaskAction)>,
+    pub overload_actions: Vec<(ids::TaskId, protocol::TaskAction)>,
 }
 
 impl cluster::Cluster {
@@ -59,15 +59,15 @@
 
     /// Sets the description of an adopted task; the size of its allocation stays.
     /// Returns whether the task has an allocation.
-    pub fn describe(&mut self, ask: work::Ask) -> bool {
-        let Some(holding) = self.allocations.get_mut(&ask.task) else {
+    pub fn describe(&mut self, request: work::PlacementRequest) -> bool {
+        let Some(allocation) = self.allocations.get_mut(&request.task) else {
             return false;
         };
-        let counted = holding.counted();
-        let size = holding.ask.size;
-        let before = holding.ask.owner.clone();
-        let after = ask.owner.clone();
-        holding.ask = work::Ask { size, ..ask };
+        let counted = allocation.counted();
+        let size = allocation.request.size;
+        let before = allocation.request.owner.clone();
+        let after = request.owner.clone();
+        allocation.request = work::PlacementRequest { size, ..request };
         self.charge(&before, &counted, &sizes::Resources::default());
         self.charge(&after, &sizes::Resources::default(), &counted);
         true
@@ -100,16 +100,18 @@
                 self.insert(adopted(id, task, now));
                 outcome.adopted.push(task.task.clone());
             }
-            Some(holding) if running && holding.worker != *id => {
+            Some(allocation) if running && allocation.worker != *id => {
                 outcome.elsewhere.push(task.task.clone());
             }
             Some(_) if running => self.set_used(&task.task, task.used, task.ran_ms),
-            Some(holding) if holding.worker == *id && holding.ask.attempt <= task.attempt => {
+            Some(allocation)
+                if allocation.worker == *id && allocation.request.attempt <= task.attempt =>
+            {
                 self.set_used(&task.task, task.used, task.ran_ms);
                 let ended = self.release(&task.task);
                 outcome
                     .ended
-                    .extend(ended.map(|holding| (task.phase, holding)));
+                    .extend(ended.map(|allocation| (task.phase, allocation)));
             }
             _ => {}
         }
@@ -144,38 +146,50 @@
             return;
         };
         let mut used = sizes::Resources::default();
-        let mut over: Vec<&work::Holding> = Vec::new();
-        for holding in worker.tasks.iter().filter_map(|t| self.allocations.get(t)) {
-            used = used.plus(&holding.used);
-            if !holding.ask.size.holds(&holding.used) {
-                over.push(holding);
+        let mut over: Vec<&work::Allocation> = Vec::new();
+        for allocation in worker.tasks.iter().filter_map(|t| self.allocations.get(t)) {
+            used = used.plus(&allocation.used);
+            if !allocation.request.size.holds(&allocation.used) {
+                over.push(allocation);
             }
         }
         // Tasks with the largest excess first, so that the fewest are affected.
         // Among about equal ones the newest first: otherwise tasks that are
         // alike would all be stopped in turn and none would ever finish.
-        over.sort_by_key(|holding| (cmp::Reverse(excess(holding, worker)), holding.ran_ms));
-        for holding in over {
+        over.sort_by_key(|allocation| {
+            (cmp::Reverse(excess(allocation, worker)), allocation.ran_ms)
+        });
+        for allocation in over {
             if worker.capacity.holds(&used) {
                 return;
             }
-            let action = overload_action(holding);
+            let action = overload_action(allocation);
             let remaining = match action {
                 protocol::TaskAction::Throttle => sizes::Resources {
-                    cpu_millis: holding.ask.size.cpu_millis.min(holding.used.cpu_millis),
-                    ..holding.used
+                    cpu_millis: allocation
+                        .request
+                        .size
+                        .cpu_millis
+                        .min(allocation.used.cpu_millis),
+                    ..allocation.used
                 },
                 _ => sizes::Resources::default(),
             };
-            used = used.minus(&holding.used).plus(&remaining);
-            outcome.relief.push((holding.ask.task.clone(), action));
+            used = used.minus(&allocation.used).plus(&remaining);
+            outcome
+                .overload_actions
+                .push((allocation.request.task.clone(), action));
         }
     }
 }
 
-fn adopted(id: &ids::InstanceId, task: &protocol::TaskReport, now: time::Instant) -> work::Holding {
-    work::Holding {
-        ask: work::Ask::unknown(task.task.clone(), task.attempt, task.reserved),
+fn adopted(
+    id: &ids::InstanceId,
+    task: &protocol::TaskReport,
+    now: time::Instant,
+) -> work::Allocation {
+    work::Allocation {
+        request: work::PlacementRequest::unknown(task.task.clone(), task.attempt, task.reserved),
         worker: id.clone(),
         used: task.used,
         peak: task.used,
@@ -188,16 +202,19 @@
 }
 
 /// Use beyond the reservation, in units of `1 / EXCESS_STEPS` of the worker.
-fn excess(holding: &work::Holding, worker: &worker::Worker) -> u32 {
-    let over = holding.used.minus(&holding.ask.size);
+fn excess(allocation: &work::Allocation, worker: &worker::Worker) -> u32 {
+    let over = allocation.used.minus(&allocation.request.size);
     (over.dominant_share(&worker.capacity) * EXCESS_STEPS) as u32
 }
 
 /// Throttling can reduce the processor time of a running task, but not its
 /// memory.
-fn overload_action(holding: &work::Holding) -> protocol::TaskAction {
-    let over_memory = holding.used.memory_bytes > holding.ask.size.memory_bytes;
-    match (over_memory, holding.ask.guard.checkpointable) {
+fn overload_action(allocation: &work::Allocation) -> protocol::TaskAction {
+    let over_memory = allocation.used.memory_bytes > allocation.request.size.memory_bytes;
+    match (
+        over_memory,
+        allocation.request.interruptibility.checkpointable,
+    ) {
         (false, _) => protocol::TaskAction::Throttle,
         (true, true) => protocol::TaskAction::Checkpoint,
         (true, false) => protocol::TaskAction::Stop,
--- a/crates/figscale-core/src/job/placement/no_room.rs
+++ b/crates/figscale-core/src/job/placement/unplaceable.rs
@@ -28,17 +28,18 @@
         Self {
             size: work.size,
             must_spare_accelerators: cluster.must_spare_accelerators(&work.size, work.urgency),
-            may_probe: work.guard.may_probe(work.class),
+            may_probe: work.interruptibility.may_probe(work.class),
             interactive: work.urgency == catalogue::Urgency::Interactive,
         }
     }
 
-    pub(super) fn of_ask(ask: &work::Ask, cluster: &cluster::Cluster) -> Self {
+    pub(super) fn of_request(request: &work::PlacementRequest, cluster: &cluster::Cluster) -> Self {
         Self {
-            size: ask.size,
-            must_spare_accelerators: cluster.must_spare_accelerators(&ask.size, ask.urgency),
-            may_probe: ask.may_probe(),
-            interactive: ask.urgency == catalogue::Urgency::Interactive,
+            size: request.size,
+            must_spare_accelerators: cluster
+                .must_spare_accelerators(&request.size, request.urgency),
+            may_probe: request.may_probe(),
+            interactive: request.urgency == catalogue::Urgency::Interactive,
         }
     }
 
--- a/crates/figscale-core/src/job/placement/work.rs
+++ b/crates/figscale-core/src/job/placement/work.rs
@@ -10,7 +10,7 @@
 
 /// How a running task may be interrupted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Guard {
+pub struct Interruptibility {
     /// Whether it may be run again when it is unknown how it ended.
     pub idempotent: bool,
     /// Whether it can save its state and resume on another worker.
@@ -20,7 +20,7 @@
     pub preemptible: bool,
 }
 
-impl Guard {
+impl Interruptibility {
     /// Whether such a task may be used to test an ejected worker.
     pub(super) fn may_probe(self, class: catalogue::JobClass) -> bool {
         self.idempotent && class == catalogue::JobClass::Batch
@@ -44,7 +44,7 @@
 
 /// A request to place a task.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// The task.
     pub task: ids::TaskId,
     /// Number of the attempt, from 1.
@@ -61,16 +61,16 @@
     /// Size declared by the job.
     pub declared: sizes::Resources,
     /// How it may be interrupted once it runs.
-    pub guard: Guard,
+    pub interruptibility: Interruptibility,
     /// Workers on which it failed before.
     pub avoid: Vec<ids::InstanceId>,
 }
 
-impl Ask {
+impl PlacementRequest {
     /// Whether it may be used to test an ejected worker: it may fail and be run
     /// again.
     pub fn may_probe(&self) -> bool {
-        self.guard.may_probe(self.class)
+        self.interruptibility.may_probe(self.class)
     }
 
     /// A task found running of which only the reserved resources are known.
@@ -83,7 +83,7 @@
             urgency: catalogue::Urgency::Interactive,
             size: reserved,
             declared: reserved,
-            guard: Guard::PROTECTED,
+            interruptibility: Interruptibility::PROTECTED,
             avoid: Vec::new(),
         }
     }
@@ -91,9 +91,9 @@
 
 /// Resources allocated to a task on a worker.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Holding {
+pub struct Allocation {
     /// The request that was granted.
-    pub ask: Ask,
+    pub request: PlacementRequest,
     /// The worker.
     pub worker: ids::InstanceId,
     /// Use in the last report.
@@ -113,11 +113,11 @@
     pub gang_round: Option<RoundNumber>,
 }
 
-impl Holding {
+impl Allocation {
     /// What it counts for in the sums of the worker, the owner and the cluster:
     /// the larger of reserved and used resources.
     pub fn counted(&self) -> sizes::Resources {
-        self.ask.size.larger(&self.used)
+        self.request.size.larger(&self.used)
     }
 }
 
--- a/crates/figscale-core/src/job/placement/worker.rs
+++ b/crates/figscale-core/src/job/placement/worker.rs
@@ -19,7 +19,7 @@
 
 /// Ejection state of a worker: whether its failures exclude it from new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum EjectionState {
     /// It gets new work.
     #[default]
     InUse,
@@ -39,11 +39,11 @@
     /// Index into the cluster's racks.
     pub(super) rack: usize,
     pub(super) capacity: sizes::Resources,
-    /// Sum of [`work::Holding::counted`] over its tasks.
+    /// Sum of [`work::Allocation::counted`] over its tasks.
     pub(super) counted: sizes::Resources,
     pub(super) readiness: Readiness,
     pub(super) leaving: bool,
-    pub(super) standing: Standing,
+    pub(super) ejection_state: EjectionState,
     /// Urgency of the work that it is reserved for until the current pass ends.
     pub(super) reserved_for: Option<catalogue::Urgency>,
     pub(super) tasks: IndexSet<ids::TaskId>,
@@ -89,21 +89,22 @@
     ///
     /// While it is probed it gets one task at a time, and only a task that may
     /// be run again.
-    pub fn admits(&self, ask: &work::Ask) -> bool {
-        let trusted = match self.standing {
-            Standing::InUse => true,
-            Standing::Probing => ask.may_probe() && self.tasks.is_empty(),
-            Standing::Ejected => false,
+    pub fn admits(&self, request: &work::PlacementRequest) -> bool {
+        let trusted = match self.ejection_state {
+            EjectionState::InUse => true,
+            EjectionState::Probing => request.may_probe() && self.tasks.is_empty(),
+            EjectionState::Ejected => false,
         };
         trusted && self.takes_work()
     }
 
     /// Whether a reservation of the current pass excludes this task.
     /// Interactive work may use what is reserved for other work.
-    pub(super) fn is_reserved_against(&self, ask: &work::Ask) -> bool {
+    pub(super) fn is_reserved_against(&self, request: &work::PlacementRequest) -> bool {
         let interactive = catalogue::Urgency::Interactive;
-        self.reserved_for
-            .is_some_and(|reserved_for| reserved_for == interactive || ask.urgency != interactive)
+        self.reserved_for.is_some_and(|reserved_for| {
+            reserved_for == interactive || request.urgency != interactive
+        })
     }
 
     /// Whether it is leaving and gets no new work.
@@ -113,6 +114,6 @@
 
     /// Whether it was ejected because too many of its tasks failed.
     pub fn is_ejected(&self) -> bool {
-        self.standing == Standing::Ejected
+        self.ejection_state == EjectionState::Ejected
     }
 }
--- a/crates/figscale-core/src/job/placer/report.rs
+++ b/crates/figscale-core/src/job/placer/report.rs
@@ -125,7 +125,7 @@
         for reported in &report.tasks {
             self.on_task_report(now, target, reported);
         }
-        self.request_actions(outcome.relief);
+        self.request_actions(outcome.overload_actions);
         self.end_missing(target, asked_at, earlier_incarnation.is_some(), report);
         self.update_open_workers(now);
     }
--- a/crates/figscale-core/src/job/placer/room.rs
+++ b/crates/figscale-core/src/job/placer/room.rs
@@ -87,24 +87,24 @@
     }
 
     /// Learns the usage of ended tasks, for the reservations of later ones.
-    pub(super) fn learn(&mut self, ended: &[(worker::TaskPhase, placement::Holding)]) {
-        for (phase, holding) in ended {
-            let task = self.tasks.get(&holding.ask.task);
+    pub(super) fn learn(&mut self, ended: &[(worker::TaskPhase, placement::Allocation)]) {
+        for (phase, allocation) in ended {
+            let task = self.tasks.get(&allocation.request.task);
             let entry = task.and_then(|task| task.entry.as_ref());
-            let (Some(entry), Some(owner)) = (entry, &holding.ask.owner) else {
+            let (Some(entry), Some(owner)) = (entry, &allocation.request.owner) else {
                 continue;
             };
             let done = *phase == worker::TaskPhase::Done;
-            let run = done.then(|| time::Duration::from_millis(holding.ran_ms));
-            self.learner.observe(entry, owner, &holding.peak, run);
+            let run = done.then(|| time::Duration::from_millis(allocation.ran_ms));
+            self.learner.observe(entry, owner, &allocation.peak, run);
         }
     }
 
     /// The placement request of an order, with the size learned from similar tasks.
-    fn request_of(&self, order: &message::TaskOrder) -> placement::Ask {
+    fn request_of(&self, order: &message::TaskOrder) -> placement::PlacementRequest {
         let learned = self.learner.learned(&order.entry, &order.owner);
         let size = self.sizes.reservation(&order.resources, &learned.size);
-        placement::Ask {
+        placement::PlacementRequest {
             task: order.attempt.task.clone(),
             attempt: order.attempt.number,
             owner: Some(order.owner.clone()),
@@ -112,7 +112,7 @@
             urgency: order.urgency,
             size,
             declared: order.resources,
-            guard: placement::Guard {
+            interruptibility: placement::Interruptibility {
                 idempotent: order.idempotent,
                 checkpointable: order.checkpointable,
                 preemptible: order.preemptible,
@@ -132,12 +132,12 @@
             if !leaving || task.state != message::TaskState::Running || task.action.is_some() {
                 continue;
             }
-            let Some(holding) = self.cluster.holding(id) else {
+            let Some(allocation) = self.cluster.allocation(id) else {
                 continue;
             };
-            if holding.ask.guard.checkpointable {
+            if allocation.request.interruptibility.checkpointable {
                 wanted.push((id.clone(), worker::TaskAction::Checkpoint));
-            } else if holding.ask.class == catalogue::JobClass::Service {
+            } else if allocation.request.class == catalogue::JobClass::Service {
                 wanted.push((id.clone(), worker::TaskAction::Stop));
             }
         }
@@ -191,16 +191,16 @@
 
     /// Applies the workers' standings that follow from failures and successes.
     pub(super) fn apply_blame(&mut self, blame: placement::fault::Blame) {
-        for (worker, standing) in blame.workers {
-            self.cluster.set_standing(&worker, standing);
+        for (worker, ejection_state) in blame.workers {
+            self.cluster.set_ejection_state(&worker, ejection_state);
         }
     }
 
     /// Starts to probe ejected workers that are due for it.
     pub(super) fn probe_workers(&mut self, now: time::Instant) {
-        for worker in self.faults.probes(now) {
+        for worker in self.faults.take_due_probes(now) {
             self.cluster
-                .set_standing(&worker, placement::Standing::Probing);
+                .set_ejection_state(&worker, placement::EjectionState::Probing);
         }
     }
 
--- a/crates/figscale-core/tests/placement/room.rs
+++ b/crates/figscale-core/tests/placement/allocations.rs
@@ -10,7 +10,7 @@
 use figscale_types::worker as protocol;
 use proptest::prelude::*;
 
-use crate::kit;
+use crate::helpers;
 
 const WORKERS: u32 = 5;
 
@@ -27,7 +27,7 @@
 
 fn size() -> impl Strategy<Value = sizes::Resources> {
     (0_u64..40_000, 0_u64..80, 0_u32..4)
-        .prop_map(|(cpu, gib, accelerators)| kit::size(cpu, gib, accelerators))
+        .prop_map(|(cpu, gib, accelerators)| helpers::size(cpu, gib, accelerators))
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -54,11 +54,11 @@
     for worker in cluster.workers() {
         let mut sum = sizes::Resources::default();
         for task in worker.tasks() {
-            let holding = cluster
-                .holding(task)
+            let allocation = cluster
+                .allocation(task)
                 .expect("a task of a worker has an allocation");
-            assert_eq!(&holding.worker, worker.id());
-            sum = sum.plus(&holding.ask.size.larger(&holding.used));
+            assert_eq!(&allocation.worker, worker.id());
+            sum = sum.plus(&allocation.request.size.larger(&allocation.used));
             tasks += 1;
         }
         assert_eq!(sum, worker.counted());
@@ -75,10 +75,10 @@
     for worker in cluster.workers() {
         let mut sum = sizes::Resources::default();
         for task in worker.tasks() {
-            let holding = cluster
-                .holding(task)
+            let allocation = cluster
+                .allocation(task)
                 .expect("a task of a worker has an allocation");
-            sum = sum.plus(&holding.ask.size);
+            sum = sum.plus(&allocation.request.size);
         }
         assert!(
             worker.capacity().holds(&sum),
@@ -91,13 +91,13 @@
 fn run(cluster: &mut placement::Cluster, step: Step, start: time::Instant) {
     match step {
         Step::Place(task, size, urgency) => {
-            let ask = kit::ask("job", task, size, urgency);
+            let request = helpers::request("job", task, size, urgency);
             let expires = start + time::Duration::from_secs(u64::from(task));
             let free: Vec<_> = cluster
                 .workers()
                 .map(|w| (w.id().clone(), w.free()))
                 .collect();
-            if let Ok(id) = cluster.place(&ask, start, Some(expires)) {
+            if let Ok(id) = cluster.place(&request, start, Some(expires)) {
                 let (_, free) = free.iter().find(|(w, _)| *w == id).expect("known");
                 assert!(
                     free.holds(&size),
@@ -108,23 +108,23 @@
             }
         }
         Step::Release(task) => {
-            cluster.release(&kit::task("job", task));
+            cluster.release(&helpers::task("job", task));
         }
         Step::Report(task, used) => {
-            let id = kit::task("job", task);
-            let Some(holding) = cluster.holding(&id).cloned() else {
+            let id = helpers::task("job", task);
+            let Some(allocation) = cluster.allocation(&id).cloned() else {
                 return;
             };
-            let worker = cluster.worker(&holding.worker).expect("known");
-            let report = kit::report(worker, vec![kit::running(&holding, used)]);
+            let worker = cluster.worker(&allocation.worker).expect("known");
+            let report = helpers::report(worker, vec![helpers::running(&allocation, used)]);
             cluster.sync(&report, start, start);
         }
-        Step::Leave(worker, leaving) => cluster.set_leaving(&kit::worker_id(worker), leaving),
+        Step::Leave(worker, leaving) => cluster.set_leaving(&helpers::worker_id(worker), leaving),
         Step::Remove(worker) => {
-            cluster.remove_worker(&kit::worker_id(worker));
+            cluster.remove_worker(&helpers::worker_id(worker));
         }
         Step::Add(worker) => {
-            cluster.add_worker(&kit::instance(worker), placement::Readiness::Ready);
+            cluster.add_worker(&helpers::instance(worker), placement::Readiness::Ready);
         }
         Step::Expire(after) => {
             cluster.expire(start + time::Duration::from_secs(after));
@@ -133,12 +133,12 @@
 }
 
 proptest! {
-    #![proptest_config(kit::proptest_config(256))]
+    #![proptest_config(helpers::proptest_config(256))]
 
     #[test]
     fn sums_agree_and_no_worker_is_overcommitted(steps in prop::collection::vec(step(), 1..120)) {
         let start = time::Instant::now();
-        let mut cluster = kit::cluster(WORKERS);
+        let mut cluster = helpers::cluster(WORKERS);
         for step in steps {
             run(&mut cluster, step, start);
             check_sums(&cluster);
@@ -150,42 +150,42 @@
 #[test]
 fn tenfold_use_closes_the_worker_and_stops_the_task() {
     let now = time::Instant::now();
-    let mut cluster = kit::cluster(1);
-    let big = kit::ask(
+    let mut cluster = helpers::cluster(1);
+    let big = helpers::request(
         "big",
         0,
-        kit::size(8_000, 12, 0),
+        helpers::size(8_000, 12, 0),
         catalogue::Urgency::Deadline,
     );
-    let small = kit::ask(
+    let small = helpers::request(
         "small",
         0,
-        kit::size(4_000, 10, 0),
+        helpers::size(4_000, 10, 0),
         catalogue::Urgency::Deadline,
     );
     cluster.place(&big, now, None).expect("resources are free");
     cluster
         .place(&small, now, None)
         .expect("resources are free");
-    let holding = cluster.holding(&big.task).expect("placed").clone();
-    let neighbour = cluster.holding(&small.task).expect("placed").clone();
-    let worker = cluster.worker(&holding.worker).expect("known");
-    let report = kit::report(
+    let allocation = cluster.allocation(&big.task).expect("placed").clone();
+    let neighbour = cluster.allocation(&small.task).expect("placed").clone();
+    let worker = cluster.worker(&allocation.worker).expect("known");
+    let report = helpers::report(
         worker,
         vec![
-            kit::running(&holding, kit::size(64_000, 125, 0)),
-            kit::running(&neighbour, kit::size(4_000, 10, 0)),
+            helpers::running(&allocation, helpers::size(64_000, 125, 0)),
+            helpers::running(&neighbour, helpers::size(4_000, 10, 0)),
         ],
     );
     let outcome = cluster.sync(&report, now, now);
     assert_eq!(
-        outcome.relief,
+        outcome.overload_actions,
         [(big.task.clone(), protocol::TaskAction::Stop)]
     );
-    let next = kit::ask(
+    let next = helpers::request(
         "next",
         0,
-        kit::size(1, 0, 0),
+        helpers::size(1, 0, 0),
         catalogue::Urgency::Interactive,
     );
     assert_eq!(
@@ -198,44 +198,44 @@
 fn an_acquired_worker_gets_nothing_before_it_reports() {
     let now = time::Instant::now();
     let mut cluster = placement::Cluster::new(placement::Config::default());
-    cluster.add_worker(&kit::instance(0), placement::Readiness::Unreported);
-    let ask = kit::ask(
+    cluster.add_worker(&helpers::instance(0), placement::Readiness::Unreported);
+    let request = helpers::request(
         "job",
         0,
-        kit::size(1_000, 1, 0),
+        helpers::size(1_000, 1, 0),
         catalogue::Urgency::Interactive,
     );
     assert_eq!(
-        cluster.place(&ask, now, None),
+        cluster.place(&request, now, None),
         Err(placement::PlacementError::NoCapacity)
     );
-    let old = kit::running_task(kit::task("old", 3), kit::size(63_500, 1, 0));
-    let worker = cluster.worker(&kit::worker_id(0)).expect("known");
-    let mut refused = kit::report(worker, vec![]);
+    let old = helpers::running_task(helpers::task("old", 3), helpers::size(63_500, 1, 0));
+    let worker = cluster.worker(&helpers::worker_id(0)).expect("known");
+    let mut refused = helpers::report(worker, vec![]);
     refused.stale = true;
     cluster.sync(&refused, now, now);
-    let tiny = kit::ask(
+    let tiny = helpers::request(
         "job",
         2,
-        kit::size(1, 0, 0),
+        helpers::size(1, 0, 0),
         catalogue::Urgency::Interactive,
     );
     assert!(
         cluster.place(&tiny, now, None).is_err(),
         "the worker belongs to another holder"
     );
-    let worker = cluster.worker(&kit::worker_id(0)).expect("known");
-    let report = kit::report(worker, vec![old]);
+    let worker = cluster.worker(&helpers::worker_id(0)).expect("known");
+    let report = helpers::report(worker, vec![old]);
     let outcome = cluster.sync(&report, now, now);
-    assert_eq!(outcome.adopted, [kit::task("old", 3)]);
+    assert_eq!(outcome.adopted, [helpers::task("old", 3)]);
     assert_eq!(
-        cluster.place(&ask, now, None),
+        cluster.place(&request, now, None),
         Err(placement::PlacementError::NoCapacity)
     );
-    let small = kit::ask(
+    let small = helpers::request(
         "job",
         1,
-        kit::size(500, 1, 0),
+        helpers::size(500, 1, 0),
         catalogue::Urgency::Interactive,
     );
     assert!(cluster.place(&small, now, None).is_ok());
@@ -244,20 +244,22 @@
 #[test]
 fn a_service_is_spread_over_failure_domains_then_racks() {
     let now = time::Instant::now();
-    let mut cluster = kit::cluster(16);
+    let mut cluster = helpers::cluster(16);
     let mut domains: indexmap::IndexMap<ids::FailureDomain, u32> = indexmap::IndexMap::new();
     let mut racks: indexmap::IndexMap<ids::ShardId, u32> = indexmap::IndexMap::new();
     for index in 0..8 {
-        let mut ask = kit::ask(
+        let mut request = helpers::request(
             "web",
             index,
-            kit::size(2_000, 4, 0),
+            helpers::size(2_000, 4, 0),
             catalogue::Urgency::Interactive,
         );
-        ask.class = catalogue::JobClass::Service;
-        let id = cluster.place(&ask, now, None).expect("resources are free");
+        request.class = catalogue::JobClass::Service;
+        let id = cluster
+            .place(&request, now, None)
+            .expect("resources are free");
         let shard = cluster.worker(&id).expect("known").shard().clone();
-        let instance = kit::instance(kit::worker_number(&id));
+        let instance = helpers::instance(helpers::worker_number(&id));
         *domains.entry(instance.failure_domain).or_default() += 1;
         *racks.entry(shard).or_default() += 1;
         let most = index / 4 + 1;
@@ -276,26 +278,28 @@
 #[test]
 fn work_without_accelerators_uses_other_workers_first() {
     let now = time::Instant::now();
-    let mut cluster = kit::cluster(16);
+    let mut cluster = helpers::cluster(16);
     for index in 0..12 {
-        let ask = kit::ask(
+        let request = helpers::request(
             "plain",
             index,
-            kit::size(60_000, 8, 0),
+            helpers::size(60_000, 8, 0),
             catalogue::Urgency::Deadline,
         );
-        let id = cluster.place(&ask, now, None).expect("resources are free");
+        let id = cluster
+            .place(&request, now, None)
+            .expect("resources are free");
         let worker = cluster.worker(&id).expect("known");
         assert_eq!(worker.capacity().accelerators, 0, "task {index}");
     }
-    let ask = kit::ask(
+    let request = helpers::request(
         "plain",
         12,
-        kit::size(60_000, 8, 0),
+        helpers::size(60_000, 8, 0),
         catalogue::Urgency::Deadline,
     );
     assert!(
-        cluster.place(&ask, now, None).is_ok(),
+        cluster.place(&request, now, None).is_ok(),
         "a worker with accelerators must be used rather than left idle"
     );
 }
@@ -303,18 +307,18 @@
 #[test]
 fn a_leaving_worker_gets_nothing() {
     let now = time::Instant::now();
-    let mut cluster = kit::cluster(1);
-    let mut leaving = kit::instance(0);
+    let mut cluster = helpers::cluster(1);
+    let mut leaving = helpers::instance(0);
     leaving.life = instances::Life::Leaving;
     cluster.add_worker(&leaving, placement::Readiness::Ready);
-    let ask = kit::ask(
+    let request = helpers::request(
         "job",
         0,
-        kit::size(1_000, 1, 0),
+        helpers::size(1_000, 1, 0),
         catalogue::Urgency::Interactive,
     );
     assert_eq!(
-        cluster.place(&ask, now, None),
+        cluster.place(&request, now, None),
         Err(placement::PlacementError::NoCapacity)
     );
 }
@@ -324,25 +328,25 @@
 #[test]
 fn only_resources_that_a_task_needs_are_reserved_from_it() {
     let now = time::Instant::now();
-    let mut cluster = kit::cluster(4);
-    let all = kit::ask(
+    let mut cluster = helpers::cluster(4);
+    let all = helpers::request(
         "gang",
         0,
-        kit::size(1_000, 1, 4),
+        helpers::size(1_000, 1, 4),
         catalogue::Urgency::Deadline,
     );
     cluster.place(&all, now, None).expect("resources are free");
-    let plain = kit::ask(
+    let plain = helpers::request(
         "plain",
         0,
-        kit::size(1_000, 1, 0),
+        helpers::size(1_000, 1, 0),
         catalogue::Urgency::BestEffort,
     );
     assert!(cluster.place(&plain, now, None).is_ok());
-    let more = kit::ask(
+    let more = helpers::request(
         "more",
         0,
-        kit::size(1_000, 1, 1),
+        helpers::size(1_000, 1, 1),
         catalogue::Urgency::BestEffort,
     );
     assert_eq!(
@@ -357,9 +361,9 @@
 #[test]
 fn a_placer_does_not_starve_a_large_task_or_leave_its_reservation_idle() {
     let mut now = time::Instant::now();
-    let mut cluster = kit::cluster(4);
+    let mut cluster = helpers::cluster(4);
     let urgency = catalogue::Urgency::Deadline;
-    let large = kit::ask("large", 0, kit::size(60_000, 1, 0), urgency);
+    let large = helpers::request("large", 0, helpers::size(60_000, 1, 0), urgency);
     let mut running = std::collections::VecDeque::new();
     let mut started = false;
     for round in 0..400_u32 {
@@ -369,7 +373,7 @@
         }
         for index in 0..40 {
             let job = format!("small-{round}");
-            let small = kit::ask(&job, index, kit::size(4_000, 1, 0), urgency);
+            let small = helpers::request(&job, index, helpers::size(4_000, 1, 0), urgency);
             if cluster.place(&small, now, None).is_err() {
                 break;
             }
@@ -382,12 +386,12 @@
         now += time::Duration::from_millis(100);
     }
     assert!(started, "the large task starved");
-    let again = kit::ask("again", 0, kit::size(64_000, 1, 0), urgency);
+    let again = helpers::request("again", 0, helpers::size(64_000, 1, 0), urgency);
     cluster
         .place(&again, now, None)
         .expect_err("no worker is empty");
     now += time::Duration::from_secs(2);
-    let small = |index| kit::ask("more", index, kit::size(4_000, 1, 0), urgency);
+    let small = |index| helpers::request("more", index, helpers::size(4_000, 1, 0), urgency);
     let more = (0..64).filter(|index| cluster.place(&small(*index), now, None).is_ok());
     assert!(more.count() > 0, "resources were free");
     let full = |worker: &placement::Worker| worker.free().cpu_millis.0 < 4_000;
@@ -403,16 +407,16 @@
 fn a_placer_reserves_processors_for_accelerators_in_demand() {
     let now = time::Instant::now();
     let mut cluster = placement::Cluster::new(placement::Config::default());
-    cluster.add_worker(&kit::instance(3), placement::Readiness::Ready);
+    cluster.add_worker(&helpers::instance(3), placement::Readiness::Ready);
     let urgency = catalogue::Urgency::Deadline;
-    let fill = kit::ask("fill", 0, kit::size(40_000, 1, 1), urgency);
+    let fill = helpers::request("fill", 0, helpers::size(40_000, 1, 1), urgency);
     cluster.place(&fill, now, None).expect("resources are free");
-    let gang = kit::ask("gang", 0, kit::size(40_000, 1, 2), urgency);
+    let gang = helpers::request("gang", 0, helpers::size(40_000, 1, 2), urgency);
     cluster
         .place(&gang, now, None)
         .expect_err("no processors left");
     cluster.release(&fill.task);
-    let plain = |index| kit::ask("plain", index, kit::size(20_000, 1, 0), urgency);
+    let plain = |index| helpers::request("plain", index, helpers::size(20_000, 1, 0), urgency);
     assert!(cluster.place(&plain(0), now, None).is_err());
     assert!(cluster.place(&gang, now, None).is_ok());
     cluster.release(&gang.task);
@@ -429,24 +433,24 @@
     const ROUND_MS: u64 = 250;
     const RUN_MS: u64 = 1_000;
     const ROUNDS: u32 = 40;
-    let used = kit::size(40_000, 40, 0);
+    let used = helpers::size(40_000, 40, 0);
     let mut now = time::Instant::now();
-    let mut cluster = kit::cluster(1);
+    let mut cluster = helpers::cluster(1);
     let mut running: Vec<(ids::TaskId, u64)> = Vec::new();
     let mut ended = 0;
     for index in 0..ROUNDS {
         for slot in 0..16 {
             let index = index * 16 + slot;
-            let size = kit::size(4_000, 4, 0);
-            let ask = kit::ask("greedy", index, size, catalogue::Urgency::Deadline);
-            if cluster.place(&ask, now, None).is_ok() {
-                running.push((ask.task, 0));
+            let size = helpers::size(4_000, 4, 0);
+            let request = helpers::request("greedy", index, size, catalogue::Urgency::Deadline);
+            if cluster.place(&request, now, None).is_ok() {
+                running.push((request.task, 0));
             }
         }
         now += time::Duration::from_millis(ROUND_MS);
         let lines = running.iter_mut().map(|(task, ran_ms)| {
             *ran_ms += ROUND_MS;
-            let holding = cluster.holding(task).expect("placed");
+            let allocation = cluster.allocation(task).expect("placed");
             let phase = match *ran_ms >= RUN_MS {
                 true => protocol::TaskPhase::Done,
                 false => protocol::TaskPhase::Running,
@@ -454,19 +458,19 @@
             protocol::TaskReport {
                 phase,
                 ran_ms: *ran_ms,
-                ..kit::running(holding, used)
+                ..helpers::running(allocation, used)
             }
         });
         let lines = lines.collect();
         let worker = cluster.workers().next().expect("a worker");
-        let report = kit::report(worker, lines);
+        let report = helpers::report(worker, lines);
         let outcome = cluster.sync(&report, now, now);
         ended += outcome.ended.len();
-        for (task, action) in &outcome.relief {
+        for (task, action) in &outcome.overload_actions {
             assert_eq!(*action, protocol::TaskAction::Stop);
             cluster.release(task);
         }
-        running.retain(|(task, _)| cluster.holding(task).is_some());
+        running.retain(|(task, _)| cluster.allocation(task).is_some());
     }
     // One at a time, for 1 s of the 10 s each.
     assert!(ended >= 9, "{ended} ended in {ROUNDS} rounds");
--- a/crates/figscale-core/tests/placement/faults.rs
+++ b/crates/figscale-core/tests/placement/faults.rs
@@ -6,7 +6,7 @@
 use figscale_core::job::placement::fault;
 use figscale_types::catalogue;
 
-use crate::kit;
+use crate::helpers;
 
 #[derive(serde::Deserialize)]
 struct Case {
@@ -16,10 +16,10 @@
 }
 
 fn describe_blame(blame: &fault::Blame) -> String {
-    let word = |standing: &placement::Standing| match standing {
-        placement::Standing::InUse => "use",
-        placement::Standing::Probing => "probe",
-        placement::Standing::Ejected => "aside",
+    let word = |ejection_state: &placement::EjectionState| match ejection_state {
+        placement::EjectionState::InUse => "use",
+        placement::EjectionState::Probing => "probe",
+        placement::EjectionState::Ejected => "aside",
     };
     let workers = blame.workers.iter();
     let mut words: Vec<_> = workers.map(|(id, s)| format!("{id} {}", word(s))).collect();
@@ -38,7 +38,7 @@
     let words: Vec<_> = step.split(' ').collect();
     if let ["probe", second] = words[..] {
         *now = start + time::Duration::from_secs(second.parse().expect("a number"));
-        let due = faults.probes(*now);
+        let due = faults.take_due_probes(*now);
         let due: Vec<_> = due.iter().map(|id| format!("{id} probe")).collect();
         return due.join(", ");
     }
@@ -69,18 +69,18 @@
 #[test]
 fn a_probed_worker_gets_one_task_that_may_run_again() {
     let now = time::Instant::now();
-    let mut cluster = kit::cluster(1);
-    let id = kit::worker_id(0);
-    let size = kit::size(1_000, 1, 0);
-    let ask = |index| kit::ask("job", index, size, catalogue::Urgency::Interactive);
-    cluster.set_standing(&id, placement::Standing::Ejected);
-    assert!(cluster.place(&ask(0), now, None).is_err());
-    cluster.set_standing(&id, placement::Standing::Probing);
-    let mut once = ask(1);
-    once.guard.idempotent = false;
+    let mut cluster = helpers::cluster(1);
+    let id = helpers::worker_id(0);
+    let size = helpers::size(1_000, 1, 0);
+    let request = |index| helpers::request("job", index, size, catalogue::Urgency::Interactive);
+    cluster.set_ejection_state(&id, placement::EjectionState::Ejected);
+    assert!(cluster.place(&request(0), now, None).is_err());
+    cluster.set_ejection_state(&id, placement::EjectionState::Probing);
+    let mut once = request(1);
+    once.interruptibility.idempotent = false;
     assert!(cluster.place(&once, now, None).is_err());
-    assert!(cluster.place(&ask(2), now, None).is_ok());
-    assert!(cluster.place(&ask(3), now, None).is_err());
-    cluster.set_standing(&id, placement::Standing::InUse);
-    assert!(cluster.place(&ask(3), now, None).is_ok());
+    assert!(cluster.place(&request(2), now, None).is_ok());
+    assert!(cluster.place(&request(3), now, None).is_err());
+    cluster.set_ejection_state(&id, placement::EjectionState::InUse);
+    assert!(cluster.place(&request(3), now, None).is_ok());
 }
--- a/crates/figscale-core/tests/placement/feasible.rs
+++ b/crates/figscale-core/tests/placement/feasibility.rs
@@ -7,7 +7,7 @@
 use figscale_types::jobs;
 use figscale_types::sizes;
 
-use crate::kit;
+use crate::helpers;
 
 #[derive(serde::Deserialize)]
 struct Case {
@@ -25,15 +25,15 @@
 fn cell() -> feasibility::CellShape {
     let mut list = instances::InstanceList::default();
     for number in 0..6 {
-        let mut instance = kit::instance(number);
+        let mut instance = helpers::instance(number);
         instance.capacity = match number {
-            0..4 => kit::size(64_000, 128, 0),
-            _ => kit::size(32_000, 64, 4),
+            0..4 => helpers::size(64_000, 128, 0),
+            _ => helpers::size(32_000, 64, 4),
         };
         list.instances.push(instance);
     }
-    let mut leaving = kit::instance(6);
-    leaving.capacity = kit::size(640_000, 1_280, 40);
+    let mut leaving = helpers::instance(6);
+    leaving.capacity = helpers::size(640_000, 1_280, 40);
     leaving.life = instances::Life::Leaving;
     list.instances.push(leaving);
     feasibility::CellShape::of(&list)
@@ -65,10 +65,10 @@
 #[test]
 fn a_learned_size_never_exceeds_the_worker_that_holds_the_declared_one() {
     let cell = cell();
-    let declared = kit::size(4_000, 8, 2);
-    let learned = kit::size(40_000, 80, 2);
+    let declared = helpers::size(4_000, 8, 2);
+    let learned = helpers::size(40_000, 80, 2);
     let reserved = cell.reservation(&declared, &learned);
-    assert_eq!(reserved, kit::size(32_000, 64, 2));
-    let smaller = kit::size(1_000, 1, 0);
+    assert_eq!(reserved, helpers::size(32_000, 64, 2));
+    let smaller = helpers::size(1_000, 1, 0);
     assert_eq!(cell.reservation(&declared, &smaller), declared);
 }
--- a/crates/figscale-core/tests/placement/gangs.rs
+++ b/crates/figscale-core/tests/placement/gangs.rs
@@ -12,7 +12,7 @@
 use rand::SeedableRng as _;
 use rand::rngs::StdRng;
 
-use crate::kit;
+use crate::helpers;
 
 const CPU: u64 = 32_000;
 
@@ -52,7 +52,7 @@
             config: gang::GangConfig::default(),
             now,
             holders: holders
-                .map(|(n, w)| (holder(n), kit::cluster(*w)))
+                .map(|(n, w)| (holder(n), helpers::cluster(*w)))
                 .collect(),
             homes: Vec::new(),
             sizes: gangs.to_vec(),
@@ -92,12 +92,12 @@
         }
     }
 
-    fn ask(home: usize, index: u32) -> placement::Ask {
-        let size = kit::size(CPU, 1, 0);
+    fn request(home: usize, index: u32) -> placement::PlacementRequest {
+        let size = helpers::size(CPU, 1, 0);
         let job = format!("gang-{home}");
-        let mut ask = kit::ask(&job, index, size, catalogue::Urgency::Deadline);
-        ask.class = catalogue::JobClass::Gang;
-        ask
+        let mut request = helpers::request(&job, index, size, catalogue::Urgency::Deadline);
+        request.class = catalogue::JobClass::Gang;
+        request
     }
 
     /// Delivers or loses a message chosen at random.
@@ -118,17 +118,17 @@
 
     fn at_holder(&mut self, home: usize, output: gang::Output) {
         let (now, config) = (self.now, self.config);
-        let task = |index: &u32| kit::task(&format!("gang-{home}"), *index);
+        let task = |index: &u32| helpers::task(&format!("gang-{home}"), *index);
         let input = match output {
             gang::Output::Reserve(holder_request) => {
-                let asks: Vec<_> = holder_request
+                let requests: Vec<_> = holder_request
                     .tasks
                     .iter()
-                    .map(|t| Self::ask(home, *t))
+                    .map(|t| Self::request(home, *t))
                     .collect();
                 let cluster = &mut self.holders[&holder_request.to];
                 let reserved = cluster.reserve_gang(
-                    &asks,
+                    &requests,
                     holder_request.number,
                     now,
                     now + config.reservation_timeout,
@@ -211,13 +211,13 @@
 fn an_earlier_round_commits_nothing_of_a_later_one() {
     let now = time::Instant::now();
     let later = now + time::Duration::from_secs(2);
-    let mut cluster = kit::cluster(1);
-    let asks = [Network::ask(0, 0), Network::ask(0, 1)];
-    let tasks = [asks[0].task.clone(), asks[1].task.clone()];
+    let mut cluster = helpers::cluster(1);
+    let requests = [Network::request(0, 0), Network::request(0, 1)];
+    let tasks = [requests[0].task.clone(), requests[1].task.clone()];
     let (first, second) = (placement::RoundNumber(1), placement::RoundNumber(2));
-    assert_eq!(cluster.reserve_gang(&asks, first, now, later).len(), 2);
-    assert_eq!(cluster.reserve_gang(&asks, second, now, later).len(), 2);
-    assert_eq!(cluster.reserve_gang(&asks, first, now, later).len(), 0);
+    assert_eq!(cluster.reserve_gang(&requests, first, now, later).len(), 2);
+    assert_eq!(cluster.reserve_gang(&requests, second, now, later).len(), 2);
+    assert_eq!(cluster.reserve_gang(&requests, first, now, later).len(), 0);
     assert!(!cluster.commit_gang(&tasks, first, later));
     assert!(cluster.commit_gang(&tasks, second, later));
 }
@@ -236,10 +236,10 @@
 #[test]
 fn a_late_release_does_not_affect_a_later_round() {
     let mut network = Network::new(&[1, 1], &[4], 1);
-    let other = kit::ask(
+    let other = helpers::request(
         "other",
         0,
-        kit::size(CPU, 1, 0),
+        helpers::size(CPU, 1, 0),
         catalogue::Urgency::Deadline,
     );
     let now = network.now;
@@ -270,7 +270,7 @@
 }
 
 proptest! {
-    #![proptest_config(kit::proptest_config(2_000))]
+    #![proptest_config(helpers::proptest_config(2_000))]
 
     /// With lost, late and reordered messages: a gang that is done has
     /// reservations for all its tasks, no worker exceeds its capacity, and
@@ -301,7 +301,7 @@
                 // A committed reservation lasts until its expiry, whatever arrives
                 // late.
                 if network.now < network.done_at[home] + network.config.start_timeout - network.config.response_timeout {
-                    let is_reserved = |task| network.holders.values().any(|c| c.holding(task).is_some());
+                    let is_reserved = |task| network.holders.values().any(|c| c.allocation(task).is_some());
                     prop_assert!(tasks.into_iter().all(is_reserved), "reservation lost after the commit");
                 }
             }
--- a/crates/figscale-core/tests/placement/kit.rs
+++ b/crates/figscale-core/tests/placement/helpers.rs
@@ -73,13 +73,13 @@
     name.parse().expect("legal")
 }
 
-pub(crate) fn ask(
+pub(crate) fn request(
     job: &str,
     index: u32,
     size: sizes::Resources,
     urgency: catalogue::Urgency,
-) -> placement::Ask {
-    placement::Ask {
+) -> placement::PlacementRequest {
+    placement::PlacementRequest {
         task: task(job, index),
         attempt: 1,
         owner: Some(owner("owner-a")),
@@ -87,7 +87,7 @@
         urgency,
         size,
         declared: size,
-        guard: placement::Guard {
+        interruptibility: placement::Interruptibility {
             idempotent: true,
             checkpointable: false,
             preemptible: true,
@@ -109,13 +109,13 @@
 }
 
 pub(crate) fn running(
-    holding: &placement::Holding,
+    allocation: &placement::Allocation,
     used: sizes::Resources,
 ) -> protocol::TaskReport {
     protocol::TaskReport {
         used,
-        attempt: holding.ask.attempt,
-        ..running_task(holding.ask.task.clone(), holding.ask.size)
+        attempt: allocation.request.attempt,
+        ..running_task(allocation.request.task.clone(), allocation.request.size)
     }
 }
 
@@ -149,7 +149,7 @@
         urgency,
         size,
         declared: size,
-        guard: placement::Guard {
+        interruptibility: placement::Interruptibility {
             idempotent: true,
             checkpointable: false,
             preemptible: true,
--- a/crates/figscale-core/tests/placement/learning.rs
+++ b/crates/figscale-core/tests/placement/learning.rs
@@ -6,7 +6,7 @@
 use figscale_types::sizes;
 use rstest::rstest;
 
-use crate::kit;
+use crate::helpers;
 
 fn entry(number: usize) -> figscale_types::ids::EntryName {
     format!("entry-{number}").parse().expect("legal")
@@ -25,10 +25,10 @@
 fn processor_use_is_learned(#[case] samples: &[u64], #[case] expected: u64) {
     let mut learner = learn::Learner::new(learn::LearnConfig::default());
     for cpu in samples {
-        let peak = kit::size(*cpu, 0, 0);
-        learner.observe(&entry(0), &kit::owner("a"), &peak, None);
+        let peak = helpers::size(*cpu, 0, 0);
+        learner.observe(&entry(0), &helpers::owner("a"), &peak, None);
     }
-    let learned = learner.learned(&entry(0), &kit::owner("a"));
+    let learned = learner.learned(&entry(0), &helpers::owner("a"));
     assert_eq!(learned.size.cpu_millis, sizes::CpuMillis(expected));
     assert_eq!(learned.run, None);
 }
@@ -39,10 +39,15 @@
     for (owner, run_s) in [("a", 10), ("b", 600)] {
         for _ in 0..5 {
             let run = Some(time::Duration::from_secs(run_s));
-            learner.observe(&entry(0), &kit::owner(owner), &kit::size(1, 1, 0), run);
+            learner.observe(
+                &entry(0),
+                &helpers::owner(owner),
+                &helpers::size(1, 1, 0),
+                run,
+            );
         }
     }
-    let run = |owner| learner.learned(&entry(0), &kit::owner(owner)).run;
+    let run = |owner| learner.learned(&entry(0), &helpers::owner(owner)).run;
     assert_eq!(run("a"), Some(time::Duration::from_secs(10)));
     assert_eq!(run("b"), Some(time::Duration::from_secs(600)));
 }
@@ -56,14 +61,24 @@
     let mut learner = learn::Learner::new(config);
     for number in 0..100 {
         for _ in 0..3 {
-            learner.observe(&entry(number), &kit::owner("a"), &kit::size(7, 7, 0), None);
-            learner.observe(&entry(0), &kit::owner("a"), &kit::size(9, 9, 0), None);
+            learner.observe(
+                &entry(number),
+                &helpers::owner("a"),
+                &helpers::size(7, 7, 0),
+                None,
+            );
+            learner.observe(
+                &entry(0),
+                &helpers::owner("a"),
+                &helpers::size(9, 9, 0),
+                None,
+            );
         }
     }
     assert_eq!(learner.pairs(), 10);
     let cpu = |number| {
         learner
-            .learned(&entry(number), &kit::owner("a"))
+            .learned(&entry(number), &helpers::owner("a"))
             .size
             .cpu_millis
             .0
--- a/crates/figscale-core/tests/placement/main.rs
+++ b/crates/figscale-core/tests/placement/main.rs
@@ -1,11 +1,11 @@
 //! Tests of placement: on which workers tasks run.
 
+mod allocations;
 mod faults;
-mod feasible;
+mod feasibility;
 mod gangs;
-mod kit;
+mod helpers;
 mod learning;
 mod order;
 mod preemption;
-mod room;
 mod summaries;
--- a/crates/figscale-core/tests/placement/order.rs
+++ b/crates/figscale-core/tests/placement/order.rs
@@ -8,7 +8,7 @@
 use figscale_types::sizes;
 use proptest::prelude::*;
 
-use crate::kit;
+use crate::helpers;
 
 const UNLIMITED: usize = usize::MAX;
 
@@ -21,7 +21,7 @@
 
 impl TestCell {
     fn new(workers: u32) -> Self {
-        let cluster = kit::cluster(workers);
+        let cluster = helpers::cluster(workers);
         let mut shares = placement::Shares::default();
         shares.set_total(cluster.capacity());
         Self {
@@ -58,7 +58,7 @@
     let mut cell = TestCell::new(8);
     let now = cell.now;
     let mut add = |job: &str, urgency, deadline: Option<u64>, waited: u64| {
-        let mut work = kit::work(job, "a", kit::size(1_000, 1, 0), urgency, now);
+        let mut work = helpers::work(job, "a", helpers::size(1_000, 1, 0), urgency, now);
         work.deadline = deadline.map(|s| now + time::Duration::from_secs(s));
         work.queued_at = now - time::Duration::from_secs(waited);
         cell.push(work, 1);
@@ -81,12 +81,12 @@
 fn one_placement_in_eight_goes_to_aged_work() {
     let mut cell = TestCell::new(8);
     let now = cell.now;
-    let size = kit::size(1_000, 1, 0);
+    let size = helpers::size(1_000, 1, 0);
     cell.push(
-        kit::work("flood", "a", size, catalogue::Urgency::Interactive, now),
+        helpers::work("flood", "a", size, catalogue::Urgency::Interactive, now),
         100,
     );
-    let mut old = kit::work("old", "b", size, catalogue::Urgency::BestEffort, now);
+    let mut old = helpers::work("old", "b", size, catalogue::Urgency::BestEffort, now);
     old.queued_at = now - time::Duration::from_secs(601);
     cell.push(old, 5);
     let first = cell.placed_jobs(16);
@@ -106,10 +106,10 @@
     });
     let now = cell.now;
     for index in 0..3 {
-        let fill = kit::ask(
+        let fill = helpers::request(
             "fill",
             index,
-            kit::size(64_000, 1, 0),
+            helpers::size(64_000, 1, 0),
             catalogue::Urgency::Deadline,
         );
         cell.cluster
@@ -117,17 +117,22 @@
             .expect("resources are free");
     }
     let mut add = |job: &str, size, urgency, idempotent| {
-        let mut work = kit::work(job, "a", size, urgency, now);
-        work.guard.idempotent = idempotent;
+        let mut work = helpers::work(job, "a", size, urgency, now);
+        work.interruptibility.idempotent = idempotent;
         work.queued_at = now - time::Duration::from_secs(700);
         cell.push(work, 1);
     };
     let best_effort = catalogue::Urgency::BestEffort;
-    add("accelerated", kit::size(64_000, 1, 5), best_effort, true);
-    add("aged", kit::size(1_000, 1, 0), best_effort, true);
+    add(
+        "accelerated",
+        helpers::size(64_000, 1, 5),
+        best_effort,
+        true,
+    );
+    add("aged", helpers::size(1_000, 1, 0), best_effort, true);
     add(
         "check",
-        kit::size(1_000, 1, 0),
+        helpers::size(1_000, 1, 0),
         catalogue::Urgency::Interactive,
         true,
     );
@@ -135,11 +140,11 @@
 
     let mut cell = TestCell::new(1);
     cell.cluster
-        .set_standing(&kit::worker_id(0), placement::Standing::Probing);
+        .set_ejection_state(&helpers::worker_id(0), placement::EjectionState::Probing);
     for (job, idempotent) in [("once", false), ("again", true)] {
-        let size = kit::size(1_000, 1, 0);
-        let mut work = kit::work(job, "a", size, best_effort, now);
-        work.guard.idempotent = idempotent;
+        let size = helpers::size(1_000, 1, 0);
+        let mut work = helpers::work(job, "a", size, best_effort, now);
+        work.interruptibility.idempotent = idempotent;
         cell.push(work, 1);
     }
     assert_eq!(cell.placed_jobs(UNLIMITED), ["again"]);
@@ -150,10 +155,10 @@
         ..placement::QueueConfig::default()
     });
     for (index, cpu) in [(0, 64_000), (1, 40_000)] {
-        let fill = kit::ask(
+        let fill = helpers::request(
             "fill",
             index,
-            kit::size(cpu, 1, 0),
+            helpers::size(cpu, 1, 0),
             catalogue::Urgency::Deadline,
         );
         cell.cluster
@@ -163,14 +168,14 @@
     for (job, cpu, waited_s) in [("large", 64_000, 900), ("small", 1_000, 800)] {
         // It has missed its deadline and ranks with aged work.
         let urgency = catalogue::Urgency::Deadline;
-        let mut work = kit::work(job, "a", kit::size(cpu, 1, 0), urgency, now);
+        let mut work = helpers::work(job, "a", helpers::size(cpu, 1, 0), urgency, now);
         work.queued_at = now - time::Duration::from_secs(waited_s);
         work.deadline = Some(now);
         cell.push(work, 1);
     }
-    let size = kit::size(1_000, 1, 0);
+    let size = helpers::size(1_000, 1, 0);
     cell.push(
-        kit::work("check", "a", size, catalogue::Urgency::Interactive, now),
+        helpers::work("check", "a", size, catalogue::Urgency::Interactive, now),
         1,
     );
     assert_eq!(cell.placed_jobs(UNLIMITED), ["check"]);
@@ -186,27 +191,27 @@
         weight: 1,
         rate_per_s: None,
         concurrency: None,
-        quota: Some(kit::size(3_000, 100, 0)),
+        quota: Some(helpers::size(3_000, 100, 0)),
     };
-    new_catalogue.owners.insert(kit::owner("a"), owner);
+    new_catalogue.owners.insert(helpers::owner("a"), owner);
     cell.shares.set_catalogue(&new_catalogue);
     let now = cell.now;
-    let size = kit::size(1_000, 1, 0);
-    let large = kit::size(9_000, 1, 0);
+    let size = helpers::size(1_000, 1, 0);
+    let large = helpers::size(9_000, 1, 0);
     cell.push(
-        kit::work("rest-a", "a", size, catalogue::Urgency::BestEffort, now),
+        helpers::work("rest-a", "a", size, catalogue::Urgency::BestEffort, now),
         2,
     );
     cell.push(
-        kit::work("rest-b", "b", size, catalogue::Urgency::BestEffort, now),
+        helpers::work("rest-b", "b", size, catalogue::Urgency::BestEffort, now),
         2,
     );
     cell.push(
-        kit::work("large-b", "b", large, catalogue::Urgency::Deadline, now),
+        helpers::work("large-b", "b", large, catalogue::Urgency::Deadline, now),
         5,
     );
     cell.push(
-        kit::work("check-a", "a", size, catalogue::Urgency::Interactive, now),
+        helpers::work("check-a", "a", size, catalogue::Urgency::Interactive, now),
         2,
     );
     let placer: ids::MemberId = "entry-1".parse().expect("legal");
@@ -243,22 +248,25 @@
             concurrency: None,
             quota: None,
         };
-        new_catalogue.owners.insert(kit::owner(name), owner);
+        new_catalogue.owners.insert(helpers::owner(name), owner);
     }
     cell.shares.set_catalogue(&new_catalogue);
     let now = cell.now;
     let wants = [
-        ("cpu", kit::size(2_000, 1, 0)),
-        ("mem", kit::size(500, 4, 0)),
-        ("double", kit::size(2_000, 1, 0)),
+        ("cpu", helpers::size(2_000, 1, 0)),
+        ("mem", helpers::size(500, 4, 0)),
+        ("double", helpers::size(2_000, 1, 0)),
     ];
     for (owner, size) in wants {
-        let work = kit::work(owner, owner, size, catalogue::Urgency::BestEffort, now);
+        let work = helpers::work(owner, owner, size, catalogue::Urgency::BestEffort, now);
         cell.push(work, 1_000);
     }
     cell.pass(UNLIMITED);
     let none = sizes::Resources::default();
-    let share = |owner| cell.shares.share(&kit::owner(owner), &cell.cluster, &none);
+    let share = |owner| {
+        cell.shares
+            .share(&helpers::owner(owner), &cell.cluster, &none)
+    };
     let (cpu, mem, double) = (share("cpu"), share("mem"), share("double"));
     assert!((cpu - mem).abs() < 0.02, "{cpu} {mem}");
     assert!((cpu - double).abs() < 0.02, "{cpu} {double}");
@@ -270,9 +278,9 @@
 fn owners_take_turns_with_aged_work() {
     let mut cell = TestCell::new(1);
     let now = cell.now;
-    let size = kit::size(1_000, 1, 0);
+    let size = helpers::size(1_000, 1, 0);
     for (owner, waited_s) in [("heavy", 2_000), ("light", 1_000)] {
-        let mut work = kit::work(owner, owner, size, catalogue::Urgency::BestEffort, now);
+        let mut work = helpers::work(owner, owner, size, catalogue::Urgency::BestEffort, now);
         work.queued_at = now - time::Duration::from_secs(waited_s);
         cell.push(work, 100);
     }
@@ -288,29 +296,29 @@
         weight: 1,
         rate_per_s: None,
         concurrency: None,
-        quota: Some(kit::size(10_000, 100, 0)),
+        quota: Some(helpers::size(10_000, 100, 0)),
     };
-    new_catalogue.owners.insert(kit::owner("a"), owner);
+    new_catalogue.owners.insert(helpers::owner("a"), owner);
     cell.shares.set_catalogue(&new_catalogue);
     let peer: ids::MemberId = "entry-2".parse().expect("legal");
-    let used = [(kit::owner("a"), kit::size(7_000, 1, 0))];
+    let used = [(helpers::owner("a"), helpers::size(7_000, 1, 0))];
     cell.shares
         .set_peer(peer.clone(), used.into_iter().collect());
     let now = cell.now;
-    let work = kit::work(
+    let work = helpers::work(
         "job",
         "a",
-        kit::size(1_000, 1, 0),
+        helpers::size(1_000, 1, 0),
         catalogue::Urgency::Interactive,
         now,
     );
     cell.push(work, 10);
     assert_eq!(cell.pass(UNLIMITED).placed.len(), 3);
     cell.shares
-        .charge_peer(&peer, &kit::owner("a"), &kit::size(500, 1, 0));
+        .charge_peer(&peer, &helpers::owner("a"), &helpers::size(500, 1, 0));
     cell.shares.update_peer(
         &peer,
-        [(kit::owner("a"), kit::size(2_000, 1, 0))]
+        [(helpers::owner("a"), helpers::size(2_000, 1, 0))]
             .into_iter()
             .collect(),
     );
@@ -330,13 +338,13 @@
     let mut large_at = None;
     for round in 0..400_u32 {
         let job = format!("small-{round}");
-        let size = kit::size(8_000, 16, 0);
-        let work = kit::work(&job, "a", size, catalogue::Urgency::Deadline, now);
+        let size = helpers::size(8_000, 16, 0);
+        let work = helpers::work(&job, "a", size, catalogue::Urgency::Deadline, now);
         cell.push(work, 4);
         if round == 20 {
-            let size = kit::size(64_000, 100, 0);
+            let size = helpers::size(64_000, 100, 0);
             cell.push(
-                kit::work("large", "b", size, catalogue::Urgency::Interactive, now),
+                helpers::work("large", "b", size, catalogue::Urgency::Interactive, now),
                 1,
             );
         }
@@ -367,16 +375,16 @@
 fn ten_thousand_cancellations_leave_placements_flowing() {
     let mut cell = TestCell::new(50);
     let now = cell.now;
-    let size = kit::size(64_000, 1, 0);
+    let size = helpers::size(64_000, 1, 0);
     for number in 0..10_000 {
         let job = format!("wave-{number}");
         cell.push(
-            kit::work(&job, "a", size, catalogue::Urgency::Deadline, now),
+            helpers::work(&job, "a", size, catalogue::Urgency::Deadline, now),
             1,
         );
     }
     cell.push(
-        kit::work("one-job", "a", size, catalogue::Urgency::Deadline, now),
+        helpers::work("one-job", "a", size, catalogue::Urgency::Deadline, now),
         10_000,
     );
     let first = cell.pass(UNLIMITED);
@@ -400,7 +408,7 @@
     let task = first.placed[0].task.clone();
     cell.cluster.release(&task);
     cell.push(
-        kit::work("next", "a", size, catalogue::Urgency::Interactive, now),
+        helpers::work("next", "a", size, catalogue::Urgency::Interactive, now),
         1,
     );
     assert_eq!(cell.placed_jobs(UNLIMITED), ["next"]);
@@ -414,14 +422,14 @@
         let config = placement::Config { weights };
         cell.cluster.set_config(config);
         let now = cell.now;
-        let size = kit::size(1_000, 1, 0);
+        let size = helpers::size(1_000, 1, 0);
         cell.push(
-            kit::work("rest", "a", size, catalogue::Urgency::BestEffort, now),
+            helpers::work("rest", "a", size, catalogue::Urgency::BestEffort, now),
             700,
         );
         let rest = cell.pass(UNLIMITED).placed.len();
         cell.push(
-            kit::work("check", "a", size, catalogue::Urgency::Interactive, now),
+            helpers::work("check", "a", size, catalogue::Urgency::Interactive, now),
             700,
         );
         let urgent = cell.pass(UNLIMITED).placed.len();
@@ -437,9 +445,9 @@
 fn a_pass_stops_at_its_scan_limit_and_the_next_continues() {
     let mut cell = TestCell::new(8);
     let now = cell.now;
-    let size = kit::size(1_000, 1, 0);
+    let size = helpers::size(1_000, 1, 0);
     cell.push(
-        kit::work("job", "a", size, catalogue::Urgency::Deadline, now),
+        helpers::work("job", "a", size, catalogue::Urgency::Deadline, now),
         25,
     );
     let outcome = cell.pass(10);
@@ -451,23 +459,23 @@
 fn a_gang_starts_whole_or_not_at_all() {
     let mut cell = TestCell::new(4);
     let now = cell.now;
-    let size = kit::size(40_000, 8, 0);
-    let mut gang = kit::work("gang", "a", size, catalogue::Urgency::Deadline, now);
+    let size = helpers::size(40_000, 8, 0);
+    let mut gang = helpers::work("gang", "a", size, catalogue::Urgency::Deadline, now);
     gang.class = catalogue::JobClass::Gang;
     cell.push(gang, 5);
-    let small = kit::work("small", "a", size, catalogue::Urgency::BestEffort, now);
+    let small = helpers::work("small", "a", size, catalogue::Urgency::BestEffort, now);
     cell.push(small, 1);
     assert_eq!(cell.placed_jobs(UNLIMITED), ["small"]);
     assert_eq!(cell.cluster.allocations().len(), 1);
     cell.cluster
-        .add_worker(&kit::instance(4), placement::Readiness::Ready);
+        .add_worker(&helpers::instance(4), placement::Readiness::Ready);
     cell.cluster
-        .add_worker(&kit::instance(5), placement::Readiness::Ready);
+        .add_worker(&helpers::instance(5), placement::Readiness::Ready);
     assert_eq!(cell.placed_jobs(UNLIMITED), ["gang"; 5]);
 }
 
 proptest! {
-    #![proptest_config(kit::proptest_config(128))]
+    #![proptest_config(helpers::proptest_config(128))]
 
     /// Every task is waiting, placed or cancelled; no quota is exceeded; no gang is
     /// placed in part.
@@ -478,12 +486,12 @@
         cancelled in prop::collection::vec(0_usize..20, 0..4),
     ) {
         let mut cell = TestCell::new(5);
-        let quota = kit::size(100_000, 64, 0);
+        let quota = helpers::size(100_000, 64, 0);
         let mut new_catalogue = catalogue::Catalogue::default();
         for name in ["o-0", "o-1", "o-2"] {
             let quota = (name != "o-0").then_some(quota);
             let owner = catalogue::Owner { weight: 1, rate_per_s: None, concurrency: None, quota };
-            new_catalogue.owners.insert(kit::owner(name), owner);
+            new_catalogue.owners.insert(helpers::owner(name), owner);
         }
         cell.shares.set_catalogue(&new_catalogue);
         let now = cell.now;
@@ -494,8 +502,8 @@
                 catalogue::Urgency::Deadline,
                 catalogue::Urgency::BestEffort,
             ][usize::from(*urgency)];
-            let size = kit::size(*cpu, 1, 0);
-            let mut work = kit::work(&format!("j-{number}"), &format!("o-{owner}"), size, urgency, now);
+            let size = helpers::size(*cpu, 1, 0);
+            let mut work = helpers::work(&format!("j-{number}"), &format!("o-{owner}"), size, urgency, now);
             work.class = [
                 catalogue::JobClass::Batch,
                 catalogue::JobClass::Gang,
@@ -512,11 +520,11 @@
             }
             prop_assert_eq!(cell.queue.len() + cell.cluster.allocations().len() + gone, total);
             for name in ["o-1", "o-2"] {
-                prop_assert!(quota.holds(&cell.cluster.usage(&kit::owner(name))));
+                prop_assert!(quota.holds(&cell.cluster.usage(&helpers::owner(name))));
             }
             for (number, (tasks, _, _, class, _)) in jobs.iter().enumerate() {
                 let job: ids::JobId = format!("j-{number}").parse().expect("legal");
-                let held = cell.cluster.allocations().filter(|h| h.ask.task.job == job).count();
+                let held = cell.cluster.allocations().filter(|h| h.request.task.job == job).count();
                 if *class == 1 {
                     prop_assert!(held == 0 || held == *tasks as usize, "gang placed in part");
                 }
