--- a/crates/figscale-core/src/job/home/news.rs
+++ b/crates/figscale-core/src/job/home/events.rs
@@ -19,7 +19,7 @@
 
 impl Home {
     /// Applies status updates from a placer; ends are acknowledged once they are written.
-    pub fn on_tell(&mut self, now: Now, placer: &ids::MemberKey, events: &[message::TaskEvent]) {
+    pub fn on_updates(&mut self, now: Now, placer: &ids::MemberKey, events: &[message::TaskEvent]) {
         if self.fenced || !self.document.is_owned() {
             return;
         }
--- a/crates/figscale-core/src/job/home/mod.rs
+++ b/crates/figscale-core/src/job/home/mod.rs
@@ -14,17 +14,17 @@
 //! The cost: after a change of holder, tasks that may have been placed wait until
 //! every placer has sent a complete inventory.
 
+mod events;
+mod fairness;
 mod gang;
 mod job;
 mod load;
-mod news;
 mod outline;
 mod placers;
 mod queue;
 mod recover;
 mod reserved;
 mod submit;
-mod turns;
 mod write;
 
 use std::collections::BTreeSet;
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// Shortest time between two writes of the document. Default 200 ms.
-    pub write_every: time::Duration,
+    pub write_interval: time::Duration,
     /// Time from a failed call to the store to the next one. Default 500 ms.
     pub store_retry: time::Duration,
     /// Time after which a placer that had no capacity is probed. Default 100 ms.
@@ -58,7 +58,7 @@
     /// Longest time for which an incomplete gang holds its reservations. Default 3 s.
     pub gang_timeout: time::Duration,
     /// Time after which tasks on a removed worker shard have lapsed. Default 20 s.
-    pub vanish: time::Duration,
+    pub removed_shard_lapse: time::Duration,
     /// Most orders in one call. Default 256.
     pub max_call_orders: usize,
     /// Largest total size of the retained jobs, by an estimate per job. Default 700,000.
@@ -70,13 +70,13 @@
 impl Default for Config {
     fn default() -> Self {
         Self {
-            write_every: time::Duration::from_millis(200),
+            write_interval: time::Duration::from_millis(200),
             store_retry: time::Duration::from_millis(500),
             room_retry: time::Duration::from_millis(100),
             call_retry: time::Duration::from_millis(300),
             backoff: time::Duration::from_millis(500),
             gang_timeout: time::Duration::from_secs(3),
-            vanish: time::Duration::from_secs(20),
+            removed_shard_lapse: time::Duration::from_secs(20),
             max_call_orders: 256,
             max_document_bytes: 700_000,
             keep_ended_ms: 60 * 60 * 1_000,
@@ -95,7 +95,7 @@
 
 /// Identifies a request that waits for its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
+pub struct ReplyTo(pub u64);
 
 /// The response to a request.
 pub type Outcome = Result<jobs::JobStatus, operator::OperatorError>;
@@ -110,7 +110,7 @@
     /// Call a placer.
     Call(ids::MemberKey, message::Question),
     /// Respond to a request.
-    Answer(Ticket, Box<Outcome>),
+    Answer(ReplyTo, Box<Outcome>),
 }
 
 /// A write of the document.
@@ -140,7 +140,7 @@
     jobs: IndexMap<ids::JobId, job::Job>,
     /// Tasks to place, most urgent first.
     queue: BTreeSet<queue::QueueKey>,
-    fair_queue: turns::FairQueue,
+    fair_queue: fairness::FairQueue,
     /// Tasks to check on every poll: in backoff, reserved, unanswered or to be stopped.
     watched: BTreeSet<ids::TaskId>,
     /// The one gang that reserves resources; other gangs wait until it is done.
@@ -166,7 +166,7 @@
             document: write::DocumentState::default(),
             jobs: IndexMap::new(),
             queue: BTreeSet::new(),
-            fair_queue: turns::FairQueue::default(),
+            fair_queue: fairness::FairQueue::default(),
             watched: BTreeSet::new(),
             gang: None,
             placers: IndexMap::new(),
--- a/crates/figscale-core/src/job/home/recover.rs
+++ b/crates/figscale-core/src/job/home/recover.rs
@@ -271,7 +271,7 @@
             }
             view.confirmed_at = Some(asked_at);
             view.complete = shard.complete;
-            self.on_tell(now, placer, &shard.tasks);
+            self.on_updates(now, placer, &shard.tasks);
             self.describe(placer, &shard.tasks);
             if shard.complete {
                 self.end_missing(now, asked_at, &shard);
@@ -336,11 +336,14 @@
 
     /// Drops shards that were removed long enough ago that tasks on them have lapsed.
     fn drop_vanished(&mut self, now: Now) {
-        let vanish = self.config.vanish;
+        let removed_shard_lapse = self.config.removed_shard_lapse;
         let gone: Vec<_> = self
             .shards
             .iter()
-            .filter(|(_, view)| view.gone_at.is_some_and(|at| now.at >= at + vanish))
+            .filter(|(_, view)| {
+                view.gone_at
+                    .is_some_and(|at| now.at >= at + removed_shard_lapse)
+            })
             .map(|(id, _)| id.clone())
             .collect();
         for shard in gone {
--- a/crates/figscale-core/src/job/home/submit.rs
+++ b/crates/figscale-core/src/job/home/submit.rs
@@ -8,7 +8,7 @@
 
 use super::Home;
 use super::Now;
-use super::Ticket;
+use super::ReplyTo;
 use super::job;
 
 /// Estimated size of a job's record without its command and its tasks.
@@ -33,20 +33,20 @@
 
 impl Home {
     /// Accepts a job once it is written; the response follows as an action.
-    pub fn submit(&mut self, now: Now, ticket: Ticket, submission: Submission) {
+    pub fn submit(&mut self, now: Now, reply_to: ReplyTo, submission: Submission) {
         let Submission { id, spec, terms } = submission;
         if let Some(known) = self.jobs.get(&id) {
             if known.record.spec != spec {
                 let message = format!("job {id} exists and is another one");
-                return self.refuse(ticket, operator::ErrorKind::Conflict, message, None);
+                return self.refuse(reply_to, operator::ErrorKind::Conflict, message, None);
             }
             if known.written {
                 let status = known.status(&id, true);
-                return self.answer(ticket, Ok(status));
+                return self.answer(reply_to, Ok(status));
             }
         }
         if let Err(error) = self.check_open() {
-            return self.answer(ticket, Err(error));
+            return self.answer(reply_to, Err(error));
         }
         if !self.jobs.contains_key(&id) {
             let job = new_job(now, spec, terms);
@@ -54,7 +54,7 @@
             if used + job.bytes > self.config.max_document_bytes {
                 let message = "the home of this job keeps as many jobs as it can".to_owned();
                 return self.refuse(
-                    ticket,
+                    reply_to,
                     operator::ErrorKind::Unavailable,
                     message,
                     Some(FULL_RETRY_MS),
@@ -62,7 +62,7 @@
             }
             self.jobs.insert(id.clone(), job);
         }
-        self.document.submit(id, ticket);
+        self.document.submit(id, reply_to);
     }
 
     /// The status of a job.
@@ -85,16 +85,16 @@
     }
 
     /// Cancels a job; the response follows once the cancellation is written.
-    pub fn cancel(&mut self, now: Now, ticket: Ticket, id: &ids::JobId) {
+    pub fn cancel(&mut self, now: Now, reply_to: ReplyTo, id: &ids::JobId) {
         if let Err(error) = self.check_open() {
-            return self.answer(ticket, Err(error));
+            return self.answer(reply_to, Err(error));
         }
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.written) else {
-            return self.answer(ticket, Err(unknown_job(id)));
+            return self.answer(reply_to, Err(unknown_job(id)));
         };
         if job.record.ended.is_some() {
             let status = job.status(id, true);
-            return self.answer(ticket, Ok(status));
+            return self.answer(reply_to, Ok(status));
         }
         job.record.cancelled = true;
         for task in job.tasks.values_mut() {
@@ -115,7 +115,7 @@
             }
         }
         self.end_if_all_ended(now, id);
-        self.document.wait_for_write(id.clone(), ticket);
+        self.document.wait_for_write(id.clone(), reply_to);
     }
 
     fn check_open(&self) -> Result<(), operator::OperatorError> {
@@ -133,21 +133,21 @@
         Ok(())
     }
 
-    pub(super) fn answer(&mut self, ticket: Ticket, outcome: super::Outcome) {
-        let answer = super::Action::Answer(ticket, Box::new(outcome));
+    pub(super) fn answer(&mut self, reply_to: ReplyTo, outcome: super::Outcome) {
+        let answer = super::Action::Answer(reply_to, Box::new(outcome));
         self.actions.push(answer);
     }
 
     pub(super) fn refuse(
         &mut self,
-        ticket: Ticket,
+        reply_to: ReplyTo,
         kind: operator::ErrorKind,
         message: String,
         retry_after_ms: Option<u64>,
     ) {
         let mut error = operator::OperatorError::new(kind, message);
         error.retry_after_ms = retry_after_ms;
-        self.answer(ticket, Err(error));
+        self.answer(reply_to, Err(error));
     }
 }
 
--- a/crates/figscale-core/src/job/home/write.rs
+++ b/crates/figscale-core/src/job/home/write.rs
@@ -12,7 +12,7 @@
 use super::Action;
 use super::Home;
 use super::Now;
-use super::Ticket;
+use super::ReplyTo;
 use super::job;
 use crate::job::message;
 
@@ -22,7 +22,7 @@
     /// The document with its revision; a missing one is empty, with revision 0.
     Read(ids::Revision, jobs::JobDocument),
     /// The store is unavailable.
-    Away,
+    NoAnswer,
 }
 
 /// The result of a write.
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug, Default)]
 struct Batch {
     /// New jobs, with the requests that wait for their acceptance.
-    submitted: Vec<(ids::JobId, Vec<Ticket>)>,
+    submitted: Vec<(ids::JobId, Vec<ReplyTo>)>,
     /// Requests that wait for a change of a job to be written.
-    waiting: Vec<(ids::JobId, Ticket)>,
+    waiting: Vec<(ids::JobId, ReplyTo)>,
     /// Start marks.
     marks: Vec<ids::TaskId>,
     /// Ends to acknowledge to their placers once written.
@@ -102,21 +102,21 @@
         self.pending.is_empty() && self.in_flight.is_none() && self.in_doubt.is_none()
     }
 
-    pub(super) fn submit(&mut self, id: ids::JobId, ticket: Ticket) {
+    pub(super) fn submit(&mut self, id: ids::JobId, reply_to: ReplyTo) {
         let of = |batch: &mut Batch| {
             let found = batch.submitted.iter_mut().find(|(known, _)| *known == id)?;
-            found.1.push(ticket);
+            found.1.push(reply_to);
             Some(())
         };
         let known = of(&mut self.pending).or_else(|| self.in_flight.as_mut().and_then(of));
         if known.is_none() {
-            self.pending.submitted.push((id, vec![ticket]));
+            self.pending.submitted.push((id, vec![reply_to]));
         }
     }
 
-    pub(super) fn wait_for_write(&mut self, id: ids::JobId, ticket: Ticket) {
+    pub(super) fn wait_for_write(&mut self, id: ids::JobId, reply_to: ReplyTo) {
         self.pending.dirty = true;
-        self.pending.waiting.push((id, ticket));
+        self.pending.waiting.push((id, reply_to));
     }
 
     pub(super) fn mark(&mut self, task: ids::TaskId) {
@@ -170,7 +170,7 @@
         };
         let interval_passed = state
             .last_write
-            .is_none_or(|at| now.at >= at + self.config.write_every);
+            .is_none_or(|at| now.at >= at + self.config.write_interval);
         if state.pending.is_empty() || !interval_passed {
             return;
         }
@@ -301,20 +301,20 @@
     fn reject_submissions(&mut self, mut batch: Batch) -> Batch {
         let retry = clock::millis(self.config.store_retry);
         let submitted = std::mem::take(&mut batch.submitted);
-        for (id, tickets) in submitted {
+        for (id, reply_tos) in submitted {
             let maybe_written = self
                 .jobs
                 .get(&id)
                 .is_none_or(|job| job.maybe_written || job.written);
             if maybe_written {
-                batch.submitted.push((id, tickets));
+                batch.submitted.push((id, reply_tos));
                 continue;
             }
             self.jobs.swap_remove(&id);
             batch.dirty = true;
-            for ticket in tickets {
+            for reply_to in reply_tos {
                 self.refuse(
-                    ticket,
+                    reply_to,
                     operator::ErrorKind::Unavailable,
                     format!("job {id} was not accepted: the store does not answer"),
                     Some(retry),
@@ -330,16 +330,16 @@
     fn answer_unknown(&mut self, mut batch: Batch) -> Batch {
         let retry = clock::millis(self.config.store_retry);
         let mut callers = Vec::new();
-        for (id, tickets) in &mut batch.submitted {
+        for (id, reply_tos) in &mut batch.submitted {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.maybe_written = true;
             }
-            callers.extend(tickets.drain(..).map(|ticket| (id.clone(), ticket)));
+            callers.extend(reply_tos.drain(..).map(|reply_to| (id.clone(), reply_to)));
         }
         callers.append(&mut batch.waiting);
-        for (id, ticket) in callers {
+        for (id, reply_to) in callers {
             self.refuse(
-                ticket,
+                reply_to,
                 operator::ErrorKind::Unknown,
                 format!("job {id}: the store's answer was lost; ask again with the same id"),
                 Some(retry),
@@ -350,16 +350,16 @@
 
     fn written(&mut self, now: Now, batch: Batch) {
         self.document.owned = true;
-        for (id, tickets) in batch.submitted {
+        for (id, reply_tos) in batch.submitted {
             self.accepted(now, &id);
-            for ticket in tickets {
+            for reply_to in reply_tos {
                 let outcome = self.status(&id);
-                self.answer(ticket, outcome);
+                self.answer(reply_to, outcome);
             }
         }
-        for (id, ticket) in batch.waiting {
+        for (id, reply_to) in batch.waiting {
             let outcome = self.status(&id);
-            self.answer(ticket, outcome);
+            self.answer(reply_to, outcome);
         }
         for task in batch.marks {
             self.on_start_marked(now, &task);
--- a/crates/figscale-core/src/job/placer/mod.rs
+++ b/crates/figscale-core/src/job/placer/mod.rs
@@ -17,7 +17,7 @@
 mod orders;
 mod poll;
 mod report;
-mod room;
+mod resources;
 mod session;
 mod task;
 
@@ -42,7 +42,7 @@
     /// Time between renewals. Default 1.5 s.
     pub renew: time::Duration,
     /// Longest time from sending a start or renewal to its receipt. Default 1 s.
-    pub window: time::Duration,
+    pub dispatch_window: time::Duration,
     /// Allowance for clock drift and scheduling delays. Default 0.5 s.
     pub margin: time::Duration,
     /// Time after which a reservation that was not started expires. Default 5 s.
@@ -56,7 +56,7 @@
         Self {
             lease: time::Duration::from_secs(6),
             renew: time::Duration::from_millis(1_500),
-            window: time::Duration::from_secs(1),
+            dispatch_window: time::Duration::from_secs(1),
             margin: time::Duration::from_millis(500),
             hold_timeout: time::Duration::from_secs(5),
             notify_interval: time::Duration::from_secs(1),
@@ -85,7 +85,7 @@
     /// Send an action on a task.
     Act(ActCall),
     /// Send status updates to the holder of a job shard.
-    Tell(ids::ShardId, Vec<message::TaskEvent>),
+    NotifyHome(ids::ShardId, Vec<message::TaskEvent>),
 }
 
 /// The destination of a call.
@@ -285,7 +285,7 @@
     }
 
     /// Records the epoch of a home; returns `false` if a later one is known.
-    pub fn note_home(&mut self, home: &message::HomeKey) -> bool {
+    pub fn record_home(&mut self, home: &message::HomeKey) -> bool {
         let known = self.homes.entry(home.shard.clone()).or_default();
         if home.epoch < known.epoch {
             return false;
@@ -346,6 +346,6 @@
 impl Config {
     /// Time after the last dispatch by which a task that was not renewed has lapsed.
     pub fn lapse_time(&self) -> time::Duration {
-        self.window + self.lease + self.margin
+        self.dispatch_window + self.lease + self.margin
     }
 }
--- a/crates/figscale-core/src/job/placer/orders.rs
+++ b/crates/figscale-core/src/job/placer/orders.rs
@@ -22,7 +22,7 @@
         match question {
             message::Question::Place(home, scope, orders) => {
                 self.planner = placement::preempt::Planner::default();
-                let admitted = self.note_home(&home) && !self.was_overtaken(&home, &scope);
+                let admitted = self.record_home(&home) && !self.was_overtaken(&home, &scope);
                 let answers = orders
                     .into_iter()
                     .map(|order| match admitted {
@@ -51,7 +51,7 @@
             | message::Question::Acknowledge(home, _) => home.clone(),
             _ => return message::Answer::NotHere,
         };
-        if !self.note_home(&home) {
+        if !self.record_home(&home) {
             return message::Answer::StaleHome;
         }
         match question {
@@ -190,7 +190,7 @@
 
     /// Sends the start of a reserved task, or ends it as not started.
     fn start(&mut self, now: time::Instant, valid_until: time::Instant, id: &ids::TaskId) {
-        let bound = valid_until.min(now + self.config.window);
+        let bound = valid_until.min(now + self.config.dispatch_window);
         let lease = self.config.lease;
         let Some(task) = self.tasks.get_mut(id) else {
             return;
--- a/crates/figscale-core/src/job/placer/poll.rs
+++ b/crates/figscale-core/src/job/placer/poll.rs
@@ -66,7 +66,7 @@
     }
 
     fn renew(&mut self, now: time::Instant, valid_until: time::Instant) {
-        let bound = valid_until.min(now + self.config.window);
+        let bound = valid_until.min(now + self.config.dispatch_window);
         if now >= bound {
             return;
         }
@@ -173,12 +173,12 @@
         }
         let calls = updates
             .into_iter()
-            .map(|(home, events)| Action::Tell(home, events));
+            .map(|(home, events)| Action::NotifyHome(home, events));
         self.actions.extend(calls);
     }
 
     /// Records that a home has received status updates.
-    pub fn on_told(&mut self, events: &[message::TaskEvent]) {
+    pub fn on_updates_confirmed(&mut self, events: &[message::TaskEvent]) {
         for event in events {
             if let Some(task) = self.tasks.get_mut(&event.attempt.task)
                 && task.attempt == event.attempt.number
--- a/crates/figscale-core/src/job/placer/report.rs
+++ b/crates/figscale-core/src/job/placer/report.rs
@@ -261,7 +261,7 @@
             start_bound: None,
             seen_running_at: Some(now),
             ends_at: None,
-            may_run_until: now + self.config.window + self.config.lease,
+            may_run_until: now + self.config.dispatch_window + self.config.lease,
             action: (too_late && state == message::TaskState::Running)
                 .then_some(worker::TaskAction::Stop),
             notified_at: None,
--- a/crates/figscale-core/tests/job_faults/cell/claims.rs
+++ b/crates/figscale-core/tests/job_faults/cell/claims.rs
@@ -153,7 +153,7 @@
                 shard: id.clone(),
                 epoch: shard.epoch,
             };
-            entry.placer.note_home(&key);
+            entry.placer.record_home(&key);
             let mine = shard.holder == index;
             let known = entry.homes.get(&id).map(|home| home.key().epoch);
             if !mine || known.is_some_and(|epoch| epoch != shard.epoch) {
@@ -164,7 +164,7 @@
             }
             if mine && shard.draining_to.is_none() && !entry.homes.contains_key(&id) {
                 let config = home::Config {
-                    vanish: time::Duration::from_secs(8),
+                    removed_shard_lapse: time::Duration::from_secs(8),
                     ..home::Config::default()
                 };
                 entry.homes.insert(id, home::Home::new(config, key));
--- a/crates/figscale-core/tests/job_faults/cell/mod.rs
+++ b/crates/figscale-core/tests/job_faults/cell/mod.rs
@@ -3,7 +3,7 @@
 
 mod claims;
 mod faults;
-mod judge;
+mod invariants;
 mod network;
 
 use std::time;
@@ -74,7 +74,7 @@
         asked_at: time::Instant,
         question: message::Question,
     },
-    Tell(usize, Vec<message::TaskEvent>, ids::ShardId),
+    NotifyHome(usize, Vec<message::TaskEvent>, ids::ShardId),
     Read(message::HomeKey),
     Write(message::HomeKey, home::WriteCall),
 }
@@ -124,7 +124,7 @@
     deliveries: Vec<(time::Instant, Delivery)>,
     next_call: u64,
     next_incarnation: u64,
-    tickets: IndexMap<home::Ticket, ids::JobId>,
+    reply_tos: IndexMap<home::ReplyTo, ids::JobId>,
     pub(crate) submitted: IndexMap<ids::JobId, Submitted>,
     pub(crate) specs: IndexMap<ids::JobId, jobs::JobSpec>,
     pub(crate) starts: IndexMap<ids::TaskId, u32>,
@@ -140,7 +140,7 @@
     placer::Config {
         lease: millis(2_000),
         renew: millis(400),
-        window: millis(400),
+        dispatch_window: millis(400),
         margin: millis(200),
         hold_timeout: millis(2_000),
         notify_interval: millis(400),
@@ -166,7 +166,7 @@
             deliveries: Vec::new(),
             next_call: 0,
             next_incarnation: 0,
-            tickets: IndexMap::new(),
+            reply_tos: IndexMap::new(),
             submitted: IndexMap::new(),
             specs: IndexMap::new(),
             starts: IndexMap::new(),
@@ -272,10 +272,10 @@
             self.submitted.insert(id, Submitted::Refused);
             return;
         };
-        let ticket = home::Ticket(self.tickets.len() as u64 + 1);
-        self.tickets.insert(ticket, id.clone());
+        let reply_to = home::ReplyTo(self.reply_tos.len() as u64 + 1);
+        self.reply_tos.insert(reply_to, id.clone());
         self.submitted.insert(id.clone(), Submitted::Waiting);
-        home.submit(now, ticket, home::Submission { id, spec, terms });
+        home.submit(now, reply_to, home::Submission { id, spec, terms });
     }
 
     /// Cancels a job at the current holder of its shard.
@@ -285,7 +285,7 @@
         let shard = self.shard_of_job(&id);
         let entry = &mut self.entries[self.shards[&shard].holder];
         let home = entry.homes.get_mut(&shard).expect("a home");
-        home.cancel(now, home::Ticket(u64::MAX), &id);
+        home.cancel(now, home::ReplyTo(u64::MAX), &id);
     }
 
     /// Number of starts that a worker has accepted.
--- a/crates/figscale-core/tests/job_faults/cell/network.rs
+++ b/crates/figscale-core/tests/job_faults/cell/network.rs
@@ -45,7 +45,7 @@
                             question,
                         });
                     }
-                    home::Action::Answer(ticket, outcome) => answers.push((ticket, outcome)),
+                    home::Action::Answer(reply_to, outcome) => answers.push((reply_to, outcome)),
                 }
             }
         }
@@ -54,22 +54,22 @@
                 placer::Action::Start(call) => Call::Start(call),
                 placer::Action::Renew(call) => Call::Renew(now.at, call),
                 placer::Action::Act(call) => Call::Act(now.at, call),
-                placer::Action::Tell(shard, events) => {
+                placer::Action::NotifyHome(shard, events) => {
                     let to = self.shards[&shard].holder;
-                    Call::Tell(to, events, shard)
+                    Call::NotifyHome(to, events, shard)
                 }
             });
         }
-        for (ticket, outcome) in answers {
-            self.record_outcome(ticket, &outcome);
+        for (reply_to, outcome) in answers {
+            self.record_outcome(reply_to, &outcome);
         }
         for call in wanted {
             self.send(caller.clone(), call);
         }
     }
 
-    pub(super) fn record_outcome(&mut self, ticket: home::Ticket, outcome: &home::Outcome) {
-        let Some(id) = self.tickets.get(&ticket) else {
+    pub(super) fn record_outcome(&mut self, reply_to: home::ReplyTo, outcome: &home::Outcome) {
+        let Some(id) = self.reply_tos.get(&reply_to) else {
             return;
         };
         use figscale_types::operator::ErrorKind;
@@ -146,7 +146,7 @@
             Call::Renew(_, call) => self.is_worker_frozen(&call.target),
             Call::Act(_, call) => self.is_worker_frozen(&call.target),
             Call::Peer { to, .. } => self.is_entry_frozen(to),
-            Call::Tell(to, ..) => self.entries[*to].frozen_until.is_some(),
+            Call::NotifyHome(to, ..) => self.entries[*to].frozen_until.is_some(),
             Call::Read(_) | Call::Write(..) => false,
         };
         if frozen {
@@ -222,14 +222,14 @@
                 let answer = entry.placer.answer(now, valid_until, question.clone());
                 Some(Reply::Peer(answer))
             }
-            Call::Tell(to, events, shard) => {
+            Call::NotifyHome(to, events, shard) => {
                 let now = self.home_now();
                 let entry = &mut self.entries[*to];
                 if !entry.alive {
                     return None;
                 }
                 let home = entry.homes.get_mut(shard)?;
-                home.on_tell(now, &request.caller, events);
+                home.on_updates(now, &request.caller, events);
                 Some(Reply::Peer(message::Answer::Noted))
             }
             Call::Read(home) => self.answer_read(home),
@@ -239,7 +239,7 @@
 
     pub(super) fn answer_read(&mut self, home: &message::HomeKey) -> Option<Reply> {
         if self.store_down_until.is_some() {
-            return Some(Reply::Read(home::ReadOutcome::Away));
+            return Some(Reply::Read(home::ReadOutcome::NoAnswer));
         }
         let found = self.documents.get(&home.shard).cloned();
         let (revision, document) = found.unwrap_or_default();
@@ -341,12 +341,12 @@
                     known.on_call(now, &to, asked_at, question, result);
                 }
             }
-            (Call::Tell(_, events, _), Some(_)) => entry.placer.on_told(&events),
-            (Call::Tell(..), None) => {}
+            (Call::NotifyHome(_, events, _), Some(_)) => entry.placer.on_updates_confirmed(&events),
+            (Call::NotifyHome(..), None) => {}
             (Call::Read(home), reply) => {
                 let outcome = match reply {
                     Some(Reply::Read(outcome)) => outcome,
-                    _ => home::ReadOutcome::Away,
+                    _ => home::ReadOutcome::NoAnswer,
                 };
                 if let Some(known) = entry.homes.get_mut(&home.shard)
                     && *known.key() == home
--- a/crates/figscale-core/tests/job_home.rs
+++ b/crates/figscale-core/tests/job_home.rs
@@ -116,7 +116,7 @@
 fn a_repeated_recorded_end_does_not_place_the_task_again() {
     let mut home = next_home();
     let lapsed = message::TaskState::Ended(message::End::Lapsed);
-    home.on_tell(now(), &placer(), &[event(1, lapsed)]);
+    home.on_updates(now(), &placer(), &[event(1, lapsed)]);
     assert_eq!(count_places(&home.poll(now())), 0);
 }
 
@@ -146,7 +146,7 @@
     let mut home = next_home();
     let start = later(now(), 1_000);
     let lapsed = message::TaskState::Ended(message::End::Lapsed);
-    home.on_tell(start, &placer(), &[event(2, lapsed)]);
+    home.on_updates(start, &placer(), &[event(2, lapsed)]);
     let actions = home.poll(start);
     assert_eq!(count_writes(&actions), 1);
     let place = actions.into_iter().find_map(|action| match action {
@@ -178,6 +178,6 @@
 fn the_end_of_a_later_attempt_places_the_next() {
     let mut home = next_home();
     let lapsed = message::TaskState::Ended(message::End::Lapsed);
-    home.on_tell(now(), &placer(), &[event(2, lapsed)]);
+    home.on_updates(now(), &placer(), &[event(2, lapsed)]);
     assert_eq!(count_places(&home.poll(now())), 1);
 }
--- a/crates/figscale/src/jobs/calls.rs
+++ b/crates/figscale/src/jobs/calls.rs
@@ -215,7 +215,7 @@
                         shard = home.shard,
                         error = error
                     );
-                    home::ReadOutcome::Away
+                    home::ReadOutcome::NoAnswer
                 }
             };
             CallResult::Read(home, outcome)
@@ -323,7 +323,7 @@
                 shard = home.shard,
                 error = error
             );
-            home::ReadOutcome::Away
+            home::ReadOutcome::NoAnswer
         }
     }
 }
--- a/crates/figscale/src/jobs/service/mod.rs
+++ b/crates/figscale/src/jobs/service/mod.rs
@@ -71,7 +71,7 @@
     home_config: home::Config,
     placer: placer::Placer,
     homes: IndexMap<ids::ShardId, home::Home>,
-    callers: IndexMap<home::Ticket, PendingCall>,
+    callers: IndexMap<home::ReplyTo, PendingCall>,
     next_ticket: u64,
     /// When usage was last sent to peers.
     usage_sent_at: Option<time::Instant>,
@@ -132,19 +132,19 @@
         let placer_config = placer::Config {
             lease: millis(settings.lease_ms),
             renew: millis(settings.renew_ms),
-            window: millis(settings.window_ms),
+            dispatch_window: millis(settings.window_ms),
             margin: millis(settings.margin_ms),
             ..placer::Config::default()
         };
         let home_config = home::Config {
-            write_every: millis(settings.write_every_ms),
+            write_interval: millis(settings.write_every_ms),
             keep_ended_ms: settings.keep_ended_ms,
-            vanish: 3 * placer_config.lapse_time(),
+            removed_shard_lapse: 3 * placer_config.lapse_time(),
             ..home::Config::default()
         };
         Self {
             me: context.me(),
-            calls: calls::Calls::new(context, placer_config.window, done),
+            calls: calls::Calls::new(context, placer_config.dispatch_window, done),
             context: context.clone(),
             home_config,
             placer: placer::Placer::new(placer_config),
@@ -252,7 +252,7 @@
             }
             placer::Action::Renew(call) => self.calls.renew(now.at, call),
             placer::Action::Act(call) => self.calls.act(now.at, call),
-            placer::Action::Tell(shard, events) => self.deliver_events(now, shard, events),
+            placer::Action::NotifyHome(shard, events) => self.deliver_events(now, shard, events),
         }
     }
 
@@ -263,7 +263,7 @@
         events: Vec<message::TaskEvent>,
     ) {
         if let Some(home) = self.homes.get_mut(&shard) {
-            home.on_tell(now, &self.me, &events);
+            home.on_updates(now, &self.me, &events);
             return self
                 .calls
                 .send_result(calls::CallResult::EventsSent(events, true));
--- a/crates/figscale/src/jobs/service/requests.rs
+++ b/crates/figscale/src/jobs/service/requests.rs
@@ -94,7 +94,7 @@
             return caller.answer(Err(calls::unreachable_home(verdict)));
         };
         self.next_ticket += 1;
-        let ticket = home::Ticket(self.next_ticket);
+        let ticket = home::ReplyTo(self.next_ticket);
         match question {
             wire::Question::Submit(id, spec, terms) => {
                 let pending = PendingCall {
@@ -157,7 +157,7 @@
             let Some(home) = self.homes.get_mut(&shard) else {
                 return message::Answer::NotHere;
             };
-            home.on_tell(now, from, &events);
+            home.on_updates(now, from, &events);
             return message::Answer::Noted;
         }
         self.placer.answer(now.at, self.valid_until(), question)
@@ -190,7 +190,9 @@
                     home.on_call(now, &done.placer, done.sent_at, done.question, done.result);
                 }
             }
-            calls::CallResult::EventsSent(events, true) => self.placer.on_told(&events),
+            calls::CallResult::EventsSent(events, true) => {
+                self.placer.on_updates_confirmed(&events)
+            }
             calls::CallResult::EventsSent(_, false) => {}
             calls::CallResult::Read(key, outcome) => {
                 if let Some(home) = self.home_of(&key) {
--- a/crates/figscale/src/jobs/service/view.rs
+++ b/crates/figscale/src/jobs/service/view.rs
@@ -50,7 +50,7 @@
         }
         for (id, shard) in &view.claims.shards {
             if id.as_str().starts_with(JOB_PREFIX) {
-                self.placer.note_home(&message::HomeKey {
+                self.placer.record_home(&message::HomeKey {
                     shard: id.clone(),
                     epoch: shard.epoch,
                 });
