--- a/crates/figscale-core/src/catalogue/apply.rs
+++ b/crates/figscale-core/src/catalogue/apply.rs
@@ -11,7 +11,7 @@
 //!
 //! [`Apply`] requests reads and writes from its adapter through [`Action`] and
 //! receives their outcomes through [`Input`]. When the adapter's deadline has
-//! passed, [`Apply::give_up`] returns the error to report: whether the change
+//! passed, [`Apply::deadline_error`] returns the error to report: whether the change
 //! may have been accepted or was not.
 
 use figscale_types::catalogue;
@@ -170,7 +170,7 @@
 
     /// Returns the error to report at the deadline, even while a write is in
     /// flight.
-    pub fn give_up(&self) -> operator::OperatorError {
+    pub fn deadline_error(&self) -> operator::OperatorError {
         let id = self.change.id;
         let (kind, message) = match self.in_doubt || self.pending {
             true => (
--- a/crates/figscale-core/src/catalogue/book.rs
+++ b/crates/figscale-core/src/catalogue/local_catalogue.rs
@@ -1,6 +1,6 @@
 //! The catalogue as one entry instance knows it.
 //!
-//! A [`Book`] adopts only higher revisions, whether they come from a read of
+//! A [`LocalCatalogue`] adopts only higher revisions, whether they come from a read of
 //! the store, a watch or a peer, so that the revision in force never goes back
 //! while the process runs. It also detects a store that is behind the revision
 //! in force, which happens when the platform restores an older state, and
@@ -23,7 +23,7 @@
     pub line: Option<operator::HistoryLine>,
 }
 
-/// Result of passing a document to a [`Book`].
+/// Result of passing a document to a [`LocalCatalogue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Adoption {
     /// It had a higher revision and is in force now.
@@ -39,12 +39,12 @@
 
 /// The catalogue in force at one entry instance.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct LocalCatalogue {
     document: catalogue::Document,
     initialized: bool,
 }
 
-impl Book {
+impl LocalCatalogue {
     /// The catalogue in force, with the history known so far.
     pub fn document(&self) -> &catalogue::Document {
         &self.document
@@ -74,7 +74,7 @@
     }
 
     /// Processes a document read from the store; `None` when the key is absent.
-    pub fn see(&mut self, document: Option<catalogue::Document>) -> Adoption {
+    pub fn observe(&mut self, document: Option<catalogue::Document>) -> Adoption {
         self.initialized = true;
         let document = document.unwrap_or_default();
         let adoption = self.compare(&document.accepted);
@@ -86,12 +86,12 @@
     }
 
     /// Processes what a peer forwarded.
-    pub fn see_newest(&mut self, newest: Newest) -> Adoption {
+    pub fn observe_newest(&mut self, newest: Newest) -> Adoption {
         let record = newest.line.map(|line| catalogue::Record {
             line,
             catalogue: None,
         });
-        self.see(Some(catalogue::Document {
+        self.observe(Some(catalogue::Document {
             accepted: newest.accepted,
             history: record.into_iter().collect(),
         }))
--- a/crates/figscale-core/src/catalogue/mod.rs
+++ b/crates/figscale-core/src/catalogue/mod.rs
@@ -9,7 +9,7 @@
 //!   catalogue and what a change alters.
 //! - [`mod@apply`] decides one change: a state machine that has its adapter read
 //!   and write until the change is known to be accepted or rejected.
-//! - [`book`] holds what one entry instance knows: it adopts only higher
+//! - [`local_catalogue`] holds what one entry instance knows: it adopts only higher
 //!   revisions, whatever their source.
 //! - [`history`] merges, looks up and trims documents.
 //!
@@ -21,10 +21,10 @@
 //! [`Document`]: figscale_types::catalogue::Document
 
 pub mod apply;
-pub mod book;
 pub mod check;
 pub mod diff;
 pub mod history;
+pub mod local_catalogue;
 
 pub use check::check;
 pub use diff::diff;
--- a/crates/figscale-core/src/claims/machine.rs
+++ b/crates/figscale-core/src/claims/machine.rs
@@ -26,8 +26,8 @@
 use super::Action;
 use super::Config;
 use super::Input;
-use super::gone;
 use super::lease;
+use super::missing;
 use super::schedule;
 use super::schedule::Op;
 use super::targets;
@@ -48,7 +48,7 @@
     /// Epoch under which it is held.
     pub epoch: ids::Epoch,
     /// When this member learned that it holds the shard.
-    pub taken_at: time::Instant,
+    pub acquired_at: time::Instant,
     /// Latest time at which an earlier holder can have dispatched work.
     pub last_foreign_dispatch: time::Instant,
     /// Whether the earlier holder left no work in progress.
@@ -127,7 +127,7 @@
     witness_record: witness::WitnessRecord,
     received_promises: witness::ReceivedPromises,
     promises_requested_at: Option<time::Instant>,
-    missing_members: gone::MissingMembers,
+    missing_members: missing::MissingMembers,
     /// The platform's instance list as last read.
     instance_list: Option<sync::Arc<instances::InstanceList>>,
     shards: Vec<ids::ShardId>,
@@ -168,7 +168,7 @@
             witness_record: witness::WitnessRecord::default(),
             received_promises: witness::ReceivedPromises::default(),
             promises_requested_at: None,
-            missing_members: gone::MissingMembers::default(),
+            missing_members: missing::MissingMembers::default(),
             shards: Vec::new(),
             instance_list: None,
             targets: targets::Cache::default(),
@@ -341,7 +341,7 @@
             let same = self.held.get(id).filter(|held| held.epoch == shard.epoch);
             let entry = same.cloned().unwrap_or(Held {
                 epoch: shard.epoch,
-                taken_at: now,
+                acquired_at: now,
                 last_foreign_dispatch: now,
                 clean: shard.clean,
             });
--- a/crates/figscale-core/src/claims/mod.rs
+++ b/crates/figscale-core/src/claims/mod.rs
@@ -42,9 +42,9 @@
 
 mod action;
 mod edit;
-mod gone;
 mod lease;
 mod machine;
+mod missing;
 mod schedule;
 mod shards;
 mod targets;
--- a/crates/figscale-core/tests/catalogue_apply.rs
+++ b/crates/figscale-core/tests/catalogue_apply.rs
@@ -5,8 +5,8 @@
 #![expect(clippy::unwrap_used, reason = "A test may panic.")]
 
 use figscale_core::catalogue::apply;
-use figscale_core::catalogue::book;
 use figscale_core::catalogue::history;
+use figscale_core::catalogue::local_catalogue;
 use figscale_types::catalogue as schema;
 use figscale_types::ids;
 use figscale_types::operator;
@@ -90,7 +90,7 @@
     };
     let lost = apply::Input::WriteFailed(Verdict::MayHaveRun);
     assert_eq!(apply.step(lost, &empty()), apply::Action::ReadLater);
-    assert_eq!(apply.give_up().kind, operator::ErrorKind::Unknown);
+    assert_eq!(apply.deadline_error().kind, operator::ErrorKind::Unknown);
     let done = apply.step(read(6, &written), &empty());
     let answer = operator::ApplyAnswer {
         revision: ids::Revision(2),
@@ -201,33 +201,54 @@
 
 #[test]
 fn a_book_adopts_higher_revisions_only() {
-    let mut book = book::Book::default();
-    assert_eq!(book.revision(), None);
-    assert_eq!(book.see(None), book::Adoption::Same);
-    assert_eq!(book.see(Some(document(3))), book::Adoption::Adopted);
-    assert_eq!(book.see(Some(document(2))), book::Adoption::Older);
-    assert_eq!(book.see(None), book::Adoption::Older);
-    assert_eq!(book.revision(), Some(ids::Revision(3)));
-    assert_eq!(book.document(), &document(3));
-    assert_eq!(book.repair(Some(&document(2))), Some(document(3)));
-    assert_eq!(book.repair(None), Some(document(3)));
-    assert_eq!(book.repair(Some(&document(3))), None);
+    let mut local_catalogue = local_catalogue::LocalCatalogue::default();
+    assert_eq!(local_catalogue.revision(), None);
+    assert_eq!(
+        local_catalogue.observe(None),
+        local_catalogue::Adoption::Same
+    );
+    assert_eq!(
+        local_catalogue.observe(Some(document(3))),
+        local_catalogue::Adoption::Adopted
+    );
+    assert_eq!(
+        local_catalogue.observe(Some(document(2))),
+        local_catalogue::Adoption::Older
+    );
+    assert_eq!(
+        local_catalogue.observe(None),
+        local_catalogue::Adoption::Older
+    );
+    assert_eq!(local_catalogue.revision(), Some(ids::Revision(3)));
+    assert_eq!(local_catalogue.document(), &document(3));
+    assert_eq!(
+        local_catalogue.repair(Some(&document(2))),
+        Some(document(3))
+    );
+    assert_eq!(local_catalogue.repair(None), Some(document(3)));
+    assert_eq!(local_catalogue.repair(Some(&document(3))), None);
     let fork = history::append(&document(2), line_of(3, 99), catalogue(99));
-    assert_eq!(book.see(Some(fork)), book::Adoption::Forked);
-    assert_eq!(book.document(), &document(3));
+    assert_eq!(
+        local_catalogue.observe(Some(fork)),
+        local_catalogue::Adoption::Forked
+    );
+    assert_eq!(local_catalogue.document(), &document(3));
 }
 
 #[test]
 fn a_peer_forwards_the_newest_catalogue_with_its_line() {
-    let mut ahead = book::Book::default();
-    ahead.see(Some(document(3)));
-    let mut behind = book::Book::default();
-    behind.see(Some(document(2)));
-    assert_eq!(behind.see_newest(ahead.newest()), book::Adoption::Adopted);
+    let mut ahead = local_catalogue::LocalCatalogue::default();
+    ahead.observe(Some(document(3)));
+    let mut behind = local_catalogue::LocalCatalogue::default();
+    behind.observe(Some(document(2)));
+    assert_eq!(
+        behind.observe_newest(ahead.newest()),
+        local_catalogue::Adoption::Adopted
+    );
     assert_eq!(behind.document(), &document(3));
     assert_eq!(
-        ahead.see_newest(book::Book::default().newest()),
-        book::Adoption::Older
+        ahead.observe_newest(local_catalogue::LocalCatalogue::default().newest()),
+        local_catalogue::Adoption::Older
     );
 }
 
@@ -372,7 +393,7 @@
 
 /// One entry instance with the change that it is applying.
 struct Instance {
-    book: book::Book,
+    local_catalogue: local_catalogue::LocalCatalogue,
     in_progress: Option<(apply::Change, apply::Apply, apply::Action)>,
 }
 
@@ -384,16 +405,16 @@
             apply::Action::Write(over, document) => {
                 let input = store.write(over.0, (*document).clone());
                 if input == apply::Input::Written {
-                    self.book.see(Some(*document));
+                    self.local_catalogue.observe(Some(*document));
                 }
                 input
             }
             done @ apply::Action::Done(_) => return Some((change, done)),
         };
         if let apply::Input::Read(_, document) = &input {
-            self.book.see(document.as_deref().cloned());
+            self.local_catalogue.observe(document.as_deref().cloned());
         }
-        let next = apply.step(input, self.book.document());
+        let next = apply.step(input, self.local_catalogue.document());
         self.in_progress = Some((change, apply, next));
         None
     }
@@ -423,7 +444,7 @@
     };
     let mut instances: Vec<Instance> = (0..4)
         .map(|_| Instance {
-            book: book::Book::default(),
+            local_catalogue: local_catalogue::LocalCatalogue::default(),
             in_progress: None,
         })
         .collect();
@@ -434,14 +455,17 @@
     for _ in 0..300 {
         let at = rng.random_range(0..instances.len());
         let instance = &mut instances[at];
-        let before = instance.book.revision();
+        let before = instance.local_catalogue.revision();
         if instance.in_progress.is_none() {
             // A change whose outcome is unknown is retried, here or at another instance.
             let change = match unknown.pop() {
                 Some(change) => change,
                 None => {
                     number += 1;
-                    change(instance.book.document().accepted.revision.0, number)
+                    change(
+                        instance.local_catalogue.document().accepted.revision.0,
+                        number,
+                    )
                 }
             };
             let apply = start(change.clone());
@@ -449,7 +473,7 @@
         } else if rng.random_bool(0.03) {
             // The deadline passes, or the process is killed.
             let (change, apply, _) = instance.in_progress.take().unwrap();
-            if apply.give_up().kind == operator::ErrorKind::Unknown {
+            if apply.deadline_error().kind == operator::ErrorKind::Unknown {
                 unknown.push(change);
             }
         }
@@ -458,7 +482,7 @@
             Some((change, apply::Action::Done(Err(_)))) => refused.push(change),
             _ => {}
         }
-        assert!(instance.book.revision() >= before);
+        assert!(instance.local_catalogue.revision() >= before);
     }
     let last = &store.values.last().unwrap().1;
     for (change, answer) in &accepted {
--- a/crates/figscale-core/tests/claims_check.rs
+++ b/crates/figscale-core/tests/claims_check.rs
@@ -6,9 +6,9 @@
 //! rule turned off. Rules whose absence this search rarely detects are tested in
 //! `claims_faults`. `FIGSCALE_SEEDS=N` searches N schedules.
 
-mod claims_world;
+mod claims_simulation;
 
-use claims_world::Simulation;
+use claims_simulation::Simulation;
 use figscale_core::claims as core;
 use rand::RngExt as _;
 use rstest::rstest;
@@ -117,7 +117,7 @@
 
 fn search(faults: Faults) {
     for seed in 0..seeds(SEEDS) {
-        let mut simulation = run(seed, faults, claims_world::config());
+        let mut simulation = run(seed, faults, claims_simulation::config());
         assert!(
             simulation.violation.is_none(),
             "seed {seed}: {:?}",
@@ -158,7 +158,7 @@
 }
 
 fn config_with(change: impl FnOnce(&mut core::Guards)) -> core::Config {
-    let mut config = claims_world::config();
+    let mut config = claims_simulation::config();
     change(&mut config.guards);
     config
 }
--- a/crates/figscale-core/tests/claims_faults.rs
+++ b/crates/figscale-core/tests/claims_faults.rs
@@ -7,9 +7,9 @@
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
-mod claims_world;
+mod claims_simulation;
 
-use claims_world::Simulation;
+use claims_simulation::Simulation;
 use figscale_core::claims as core;
 use figscale_types::claims;
 use figscale_types::ids;
@@ -17,7 +17,7 @@
 use rstest::rstest;
 
 fn config_without(change: impl FnOnce(&mut core::Guards)) -> core::Config {
-    let mut config = claims_world::config();
+    let mut config = claims_simulation::config();
     change(&mut config.guards);
     config
 }
@@ -61,7 +61,7 @@
 fn cut_off_with_a_slow_clock(moment: u64, config: &core::Config) -> Simulation {
     let mut simulation = Simulation::new(moment, config.clone());
     simulation.add();
-    simulation.nodes[0].clock_drift = -claims_world::MAX_CLOCK_DRIFT;
+    simulation.nodes[0].clock_drift = -claims_simulation::MAX_CLOCK_DRIFT;
     // Varies the offset between the calls of the two nodes.
     simulation.run(moment * 17);
     simulation.add();
@@ -114,7 +114,7 @@
     #[case] without_rule: core::Config,
 ) {
     assert!(
-        !has_violation(schedule, &claims_world::config()),
+        !has_violation(schedule, &claims_simulation::config()),
         "violation with the rule"
     );
     assert!(
@@ -140,7 +140,7 @@
 #[test]
 fn three_of_five_cut_off_recover_once_the_partition_ends() {
     for moment in 0..20 {
-        let config = claims_world::config();
+        let config = claims_simulation::config();
         let mut simulation = three_of_five_cut_off_while_three_join(moment, &config);
         simulation.end_faults();
         run_until_all_in_use(&mut simulation, 15_000);
@@ -155,7 +155,7 @@
 #[case::new_names(false)]
 fn all_members_replaced_during_an_outage(#[case] same_names: bool) {
     for moment in 0..20 {
-        let mut simulation = stable_simulation(moment, 5, &claims_world::config());
+        let mut simulation = stable_simulation(moment, 5, &claims_simulation::config());
         simulation.store.down = true;
         simulation.run(4_000);
         assert!(
@@ -186,7 +186,7 @@
 #[test]
 fn dead_witness_counts_as_gone_only_after_its_promise_ends() {
     for moment in 0..40 {
-        let mut simulation = stable_simulation(moment, 3, &claims_world::config());
+        let mut simulation = stable_simulation(moment, 3, &claims_simulation::config());
         simulation.run(3_000);
         let holder = holder_of(&simulation, "id/00");
         let (witness, other) = ((holder + 1) % 3, (holder + 2) % 3);
@@ -194,7 +194,7 @@
         simulation.store.down = true;
         simulation.run(8_000 + moment * 7);
         simulation.kill(witness);
-        simulation.run(claims_world::LAG_MS - 100);
+        simulation.run(claims_simulation::LAG_MS - 100);
         simulation.set_blocked(Some(holder), None, true);
         simulation.store.down = false;
         simulation.run(6_000);
@@ -206,7 +206,7 @@
 /// holders.
 #[test]
 fn shards_stay_in_use_during_an_hour_of_outage() {
-    let mut simulation = stable_simulation(1, 4, &claims_world::config());
+    let mut simulation = stable_simulation(1, 4, &claims_simulation::config());
     let before = simulation.store.claims.shards.clone();
     simulation.store.down = true;
     for _ in 0..120 {
@@ -224,7 +224,7 @@
 #[test]
 fn shards_of_a_member_that_dies_in_an_outage_move() {
     for moment in 0..20 {
-        let mut simulation = stable_simulation(moment, 5, &claims_world::config());
+        let mut simulation = stable_simulation(moment, 5, &claims_simulation::config());
         simulation.store.down = true;
         simulation.run(4_000);
         let dead = holder_of(&simulation, "id/00");
@@ -252,7 +252,7 @@
 /// the document is not written.
 #[test]
 fn document_is_not_written_without_changes() {
-    let mut simulation = stable_simulation(1, 8, &claims_world::config());
+    let mut simulation = stable_simulation(1, 8, &claims_simulation::config());
     simulation.run(10_000);
     let writes = simulation.store.writes;
     simulation.run(60_000);
@@ -266,7 +266,7 @@
 /// A list of keys that was requested before the document named a lease does not
 /// show whether that lease has expired.
 #[rstest]
-#[case::rule(claims_world::config(), false)]
+#[case::rule(claims_simulation::config(), false)]
 #[case::no_rule(config_without(|g| g.list_after_document = false), true)]
 fn an_earlier_key_list_expires_no_lease(#[case] config: core::Config, #[case] expected: bool) {
     let now = std::time::Instant::now();
@@ -347,7 +347,7 @@
 #[test]
 fn drained_shards_are_not_used_under_the_same_epoch() {
     for moment in 0..60 {
-        let mut simulation = stable_simulation(moment, 2, &claims_world::config());
+        let mut simulation = stable_simulation(moment, 2, &claims_simulation::config());
         let joined = simulation.add();
         for _ in 0..400 {
             simulation.run(20);
@@ -381,7 +381,7 @@
 /// store has renewed its lease.
 #[test]
 fn no_shard_is_used_after_a_clock_jump_until_renewal() {
-    let mut simulation = stable_simulation(1, 3, &claims_world::config());
+    let mut simulation = stable_simulation(1, 3, &claims_simulation::config());
     let shard = "id/00".parse().unwrap();
     let holder = holder_of(&simulation, "id/00");
     simulation.clock_jumped(holder);
@@ -394,7 +394,7 @@
 #[test]
 fn shards_of_a_first_member_that_dies_soon_get_new_holders() {
     for moment in 0..40 {
-        let mut simulation = Simulation::new(moment, claims_world::config());
+        let mut simulation = Simulation::new(moment, claims_simulation::config());
         simulation.add();
         simulation.run(1_000 + moment * 7);
         assert!(simulation.all_in_use(), "moment {moment}");
--- a/crates/figscale/src/catalogue/apply.rs
+++ b/crates/figscale/src/catalogue/apply.rs
@@ -57,7 +57,7 @@
     };
     let mut apply = apply::Apply::new(change, unix_ms(service))?;
     let decided = tokio::time::timeout(APPLY_TIMEOUT, execute(service, &mut apply)).await;
-    decided.unwrap_or_else(|_| Err(apply.give_up()))
+    decided.unwrap_or_else(|_| Err(apply.deadline_error()))
 }
 
 fn unix_ms(service: &service::Service) -> u64 {
--- a/crates/figscale/src/catalogue/propagation.rs
+++ b/crates/figscale/src/catalogue/propagation.rs
@@ -17,7 +17,7 @@
 use std::rc;
 use std::time;
 
-use figscale_core::catalogue::book;
+use figscale_core::catalogue::local_catalogue;
 use figscale_types::catalogue;
 use figscale_types::ids;
 use figscale_types::operator;
@@ -37,7 +37,7 @@
     /// Return the revision in force. Carries the revision of the sender.
     Revision(Option<ids::Revision>),
     /// Adopt this catalogue if it is newer.
-    Take(Box<book::Newest>),
+    Take(Box<local_catalogue::Newest>),
     /// Return the catalogue in force.
     Give,
 }
@@ -48,7 +48,7 @@
     /// The revision in force; `None` while none is known.
     Revision(Option<ids::Revision>),
     /// The catalogue in force.
-    Newest(Box<book::Newest>),
+    Newest(Box<local_catalogue::Newest>),
 }
 
 /// Answers a call of a peer.
--- a/crates/figscale/src/catalogue/service.rs
+++ b/crates/figscale/src/catalogue/service.rs
@@ -2,7 +2,7 @@
 //!
 //! A catalogue that arrives by any path ends in [`Service::record_stored`],
 //! [`Service::offer_newest`] or [`Service::adopt_written`]. These let
-//! [`book::Book`] decide whether to adopt it, and publish what it adopts.
+//! [`local_catalogue::LocalCatalogue`] decide whether to adopt it, and publish what it adopts.
 
 use std::cell;
 use std::fmt;
@@ -10,8 +10,8 @@
 use std::sync;
 use std::time;
 
-use figscale_core::catalogue::book;
 use figscale_core::catalogue::history;
+use figscale_core::catalogue::local_catalogue;
 use figscale_types::catalogue;
 use figscale_types::ids;
 use figscale_types::operator;
@@ -73,7 +73,7 @@
 /// The state of the service.
 pub(super) struct Service {
     pub(super) context: state::Context,
-    book: cell::RefCell<book::Book>,
+    local_catalogue: cell::RefCell<local_catalogue::LocalCatalogue>,
     /// The store's revision of the key as last read.
     store_revision: cell::Cell<ids::Revision>,
     store_unavailable: cell::Cell<bool>,
@@ -86,7 +86,7 @@
     pub(super) fn new(context: state::Context) -> Self {
         Self {
             context,
-            book: cell::RefCell::default(),
+            local_catalogue: cell::RefCell::default(),
             store_revision: cell::Cell::default(),
             store_unavailable: cell::Cell::new(false),
             change_permits: tokio::sync::Semaphore::new(MAX_CONCURRENT_CHANGES),
@@ -95,7 +95,7 @@
 
     /// The revision in force; `None` while none is known.
     pub(super) fn revision(&self) -> Option<ids::Revision> {
-        self.book.borrow().revision()
+        self.local_catalogue.borrow().revision()
     }
 
     /// The store's revision of the key as last read.
@@ -104,13 +104,13 @@
     }
 
     /// The catalogue in force, in the form in which it is sent to a peer.
-    pub(super) fn newest(&self) -> book::Newest {
-        self.book.borrow().newest()
+    pub(super) fn newest(&self) -> local_catalogue::Newest {
+        self.local_catalogue.borrow().newest()
     }
 
     /// Calls `decide` with the document in force.
     pub(super) fn with_document<R>(&self, decide: impl FnOnce(&catalogue::Document) -> R) -> R {
-        decide(self.book.borrow().document())
+        decide(self.local_catalogue.borrow().document())
     }
 
     /// The catalogue in force.
@@ -125,8 +125,8 @@
 
     /// The accepted changes, newest first.
     pub(super) fn history(&self) -> Vec<operator::HistoryLine> {
-        let book = self.book.borrow();
-        let records = book.document().history.iter().rev();
+        let local_catalogue = self.local_catalogue.borrow();
+        let records = local_catalogue.document().history.iter().rev();
         records.map(|record| record.line.clone()).collect()
     }
 
@@ -135,13 +135,13 @@
         &self,
         revision: ids::Revision,
     ) -> Result<catalogue::Accepted, operator::OperatorError> {
-        let book = self.book.borrow();
-        history::at(book.document(), revision).ok_or_else(|| {
+        let local_catalogue = self.local_catalogue.borrow();
+        history::at(local_catalogue.document(), revision).ok_or_else(|| {
             operator::OperatorError::new(
                 operator::ErrorKind::NotFound,
                 format!(
                     "the catalogue of revision {revision} is not kept; the newest is {}",
-                    book.document().accepted.revision
+                    local_catalogue.document().accepted.revision
                 ),
             )
         })
@@ -201,8 +201,8 @@
     }
 
     fn offer_document(self: &rc::Rc<Self>, document: Option<catalogue::Document>, source: Source) {
-        let repair = self.book.borrow().repair(document.as_ref());
-        let adoption = self.book.borrow_mut().see(document);
+        let repair = self.local_catalogue.borrow().repair(document.as_ref());
+        let adoption = self.local_catalogue.borrow_mut().observe(document);
         self.apply_adoption(adoption, source);
         if let Some(repair) = repair {
             tokio::task::spawn_local(write_back(self.clone(), self.store_revision.get(), repair));
@@ -210,22 +210,22 @@
     }
 
     /// Offers a catalogue received from a peer for adoption.
-    pub(super) fn offer_newest(self: &rc::Rc<Self>, newest: book::Newest) {
-        let adoption = self.book.borrow_mut().see_newest(newest);
+    pub(super) fn offer_newest(self: &rc::Rc<Self>, newest: local_catalogue::Newest) {
+        let adoption = self.local_catalogue.borrow_mut().observe_newest(newest);
         self.apply_adoption(adoption, Source::Peer);
     }
 
     /// Adopts a document whose write is known to have taken effect.
     pub(super) fn adopt_written(self: &rc::Rc<Self>, document: catalogue::Document) {
-        let adoption = self.book.borrow_mut().see(Some(document));
+        let adoption = self.local_catalogue.borrow_mut().observe(Some(document));
         self.apply_adoption(adoption, Source::Apply);
     }
 
-    fn apply_adoption(self: &rc::Rc<Self>, adoption: book::Adoption, source: Source) {
-        let revision = self.book.borrow().document().accepted.revision;
+    fn apply_adoption(self: &rc::Rc<Self>, adoption: local_catalogue::Adoption, source: Source) {
+        let revision = self.local_catalogue.borrow().document().accepted.revision;
         match adoption {
-            book::Adoption::Same => {}
-            book::Adoption::Adopted => {
+            local_catalogue::Adoption::Same => {}
+            local_catalogue::Adoption::Adopted => {
                 self.publish();
                 crate::event!(
                     events::CATALOGUE_IN_FORCE,
@@ -233,15 +233,15 @@
                     source = source
                 );
             }
-            book::Adoption::Older if source == Source::Peer => {}
-            book::Adoption::Older => {
+            local_catalogue::Adoption::Older if source == Source::Peer => {}
+            local_catalogue::Adoption::Older => {
                 crate::event!(
                     events::CATALOGUE_OLDER_IGNORED,
                     in_force = revision,
                     source = source
                 );
             }
-            book::Adoption::Forked => {
+            local_catalogue::Adoption::Forked => {
                 crate::event!(
                     events::CATALOGUE_FORKED,
                     revision = revision,
@@ -252,7 +252,7 @@
     }
 
     fn publish(&self) {
-        let accepted = self.book.borrow().document().accepted.clone();
+        let accepted = self.local_catalogue.borrow().document().accepted.clone();
         self.context.metrics.catalogue_adopted(accepted.revision);
         self.context
             .shared
--- a/crates/figscale/src/claims/dump.rs
+++ b/crates/figscale/src/claims/dump.rs
@@ -43,7 +43,7 @@
     };
     let shown = |held: &core::Held| HeldDump {
         epoch: held.epoch,
-        held_ms: clock::millis(now.saturating_duration_since(held.taken_at)),
+        held_ms: clock::millis(now.saturating_duration_since(held.acquired_at)),
         clean: held.clean,
     };
     let status = machine.status();
--- a/crates/figscale/src/traffic/homes.rs
+++ b/crates/figscale/src/traffic/homes.rs
@@ -242,7 +242,7 @@
     fn new_home(&self, shard: &ids::ShardId, epoch: ids::Epoch, now_ms: u64) -> Option<Home> {
         let view = self.context.shared.claims_now();
         let held = view.held.get(shard).filter(|held| held.epoch == epoch)?;
-        let ago = self.now().saturating_duration_since(held.taken_at);
+        let ago = self.now().saturating_duration_since(held.acquired_at);
         let ago_ms = u64::try_from(ago.as_millis()).unwrap_or(0);
         let acquired = Acquired {
             ago,
--- a/crates/figscale/tests/requests_cell/mod.rs
+++ b/crates/figscale/tests/requests_cell/mod.rs
@@ -207,7 +207,7 @@
         line.holder = Some(self.entries[to].context.me());
         let held = state::Held {
             epoch: line.epoch,
-            taken_at: now,
+            acquired_at: now,
             last_foreign_dispatch: now,
             clean,
         };
