--- a/crates/figscale-core/examples/request_waits/faults.rs
+++ b/crates/figscale-core/examples/request_waits/faults.rs
@@ -2,9 +2,9 @@
 //! entry instance.
 
 use crate::setting;
-use crate::world;
+use crate::simulation;
 
-impl world::Simulation {
+impl simulation::Simulation {
     pub(crate) fn push(&mut self, entry: usize) {
         if !self.entries[entry].alive {
             return;
@@ -15,18 +15,18 @@
         for other in (0..setting::ENTRIES).filter(|other| *other != entry) {
             self.after(
                 setting::HOP_LATENCY,
-                world::Event::CountsReceived(entry, other),
+                simulation::Event::CountsReceived(entry, other),
             );
         }
-        self.after(setting::PUSH_INTERVAL, world::Event::Push(entry));
+        self.after(setting::PUSH_INTERVAL, simulation::Event::Push(entry));
     }
 
     pub(crate) fn report(&mut self) {
-        self.after(setting::REPORT_INTERVAL, world::Event::Report);
+        self.after(setting::REPORT_INTERVAL, simulation::Event::Report);
         for entry in 0..setting::ENTRIES {
             let now = self.now;
             let dispatcher = &mut self.entries[entry].dispatcher;
-            let worth: Vec<_> = (dispatcher.table().worth_asking(now))
+            let worth: Vec<_> = (dispatcher.table().awaiting_report(now))
                 .map(|runner| runner.instance.id.clone())
                 .collect();
             for id in worth {
@@ -46,16 +46,16 @@
             if self.requests[number].entry == 0 {
                 self.outcome.failed[self.requests[number].class] += 1;
             } else {
-                self.requests[number].excluded.push(world::key(0, 1));
+                self.requests[number].excluded.push(simulation::key(0, 1));
                 self.choose(number);
             }
         }
         for entry in 1..setting::ENTRIES {
             self.entries[entry]
-                .board
-                .retain(|member| *member != world::key(0, 1));
+                .usage_table
+                .retain(|member| *member != simulation::key(0, 1));
         }
-        self.after(setting::TAKEOVER_DELAY, world::Event::TakeOver);
+        self.after(setting::TAKEOVER_DELAY, simulation::Event::TakeOver);
     }
 
     pub(crate) fn take_over(&mut self) {
--- a/crates/figscale-core/examples/request_waits/main.rs
+++ b/crates/figscale-core/examples/request_waits/main.rs
@@ -16,7 +16,7 @@
 mod faults;
 mod serve;
 mod setting;
-mod world;
+mod simulation;
 
 use std::env;
 
@@ -30,7 +30,7 @@
 }
 
 fn print_row(policy: setting::Policy, fault: setting::Fault, load: f64, seed: u64) {
-    let mut outcome = world::Simulation::new(policy, fault, load, seed).run();
+    let mut outcome = simulation::Simulation::new(policy, fault, load, seed).run();
     let slot_s = setting::DURATION_S as f64 * setting::RUNNERS as f64 * f64::from(setting::SLOTS);
     let used = outcome.busy_s / slot_s;
     print!("| {load} | {fault:?} | {policy:?} |");
--- a/crates/figscale-core/examples/request_waits/serve.rs
+++ b/crates/figscale-core/examples/request_waits/serve.rs
@@ -7,9 +7,9 @@
 use rand::RngExt as _;
 
 use crate::setting;
-use crate::world;
+use crate::simulation;
 
-impl world::Simulation {
+impl simulation::Simulation {
     pub(crate) fn choose(&mut self, number: usize) {
         let entry = self.requests[number].entry;
         if self.policy == setting::Policy::Fixed {
@@ -18,19 +18,19 @@
         }
         let urgency = setting::CLASSES[self.requests[number].class].urgency;
         let request = &self.requests[number];
-        let me = world::key(entry, 1);
+        let me = simulation::key(entry, 1);
         let here = !request.excluded.contains(&me);
         let state = &mut self.entries[entry];
-        let own = state.dispatcher.counts_of(&world::service(), self.now);
+        let own = state.dispatcher.counts_of(&simulation::service(), self.now);
         if here
             && state
                 .dispatcher
-                .would_grant(&world::service(), urgency, self.now)
+                .would_grant(&simulation::service(), urgency, self.now)
         {
             return self.submit(number, entry, false);
         }
-        let chosen = (state.board).choose(
-            &world::service(),
+        let chosen = (state.usage_table).choose(
+            &simulation::service(),
             urgency,
             &request.excluded,
             self.now,
@@ -38,11 +38,13 @@
         );
         match chosen {
             Some(choice) if !here || choice.room > own.room(urgency, 0) => {
-                state.board.sent(&world::service(), &choice.member);
+                state
+                    .usage_table
+                    .record_sent(&simulation::service(), &choice.member);
                 self.outcome.forwarded += 1;
                 self.after(
                     setting::HOP_LATENCY,
-                    world::Event::Forwarded(number, world::number_of(&choice.member)),
+                    simulation::Event::Forwarded(number, simulation::number_of(&choice.member)),
                 );
             }
             _ if here && own.slots > 0 => self.submit(number, entry, false),
@@ -54,7 +56,7 @@
         if !self.entries[holder].alive {
             // The connection breaks; only the head of the request was sent.
             let request = &mut self.requests[number];
-            request.excluded.push(world::key(holder, 1));
+            request.excluded.push(simulation::key(holder, 1));
             return self.choose(number);
         }
         let ticket = queue::Ticket(self.count);
@@ -64,7 +66,7 @@
         let submission = dispatcher::Submission {
             ticket,
             entry: class.name.parse().expect("a name"),
-            service: world::service(),
+            service: simulation::service(),
             owner: "owner".parse().expect("a name"),
             weight: 1,
             urgency: class.urgency,
@@ -84,12 +86,15 @@
                 if self.policy == setting::Policy::Shared {
                     self.after(
                         setting::RECHECK_INTERVAL,
-                        world::Event::Recheck(number, moves),
+                        simulation::Event::Recheck(number, moves),
                     );
                 }
             }
             dispatcher::Submitted::Refused(_) if forwarded => {
-                self.after(setting::HOP_LATENCY, world::Event::Refused(number, holder));
+                self.after(
+                    setting::HOP_LATENCY,
+                    simulation::Event::Refused(number, holder),
+                );
             }
             dispatcher::Submitted::Refused(_) => self.refused(number, holder),
         }
@@ -98,10 +103,10 @@
     pub(crate) fn refused(&mut self, number: usize, holder: usize) {
         let entry = self.requests[number].entry;
         self.entries[entry]
-            .board
-            .refused(&world::service(), &world::key(holder, 1));
+            .usage_table
+            .record_refusal(&simulation::service(), &simulation::key(holder, 1));
         let request = &mut self.requests[number];
-        request.excluded.push(world::key(holder, 1));
+        request.excluded.push(simulation::key(holder, 1));
         request.refusals += 1;
         if request.refusals >= 3 {
             self.outcome.refused[request.class] += 1;
@@ -124,15 +129,19 @@
         let own = holder != entry
             && state
                 .dispatcher
-                .would_grant(&world::service(), urgency, now);
-        let chosen = state
-            .board
-            .choose(&world::service(), urgency, &excluded, now, &mut self.rng);
-        let better = chosen.filter(|c| c.room > 0.0 && world::number_of(&c.member) != holder);
+                .would_grant(&simulation::service(), urgency, now);
+        let chosen = state.usage_table.choose(
+            &simulation::service(),
+            urgency,
+            &excluded,
+            now,
+            &mut self.rng,
+        );
+        let better = chosen.filter(|c| c.room > 0.0 && simulation::number_of(&c.member) != holder);
         if !own && better.is_none() {
             return self.after(
                 setting::RECHECK_INTERVAL,
-                world::Event::Recheck(number, moves),
+                simulation::Event::Recheck(number, moves),
             );
         }
         let ticket = self.entries[holder]
@@ -149,11 +158,11 @@
             _ if own => self.submit(number, entry, false),
             Some(choice) => {
                 self.entries[entry]
-                    .board
-                    .sent(&world::service(), &choice.member);
+                    .usage_table
+                    .record_sent(&simulation::service(), &choice.member);
                 self.after(
                     setting::HOP_LATENCY,
-                    world::Event::Forwarded(number, world::number_of(&choice.member)),
+                    simulation::Event::Forwarded(number, simulation::number_of(&choice.member)),
                 );
             }
             None => {}
@@ -188,7 +197,7 @@
         let most = self.outcome.max_at_runner.max(self.at_runner[runner]);
         self.outcome.max_at_runner = most;
         self.running.insert((holder, slot), (number, runner, run));
-        self.after(run, world::Event::Done(holder, slot, runner));
+        self.after(run, simulation::Event::Done(holder, slot, runner));
     }
 
     pub(crate) fn done(&mut self, holder: usize, slot: u64) {
@@ -215,7 +224,7 @@
         self.entries[holder].dispatcher.finish(id, end, self.now);
         if failing {
             let request = &mut self.requests[number];
-            request.avoid = Some(world::runner_id(runner));
+            request.avoid = Some(simulation::runner_id(runner));
             if request.attempts < 3 {
                 self.choose(number);
             } else {
--- a/crates/figscale-core/examples/request_waits/world.rs
+++ b/crates/figscale-core/examples/request_waits/simulation.rs
@@ -4,10 +4,10 @@
 use std::collections;
 use std::time;
 
-use figscale_core::request::board;
 use figscale_core::request::dispatcher;
 use figscale_core::request::queue;
 use figscale_core::request::slots;
+use figscale_core::request::usage_table;
 use figscale_types::ids;
 use figscale_types::instances;
 use figscale_types::sizes;
@@ -54,8 +54,8 @@
 pub(crate) struct Entry {
     pub(crate) alive: bool,
     pub(crate) dispatcher: dispatcher::Dispatcher,
-    pub(crate) board: board::Board,
-    pub(crate) pushed: IndexMap<ids::ServiceName, board::Counts>,
+    pub(crate) usage_table: usage_table::UsageTable,
+    pub(crate) pushed: IndexMap<ids::ServiceName, usage_table::Counts>,
     pub(crate) tickets: IndexMap<queue::Ticket, usize>,
     /// For the baseline: own slots in use, by runner, and the queue.
     pub(crate) used: Vec<u32>,
@@ -143,7 +143,7 @@
             .map(|_| Entry {
                 alive: true,
                 dispatcher: dispatcher::Dispatcher::default(),
-                board: board::Board::new(board::BoardConfig::default()),
+                usage_table: usage_table::UsageTable::new(usage_table::UsageTableConfig::default()),
                 pushed: IndexMap::new(),
                 tickets: IndexMap::new(),
                 used: vec![0; setting::RUNNERS],
@@ -238,7 +238,9 @@
             Event::CountsReceived(from, to) => {
                 let counts = self.entries[from].pushed.clone();
                 let now = self.now;
-                self.entries[to].board.hear(&key(from, 1), &counts, now);
+                self.entries[to]
+                    .usage_table
+                    .record_counts(&key(from, 1), &counts, now);
             }
             Event::Report => self.report(),
             Event::Kill => self.kill(),
--- a/crates/figscale-core/src/request/admission.rs
+++ b/crates/figscale-core/src/request/admission.rs
@@ -124,11 +124,11 @@
         }
     }
 
-    /// Admits a request, which counts as in progress until [`Admission::leave`],
+    /// Admits a request, which counts as in progress until [`Admission::release_request`],
     /// or returns the reason for refusing it.
     ///
     /// `parts` is the number of entry instances that share the owner's limits.
-    pub fn enter(
+    pub fn admit_request(
         &mut self,
         catalogue: &catalogue::Catalogue,
         entry: &ids::EntryName,
@@ -189,7 +189,7 @@
     }
 
     /// Removes an admitted request from the requests in progress.
-    pub fn leave(&mut self, owner: &ids::OwnerName) {
+    pub fn release_request(&mut self, owner: &ids::OwnerName) {
         if let Some(bucket) = self.owners.get_mut(owner) {
             bucket.in_progress = bucket.in_progress.saturating_sub(1);
         }
@@ -207,7 +207,7 @@
     /// The lower end of the range is capped, so that a backlog near or above the
     /// longest retry time still leaves a range to draw from, and callers are not
     /// all told the same time.
-    pub fn come_back(&self, backlog: time::Duration, rng: &mut impl rand::Rng) -> time::Duration {
+    pub fn retry_after(&self, backlog: time::Duration, rng: &mut impl rand::Rng) -> time::Duration {
         let longest = self.config.max_retry_after;
         let least = self
             .config
--- a/crates/figscale-core/src/request/once.rs
+++ b/crates/figscale-core/src/request/dedup.rs
@@ -12,7 +12,7 @@
 //!
 //! The cost is that new ids are refused for a short time after each take-over;
 //! in return no request needs a write to the store. In a planned hand-over the
-//! old home sends its memory to the new one ([`Kept`]), and no new id is refused.
+//! old home sends its memory to the new one ([`HandoverState`]), and no new id is refused.
 //!
 //! [`Verdict::MayHaveRun`]: figscale_types::verdict::Verdict::MayHaveRun
 //! [`Verdict::NotRun`]: figscale_types::verdict::Verdict::NotRun
@@ -28,11 +28,11 @@
 use serde::Serialize;
 
 /// Maximum number of ids sent to the next home, so that they fit into a message.
-pub const MAX_KEPT: usize = 100_000;
+pub const MAX_HANDOVER_IDS: usize = 100_000;
 
 /// Settings of the deduplication.
 #[derive(Clone, Copy, Debug)]
-pub struct OnceConfig {
+pub struct DedupConfig {
     /// Tolerated difference between two clocks. Default 1,000 ms.
     pub tolerance: time::Duration,
     /// Maximum number of ids remembered by one home. Default 200,000.
@@ -41,7 +41,7 @@
     pub keep: time::Duration,
 }
 
-impl Default for OnceConfig {
+impl Default for DedupConfig {
     fn default() -> Self {
         Self {
             tolerance: time::Duration::from_millis(1_000),
@@ -92,7 +92,7 @@
 
 /// Memory that a home sends to the next one in a planned hand-over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct HandoverState {
     floor_ms: u64,
     /// Ids as numbers, which are shorter than text in a message.
     lines: Vec<(u128, IdRecord)>,
@@ -100,19 +100,19 @@
 
 /// Request ids remembered by one home.
 #[derive(Clone, Debug)]
-pub struct Memory {
-    config: OnceConfig,
+pub struct SeenIds {
+    config: DedupConfig,
     floor_ms: u64,
     ids: BTreeMap<uuid::Uuid, IdRecord>,
 }
 
-impl Memory {
+impl SeenIds {
     /// Creates the memory of a home that took over at `taken_unix_ms`.
     ///
     /// The floor allows for two clock differences: the clock of the earlier home
     /// may have been ahead by the tolerance when it admitted an id that was
     /// itself ahead by the tolerance.
-    pub fn new(config: OnceConfig, taken_unix_ms: u64) -> Self {
+    pub fn new(config: DedupConfig, taken_unix_ms: u64) -> Self {
         let tolerance_ms = clock::millis(config.tolerance);
         Self {
             config,
@@ -122,7 +122,7 @@
     }
 
     /// Creates the memory of a home whose shard nobody held before.
-    pub fn first(config: OnceConfig) -> Self {
+    pub fn first(config: DedupConfig) -> Self {
         Self {
             config,
             floor_ms: 0,
@@ -131,7 +131,7 @@
     }
 
     /// Creates the memory from what the earlier home sent.
-    pub fn from_kept(config: OnceConfig, kept: Kept) -> Self {
+    pub fn from_handover(config: DedupConfig, kept: HandoverState) -> Self {
         let record = |(id, record)| (uuid::Uuid::from_u128(id), record);
         Self {
             config,
@@ -140,14 +140,14 @@
         }
     }
 
-    /// Memory to send to the next home: the newest ids, at most [`MAX_KEPT`],
+    /// Memory to send to the next home: the newest ids, at most [`MAX_HANDOVER_IDS`],
     /// with the floor raised to cover the others.
-    pub fn pass_on(&self) -> Kept {
-        let older = self.ids.len().saturating_sub(MAX_KEPT);
+    pub fn handover_state(&self) -> HandoverState {
+        let older = self.ids.len().saturating_sub(MAX_HANDOVER_IDS);
         let newest_left_out = self.ids.keys().take(older).next_back();
         let left_out_ms = newest_left_out.and_then(|id| stamp_ms(ids::RequestId(*id)));
         let newer = self.ids.iter().skip(older);
-        Kept {
+        HandoverState {
             floor_ms: self.floor_ms.max(left_out_ms.unwrap_or(0)),
             lines: newer.map(|(id, record)| (id.as_u128(), *record)).collect(),
         }
--- a/crates/figscale-core/src/request/dispatcher/counts.rs
+++ b/crates/figscale-core/src/request/dispatcher/counts.rs
@@ -8,11 +8,11 @@
 use indexmap::IndexMap;
 
 use super::Dispatcher;
-use crate::request::board;
 use crate::request::outlier;
 use crate::request::queue;
 use crate::request::service_time;
 use crate::request::slots;
+use crate::request::usage_table;
 
 impl Dispatcher {
     /// Time that a new request of this urgency is expected to wait.
@@ -38,7 +38,7 @@
 
     /// Slot counts of every service with a held runner, to be pushed to the other
     /// holders.
-    pub fn counts(&self, now: time::Instant) -> IndexMap<ids::ServiceName, board::Counts> {
+    pub fn counts(&self, now: time::Instant) -> IndexMap<ids::ServiceName, usage_table::Counts> {
         let names = self.table.services();
         names
             .map(|name| (name.clone(), self.counts_of(name, now)))
@@ -46,7 +46,7 @@
     }
 
     /// Slot counts of one service.
-    pub fn counts_of(&self, name: &ids::ServiceName, now: time::Instant) -> board::Counts {
+    pub fn counts_of(&self, name: &ids::ServiceName, now: time::Instant) -> usage_table::Counts {
         let live = self.table.of_service(name).filter(|r| !r.is_leaving());
         let slots = live.map(|runner| runner.instance.slots).sum();
         let usable = self.usable(name, now);
@@ -56,7 +56,7 @@
             let ahead = queue.map_or(0, |queue| queue.ahead_of(urgency));
             u32::try_from(ahead).unwrap_or(u32::MAX)
         };
-        board::Counts {
+        usage_table::Counts {
             slots,
             free: queue::URGENCIES.map(|urgency| match urgency {
                 catalogue::Urgency::BestEffort => usable.saturating_sub(reserve),
--- a/crates/figscale-core/src/request/dispatcher/mod.rs
+++ b/crates/figscale-core/src/request/dispatcher/mod.rs
@@ -243,8 +243,8 @@
     }
 
     /// Records that a runner has announced that it is leaving.
-    pub fn says_leaving(&mut self, runner: &ids::InstanceId) {
-        self.table.says_leaving(runner);
+    pub fn mark_leaving(&mut self, runner: &ids::InstanceId) {
+        self.table.mark_leaving(runner);
     }
 
     /// Grants slots to waiting requests, and refuses those whose deadline has
--- a/crates/figscale-core/src/request/mod.rs
+++ b/crates/figscale-core/src/request/mod.rs
@@ -6,8 +6,8 @@
 //! of its runners ([`dispatcher`]). It does so from an in-memory table ([`slots`])
 //! to requests that wait in a fair queue ([`queue`]). An entry instance that has
 //! no free slot of its own chooses another holder by the slot counts that holders
-//! send each other ([`board`]). [`retry`] decides which failed attempts may be
-//! retried, and [`once`] deduplicates the ids of requests that must run at most
+//! send each other ([`usage_table`]). [`retry`] decides which failed attempts may be
+//! retried, and [`dedup`] deduplicates the ids of requests that must run at most
 //! once.
 //!
 //! The queue is at the holder, but only the head of a request waits there: its
@@ -15,11 +15,11 @@
 //! therefore loses only its position in a queue and is known not to have run.
 
 pub mod admission;
-pub mod board;
+pub mod dedup;
 pub mod dispatcher;
-pub mod once;
 pub mod outlier;
 pub mod queue;
 pub mod retry;
 pub mod service_time;
 pub mod slots;
+pub mod usage_table;
--- a/crates/figscale-core/src/request/retry.rs
+++ b/crates/figscale-core/src/request/retry.rs
@@ -34,33 +34,33 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     config: RetryConfig,
-    saved: f64,
+    balance: f64,
 }
 
 impl RetryBudget {
     /// Creates a full budget.
     pub fn new(config: RetryConfig) -> Self {
-        let saved = config.burst;
-        Self { config, saved }
+        let balance = config.burst;
+        Self { config, balance }
     }
 
     /// Adds the contribution of a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + self.config.ratio).min(self.config.burst);
+        self.balance = (self.balance + self.config.ratio).min(self.config.burst);
     }
 
     /// Takes one retry from the budget; `false` if it has less than one.
     pub fn spend(&mut self) -> bool {
-        let enough = self.saved >= 1.0;
+        let enough = self.balance >= 1.0;
         if enough {
-            self.saved -= 1.0;
+            self.balance -= 1.0;
         }
         enough
     }
 
     /// Balance of the budget, in retries.
-    pub fn saved(&self) -> f64 {
-        self.saved
+    pub fn balance(&self) -> f64 {
+        self.balance
     }
 }
 
--- a/crates/figscale-core/src/request/slots.rs
+++ b/crates/figscale-core/src/request/slots.rs
@@ -67,7 +67,7 @@
     /// Epoch under which the shard is held; `None` once it is no longer held.
     pub epoch: Option<ids::Epoch>,
     /// Whether the runner itself has announced that it is leaving.
-    pub said_leaving: bool,
+    pub announced_leaving: bool,
     /// Requests of this holder in progress.
     pub busy: u32,
     withheld_slots: Vec<WithheldSlots>,
@@ -75,7 +75,7 @@
 
 impl Runner {
     /// Slots withheld at `now`, not counting busy ones.
-    pub fn kept_back(&self, now: time::Instant) -> u32 {
+    pub fn withheld(&self, now: time::Instant) -> u32 {
         let open = self.withheld_slots.iter().filter(|q| now < q.until);
         open.map(|q| q.count).sum()
     }
@@ -85,13 +85,13 @@
         if self.epoch.is_none() || self.is_leaving() {
             return 0;
         }
-        let used = self.busy + self.kept_back(now);
+        let used = self.busy + self.withheld(now);
         self.instance.slots.saturating_sub(used)
     }
 
     /// Whether the runner is leaving and gets no new requests.
     pub fn is_leaving(&self) -> bool {
-        self.said_leaving || self.instance.life == instances::Life::Leaving
+        self.announced_leaving || self.instance.life == instances::Life::Leaving
     }
 
     /// Maximum number of connections that one holder may have to the runner.
@@ -106,7 +106,7 @@
 
     /// Whether no request of this or an earlier holder can be in progress.
     pub fn is_idle(&self, now: time::Instant) -> bool {
-        self.busy == 0 && self.kept_back(now) == 0
+        self.busy == 0 && self.withheld(now) == 0
     }
 }
 
@@ -172,7 +172,7 @@
                 instance: instance.clone(),
                 shard: shard_id.clone(),
                 epoch: None,
-                said_leaving: false,
+                announced_leaving: false,
                 busy: 0,
                 withheld_slots: Vec::new(),
             });
@@ -298,14 +298,14 @@
     }
 
     /// Records that a runner has announced that it is leaving.
-    pub fn says_leaving(&mut self, id: &ids::InstanceId) {
+    pub fn mark_leaving(&mut self, id: &ids::InstanceId) {
         if let Some(runner) = self.runners.get_mut(id) {
-            runner.said_leaving = true;
+            runner.announced_leaving = true;
         }
     }
 
     /// Runners for which a report taken now could release withheld slots.
-    pub fn worth_asking(&self, now: time::Instant) -> impl Iterator<Item = &Runner> {
+    pub fn awaiting_report(&self, now: time::Instant) -> impl Iterator<Item = &Runner> {
         self.runners.values().filter(move |runner| {
             let withheld_slots = &runner.withheld_slots;
             withheld_slots
--- a/crates/figscale-core/src/request/board.rs
+++ b/crates/figscale-core/src/request/usage_table.rs
@@ -3,7 +3,7 @@
 //! Holders push their slot counts to each other on change, at a bounded rate. A
 //! count is out of date when it arrives. Every request that is sent because of it
 //! is therefore subtracted at once, and the counts of a holder that have not been
-//! refreshed for [`BoardConfig::stale_after`] are taken to have no free slot.
+//! refreshed for [`UsageTableConfig::stale_after`] are taken to have no free slot.
 //!
 //! Of two holders drawn at random, the one with more free capacity is chosen.
 //! Many entry instances decide at the same moment on the same counts: the random
@@ -23,12 +23,12 @@
 
 /// Settings of the table.
 #[derive(Clone, Copy, Debug)]
-pub struct BoardConfig {
+pub struct UsageTableConfig {
     /// Age above which the free slots of a holder count as taken. Default 1,500 ms.
     pub stale_after: time::Duration,
 }
 
-impl Default for BoardConfig {
+impl Default for UsageTableConfig {
     fn default() -> Self {
         Self {
             stale_after: time::Duration::from_millis(1_500),
@@ -75,8 +75,8 @@
 
 /// Slot counts of the other holders.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
-    config: BoardConfig,
+pub struct UsageTable {
+    config: UsageTableConfig,
     by_service: IndexMap<ids::ServiceName, IndexMap<ids::MemberKey, HolderCounts>>,
     last_report: IndexMap<ids::MemberKey, time::Instant>,
 }
@@ -90,9 +90,9 @@
     pub room: f64,
 }
 
-impl Board {
+impl UsageTable {
     /// Creates an empty table.
-    pub fn new(config: BoardConfig) -> Self {
+    pub fn new(config: UsageTableConfig) -> Self {
         Self {
             config,
             ..Self::default()
@@ -100,7 +100,7 @@
     }
 
     /// Replaces all counts of a holder by the ones that it reported.
-    pub fn hear(
+    pub fn record_counts(
         &mut self,
         member: &ids::MemberKey,
         counts: &IndexMap<ids::ServiceName, Counts>,
@@ -132,21 +132,21 @@
     }
 
     /// Whether a holder has never reported, or not within
-    /// [`BoardConfig::stale_after`].
-    pub fn is_silent(&self, member: &ids::MemberKey, now: time::Instant) -> bool {
+    /// [`UsageTableConfig::stale_after`].
+    pub fn is_unresponsive(&self, member: &ids::MemberKey, now: time::Instant) -> bool {
         let last = self.last_report.get(member);
         last.is_none_or(|last| now.saturating_duration_since(*last) > self.config.stale_after)
     }
 
     /// Records that a request was sent to a holder because of its counts.
-    pub fn sent(&mut self, service: &ids::ServiceName, member: &ids::MemberKey) {
+    pub fn record_sent(&mut self, service: &ids::ServiceName, member: &ids::MemberKey) {
         if let Some(holder) = self.counts_mut(service, member) {
             holder.sent_since += 1;
         }
     }
 
     /// Records that a holder refused a request for lack of free slots.
-    pub fn refused(&mut self, service: &ids::ServiceName, member: &ids::MemberKey) {
+    pub fn record_refusal(&mut self, service: &ids::ServiceName, member: &ids::MemberKey) {
         if let Some(holder) = self.counts_mut(service, member) {
             holder.sent_since = holder.sent_since.max(holder.counts.free[0]);
         }
@@ -186,12 +186,12 @@
     }
 
     /// Members that have reported, including those that hold nothing.
-    pub fn heard(&self) -> impl Iterator<Item = &ids::MemberKey> {
+    pub fn reporting_members(&self) -> impl Iterator<Item = &ids::MemberKey> {
         self.last_report.keys()
     }
 
     /// All counts, by service and holder.
-    pub fn lines(&self) -> impl Iterator<Item = (&ids::ServiceName, &ids::MemberKey, Counts)> {
+    pub fn all_counts(&self) -> impl Iterator<Item = (&ids::ServiceName, &ids::MemberKey, Counts)> {
         self.by_service.iter().flat_map(|(service, holders)| {
             holders
                 .iter()
--- a/crates/figscale-core/tests/request_admission.rs
+++ b/crates/figscale-core/tests/request_admission.rs
@@ -30,7 +30,7 @@
     serde_json::from_str(CATALOGUE).unwrap()
 }
 
-fn enter(
+fn admit_request(
     admission: &mut admission::Admission,
     entry: &str,
     owner: &str,
@@ -39,7 +39,7 @@
 ) -> Result<(), Reason> {
     let entry = entry.parse().unwrap();
     let owner = owner.parse().unwrap();
-    let entered = admission.enter(&catalogue(), &entry, &owner, parts, now);
+    let entered = admission.admit_request(&catalogue(), &entry, &owner, parts, now);
     entered.map(drop)
 }
 
@@ -61,7 +61,10 @@
     #[case] expected: Result<(), Reason>,
 ) {
     let now = time::Instant::now();
-    assert_eq!(enter(&mut admission(), entry, owner, 1, now), expected);
+    assert_eq!(
+        admit_request(&mut admission(), entry, owner, 1, now),
+        expected
+    );
 }
 
 /// Number of requests admitted at once and in the ten seconds after, with 50
@@ -80,7 +83,7 @@
     let mut admission = admission();
     let mut admitted_of_50 = |now| {
         let admitted =
-            (0..50).filter(|_| enter(&mut admission, "quote", owner, parts, now).is_ok());
+            (0..50).filter(|_| admit_request(&mut admission, "quote", owner, parts, now).is_ok());
         admitted.count()
     };
     assert_eq!(admitted_of_50(start), at_once);
@@ -98,9 +101,10 @@
 fn idle_time_accumulates_at_most_one_second_of_the_rate() {
     let start = time::Instant::now();
     let mut admission = admission();
-    enter(&mut admission, "quote", "brokers", 1, start).unwrap();
+    admit_request(&mut admission, "quote", "brokers", 1, start).unwrap();
     let later = start + time::Duration::from_secs(3_600);
-    let admitted = (0..50).filter(|_| enter(&mut admission, "quote", "brokers", 1, later).is_ok());
+    let admitted =
+        (0..50).filter(|_| admit_request(&mut admission, "quote", "brokers", 1, later).is_ok());
     assert_eq!(admitted.count(), 10);
 }
 
@@ -111,13 +115,14 @@
 fn requests_in_progress_are_limited(#[case] parts: u32, #[case] expected: usize) {
     let now = time::Instant::now();
     let mut admission = admission();
-    let ask =
-        |admission: &mut admission::Admission| enter(admission, "quote", "harbour", parts, now);
+    let ask = |admission: &mut admission::Admission| {
+        admit_request(admission, "quote", "harbour", parts, now)
+    };
     for _ in 0..expected {
         assert_eq!(ask(&mut admission), Ok(()));
     }
     assert_eq!(ask(&mut admission), Err(Reason::OverConcurrency));
-    admission.leave(&"harbour".parse().unwrap());
+    admission.release_request(&"harbour".parse().unwrap());
     assert_eq!(ask(&mut admission), Ok(()));
     assert_eq!(ask(&mut admission), Err(Reason::OverConcurrency));
 }
@@ -133,7 +138,7 @@
     let admission = admission();
     let backlog = time::Duration::from_millis(backlog_ms);
     let mut times: Vec<_> = (0..100)
-        .map(|_| admission.come_back(backlog, &mut rng).as_millis())
+        .map(|_| admission.retry_after(backlog, &mut rng).as_millis())
         .collect();
     times.sort_unstable();
     assert!(times[0] >= least_ms && times[99] <= most_ms, "{times:?}");
--- a/crates/figscale-core/tests/request_board.rs
+++ b/crates/figscale-core/tests/request_board.rs
@@ -4,7 +4,7 @@
 
 use std::time;
 
-use figscale_core::request::board;
+use figscale_core::request::usage_table;
 use figscale_types::catalogue::Urgency;
 use figscale_types::ids;
 use indexmap::IndexMap;
@@ -23,35 +23,44 @@
     }
 }
 
-fn counts(slots: u32, free: [u32; 3], ahead: [u32; 3]) -> board::Counts {
-    board::Counts { slots, free, ahead }
+fn counts(slots: u32, free: [u32; 3], ahead: [u32; 3]) -> usage_table::Counts {
+    usage_table::Counts { slots, free, ahead }
 }
 
 /// A table in which each holder has the given number of its 8 slots free.
-fn board(free: &[u32], now: time::Instant) -> board::Board {
-    let mut board = board::Board::new(board::BoardConfig::default());
+fn usage_table(free: &[u32], now: time::Instant) -> usage_table::UsageTable {
+    let mut usage_table = usage_table::UsageTable::new(usage_table::UsageTableConfig::default());
     for (number, free) in free.iter().enumerate() {
         report(
-            &mut board,
+            &mut usage_table,
             number as u64,
             counts(8, [*free; 3], [0; 3]),
             now,
         );
     }
-    board
+    usage_table
 }
 
-fn report(board: &mut board::Board, number: u64, counts: board::Counts, now: time::Instant) {
+fn report(
+    usage_table: &mut usage_table::UsageTable,
+    number: u64,
+    counts: usage_table::Counts,
+    now: time::Instant,
+) {
     let counts = IndexMap::from([(service(), counts)]);
-    board.hear(&member(number), &counts, now);
+    usage_table.record_counts(&member(number), &counts, now);
 }
 
 /// How often each of three holders is chosen in 300 draws.
-fn chosen(board: &board::Board, excluded: &[ids::MemberKey], now: time::Instant) -> [u32; 3] {
+fn chosen(
+    usage_table: &usage_table::UsageTable,
+    excluded: &[ids::MemberKey],
+    now: time::Instant,
+) -> [u32; 3] {
     let mut rng = rngs::StdRng::seed_from_u64(1);
     let mut counts = [0; 3];
     for _ in 0..300 {
-        let choice = board.choose(&service(), Urgency::Deadline, excluded, now, &mut rng);
+        let choice = usage_table.choose(&service(), Urgency::Deadline, excluded, now, &mut rng);
         if let Some(choice) = choice {
             let number = (0..3).find(|n| member(*n) == choice.member).unwrap();
             counts[number as usize] += 1;
@@ -68,7 +77,7 @@
 #[case::sent_since(counts(8, [4; 3], [0; 3]), Urgency::Deadline, 6, -0.25)]
 #[case::no_slots(counts(0, [0; 3], [0; 3]), Urgency::Deadline, 0, f64::NEG_INFINITY)]
 fn free_capacity_is_relative_to_slots(
-    #[case] counts: board::Counts,
+    #[case] counts: usage_table::Counts,
     #[case] urgency: Urgency,
     #[case] sent: u32,
     #[case] expected: f64,
@@ -81,47 +90,52 @@
 #[test]
 fn the_better_of_two_is_chosen() {
     let now = time::Instant::now();
-    let [worst, middle, best] = chosen(&board(&[0, 4, 8], now), &[], now);
+    let [worst, middle, best] = chosen(&usage_table(&[0, 4, 8], now), &[], now);
     assert_eq!(worst, 0);
     assert!(middle > 50 && best > middle, "{middle} {best}");
 }
 
 #[rstest]
-#[case::requests_sent(|board: &mut board::Board, _| (0..9).for_each(|_| board.sent(&service(), &member(2))))]
-#[case::a_refusal(|board: &mut board::Board, _| board.refused(&service(), &member(2)))]
-#[case::no_slots_left(|board: &mut board::Board, now| report(board, 2, board::Counts::default(), now))]
-#[case::a_service_no_longer_held(|board: &mut board::Board, now| board.hear(&member(2), &IndexMap::new(), now))]
-#[case::member_gone(|board: &mut board::Board, _| board.retain(|known| *known != member(2)))]
-fn the_best_is_no_longer_chosen_after(#[case] change: fn(&mut board::Board, time::Instant)) {
+#[case::requests_sent(|usage_table: &mut usage_table::UsageTable, _| (0..9).for_each(|_| usage_table.record_sent(&service(), &member(2))))]
+#[case::a_refusal(|usage_table: &mut usage_table::UsageTable, _| usage_table.record_refusal(&service(), &member(2)))]
+#[case::no_slots_left(|usage_table: &mut usage_table::UsageTable, now| report(usage_table, 2, usage_table::Counts::default(), now))]
+#[case::a_service_no_longer_held(|usage_table: &mut usage_table::UsageTable, now| usage_table.record_counts(&member(2), &IndexMap::new(), now))]
+#[case::member_gone(|usage_table: &mut usage_table::UsageTable, _| usage_table.retain(|known| *known != member(2)))]
+fn the_best_is_no_longer_chosen_after(
+    #[case] change: fn(&mut usage_table::UsageTable, time::Instant),
+) {
     let now = time::Instant::now();
-    let mut board = board(&[1, 1, 8], now);
-    assert!(chosen(&board, &[], now)[2] > 0);
-    change(&mut board, now);
-    assert_eq!(chosen(&board, &[], now)[2], 0);
+    let mut usage_table = usage_table(&[1, 1, 8], now);
+    assert!(chosen(&usage_table, &[], now)[2] > 0);
+    change(&mut usage_table, now);
+    assert_eq!(chosen(&usage_table, &[], now)[2], 0);
     // A new report makes the holder eligible again.
-    report(&mut board, 2, counts(8, [8; 3], [0; 3]), now);
-    assert!(chosen(&board, &[], now)[2] > 0);
+    report(&mut usage_table, 2, counts(8, [8; 3], [0; 3]), now);
+    assert!(chosen(&usage_table, &[], now)[2] > 0);
 }
 
 #[test]
 fn an_excluded_holder_is_not_chosen() {
     let now = time::Instant::now();
-    let board = board(&[1, 1, 8], now);
-    assert_eq!(chosen(&board, &[member(2)], now)[2], 0);
+    let usage_table = usage_table(&[1, 1, 8], now);
+    assert_eq!(chosen(&usage_table, &[member(2)], now)[2], 0);
     let all = [member(0), member(1), member(2)];
-    assert_eq!(chosen(&board, &all, now), [0; 3]);
+    assert_eq!(chosen(&usage_table, &all, now), [0; 3]);
 }
 
 #[test]
 fn stale_counts_have_no_free_slot_and_their_holder_is_unresponsive() {
     let now = time::Instant::now();
-    let mut board = board(&[1, 1, 8], now);
+    let mut usage_table = usage_table(&[1, 1, 8], now);
     let old = now + time::Duration::from_millis(1_501);
     for number in [0, 1] {
-        report(&mut board, number, counts(8, [1; 3], [0; 3]), old);
+        report(&mut usage_table, number, counts(8, [1; 3], [0; 3]), old);
     }
-    assert!(!board.is_silent(&member(2), now + time::Duration::from_millis(1_500)));
-    assert!(board.is_silent(&member(2), old));
-    assert!(board.is_silent(&member(9), now), "never reported");
-    assert_eq!(chosen(&board, &[], old)[2], 0);
+    assert!(!usage_table.is_unresponsive(&member(2), now + time::Duration::from_millis(1_500)));
+    assert!(usage_table.is_unresponsive(&member(2), old));
+    assert!(
+        usage_table.is_unresponsive(&member(9), now),
+        "never reported"
+    );
+    assert_eq!(chosen(&usage_table, &[], old)[2], 0);
 }
--- a/crates/figscale-core/tests/request_once.rs
+++ b/crates/figscale-core/tests/request_once.rs
@@ -2,9 +2,9 @@
 
 use std::time;
 
-use figscale_core::request::once;
-use figscale_core::request::once::AttemptId;
-use figscale_core::request::once::Begin;
+use figscale_core::request::dedup;
+use figscale_core::request::dedup::AttemptId;
+use figscale_core::request::dedup::Begin;
 use figscale_types::ids;
 use figscale_types::verdict::Verdict;
 use indexmap::IndexMap;
@@ -13,8 +13,8 @@
 
 const TOLERANCE_MS: u64 = 100;
 
-fn config() -> once::OnceConfig {
-    once::OnceConfig {
+fn config() -> dedup::DedupConfig {
+    dedup::DedupConfig {
         tolerance: time::Duration::from_millis(TOLERANCE_MS),
         capacity: 8,
         keep: time::Duration::from_millis(5_000),
@@ -27,8 +27,8 @@
     ids::RequestId(uuid::Uuid::from_u128(bits))
 }
 
-fn memory() -> once::Memory {
-    once::Memory::new(config(), 10_000)
+fn memory() -> dedup::SeenIds {
+    dedup::SeenIds::new(config(), 10_000)
 }
 
 #[test]
@@ -127,7 +127,7 @@
     fn no_id_is_admitted_twice(steps in prop::collection::vec(step(), 1..200)) {
         let mut now_ms = 100_000_u64;
         let mut home_off = 0_i64;
-        let mut memory = once::Memory::new(config(), now_ms);
+        let mut memory = dedup::SeenIds::new(config(), now_ms);
         let mut seen = Vec::new();
         let mut open = IndexMap::<ids::RequestId, AttemptId>::new();
         let mut attempt = 0;
@@ -157,7 +157,7 @@
                 Step::NewHome(off) => {
                     home_off = off;
                     let taken = now_ms.checked_add_signed(off).unwrap();
-                    memory = once::Memory::new(config(), taken);
+                    memory = dedup::SeenIds::new(config(), taken);
                     None
                 }
                 _ => None,
--- a/crates/figscale-core/tests/request_retry.rs
+++ b/crates/figscale-core/tests/request_retry.rs
@@ -32,7 +32,7 @@
     };
     assert_eq!(failed.may_retry(now, &mut budget), expected);
     // Only an allowed retry is charged to the budget.
-    assert_eq!(budget.saved(), if expected { 19.0 } else { 20.0 });
+    assert_eq!(budget.balance(), if expected { 19.0 } else { 20.0 });
 }
 
 /// When everything fails, retries are limited to the initial balance and a share
--- a/crates/figscale-core/tests/request_slots.rs
+++ b/crates/figscale-core/tests/request_slots.rs
@@ -137,7 +137,7 @@
         };
         table.update(&IndexMap::from([(shard(), held)]), |_| ms(RUN_MS), now);
     } else {
-        table.says_leaving(&runner());
+        table.mark_leaving(&runner());
     }
     assert!(!table.take(&runner(), now));
 }
--- a/crates/figscale/src/traffic/answer.rs
+++ b/crates/figscale/src/traffic/answer.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use figscale_core::request::admission;
-use figscale_core::request::once;
+use figscale_core::request::dedup;
 use figscale_types::clock;
 use figscale_types::headers;
 use figscale_types::ids;
@@ -147,7 +147,7 @@
     },
     /// The home of its id did not accept it: it is a repeat, or that cannot be
     /// ruled out.
-    Repeat(once::Begin),
+    Repeat(dedup::Begin),
     /// Its last attempt failed.
     Failed {
         /// Whether any attempt may have run.
@@ -188,8 +188,8 @@
         match self {
             Self::Bad(bad) => bad.status(),
             Self::Refused { reason, .. } => refused_status(*reason),
-            Self::Repeat(once::Begin::FromFuture) => StatusCode::BAD_REQUEST,
-            Self::Repeat(once::Begin::NotHome) => StatusCode::SERVICE_UNAVAILABLE,
+            Self::Repeat(dedup::Begin::FromFuture) => StatusCode::BAD_REQUEST,
+            Self::Repeat(dedup::Begin::NotHome) => StatusCode::SERVICE_UNAVAILABLE,
             Self::Repeat(_) => StatusCode::CONFLICT,
             Self::Failed {
                 verdict: Verdict::NotRun,
@@ -205,9 +205,9 @@
         match self {
             Self::Bad(bad) => bad.code(),
             Self::Refused { reason, .. } => reason.as_str(),
-            Self::Repeat(once::Begin::FromFuture) => "id-from-future",
-            Self::Repeat(once::Begin::NotHome) => "no-id-home",
-            Self::Repeat(once::Begin::Forgotten) => "id-too-old",
+            Self::Repeat(dedup::Begin::FromFuture) => "id-from-future",
+            Self::Repeat(dedup::Begin::NotHome) => "no-id-home",
+            Self::Repeat(dedup::Begin::Forgotten) => "id-too-old",
             Self::Repeat(_) => "repeat",
             Self::Failed { fault, .. } => fault.as_str(),
             Self::Expired { .. } => "deadline-passed",
@@ -218,13 +218,13 @@
         match self {
             Self::Bad(bad) => bad.message(),
             Self::Refused { reason, .. } => format!("refused: {}", reason.as_str()),
-            Self::Repeat(once::Begin::FromFuture) => {
+            Self::Repeat(dedup::Begin::FromFuture) => {
                 "the request id is not a UUIDv7, or is stamped in the future".to_owned()
             }
-            Self::Repeat(once::Begin::NotHome) => {
+            Self::Repeat(dedup::Begin::NotHome) => {
                 "nobody remembers request ids like this one just now".to_owned()
             }
-            Self::Repeat(once::Begin::Forgotten) => {
+            Self::Repeat(dedup::Begin::Forgotten) => {
                 "the request id is older than the memory of request ids".to_owned()
             }
             Self::Repeat(_) => "a request with this id was begun before".to_owned(),
@@ -241,7 +241,7 @@
                 reason,
                 retry_after,
             } => reason.is_transient().then_some(*retry_after),
-            Self::Repeat(once::Begin::NotHome) => Some(time::Duration::from_secs(1)),
+            Self::Repeat(dedup::Begin::NotHome) => Some(time::Duration::from_secs(1)),
             Self::Repeat(_) => None,
             Self::Failed { retry_after, .. } | Self::Expired { retry_after, .. } => {
                 Some(*retry_after)
--- a/crates/figscale/src/traffic/attempts.rs
+++ b/crates/figscale/src/traffic/attempts.rs
@@ -10,9 +10,9 @@
 use std::time;
 
 use figscale_core::request::admission;
-use figscale_core::request::board;
 use figscale_core::request::dispatcher;
 use figscale_core::request::retry;
+use figscale_core::request::usage_table;
 use figscale_types::catalogue;
 use figscale_types::ids;
 use figscale_types::verdict::Verdict;
@@ -114,14 +114,14 @@
         &self,
         decisions: &mut super::Decisions,
         now: time::Instant,
-    ) -> Option<board::Choice> {
+    ) -> Option<usage_table::Choice> {
         let urgency = self.policy.urgency;
-        let (board, rng) = (&decisions.board, &mut decisions.rng);
-        board.choose(&self.policy.service, urgency, &self.excluded, now, rng)
+        let (usage_table, rng) = (&decisions.usage_table, &mut decisions.rng);
+        usage_table.choose(&self.policy.service, urgency, &self.excluded, now, rng)
     }
 
     /// The target for a chosen holder; unavailable if its member is no longer known.
-    fn target_for(&self, decisions: &mut super::Decisions, choice: board::Choice) -> Target {
+    fn target_for(&self, decisions: &mut super::Decisions, choice: usage_table::Choice) -> Target {
         let claims = self.traffic.context.shared.claims.borrow();
         let known = claims.claims.members.get(&choice.member.id);
         let live = known.filter(|known| known.incarnation == choice.member.incarnation);
@@ -132,7 +132,9 @@
             true => Availability::Free,
             false => Availability::Busy,
         };
-        decisions.board.sent(&self.policy.service, &choice.member);
+        decisions
+            .usage_table
+            .record_sent(&self.policy.service, &choice.member);
         let holder = forward::Holder {
             member: choice.member,
             address: member.peer_address,
@@ -236,8 +238,8 @@
             Target::Local => self.excluded.push(self.traffic.context.me()),
             Target::Peer(holder, _) => {
                 decisions
-                    .board
-                    .refused(&self.policy.service, &holder.member);
+                    .usage_table
+                    .record_refusal(&self.policy.service, &holder.member);
                 self.excluded.push(holder.member.clone());
             }
             Target::Unavailable => {}
@@ -264,9 +266,14 @@
         let own = (decisions.dispatcher).counts_of(&self.policy.service, self.traffic.now());
         let me = self.traffic.context.me();
         let here = own.slots > 0 && !self.excluded.contains(&me);
-        here || decisions.board.lines().any(|(service, member, counts)| {
-            *service == self.policy.service && counts.slots > 0 && !self.excluded.contains(member)
-        })
+        here || decisions
+            .usage_table
+            .all_counts()
+            .any(|(service, member, counts)| {
+                *service == self.policy.service
+                    && counts.slots > 0
+                    && !self.excluded.contains(member)
+            })
     }
 
     /// After a failure: prepares another attempt, or fails if none is allowed.
--- a/crates/figscale/src/traffic/dump.rs
+++ b/crates/figscale/src/traffic/dump.rs
@@ -57,19 +57,19 @@
                     "epoch": runner.epoch,
                     "slots": runner.instance.slots,
                     "busy": runner.busy,
-                    "kept_back": runner.kept_back(now),
+                    "kept_back": runner.withheld(now),
                     "leaving": runner.is_leaving(),
                     "ejected": dispatcher.is_ejected(runner, now),
                 })
             })
             .collect();
-        let others: Vec<_> = (decisions.board.lines())
+        let others: Vec<_> = (decisions.usage_table.all_counts())
             .map(|(service, member, counts)| {
                 json!({ "service": service, "member": member, "counts": counts })
             })
             .collect();
         let budgets: serde_json::Map<_, _> = (decisions.budgets.iter())
-            .map(|(service, budget)| (service.to_string(), json!(budget.saved())))
+            .map(|(service, budget)| (service.to_string(), json!(budget.balance())))
             .collect();
         let owners: serde_json::Map<_, _> = (decisions.admission.in_progress())
             .map(|(owner, count)| (owner.to_string(), json!(count)))
@@ -86,7 +86,7 @@
             "waiting": dispatcher.waiting(),
             "counts": dispatcher.counts(now),
             "runners": runners,
-            "heard": decisions.board.heard().collect::<Vec<_>>(),
+            "heard": decisions.usage_table.reporting_members().collect::<Vec<_>>(),
             "others": others,
             "retries_saved": budgets,
             "owners": owners,
--- a/crates/figscale/src/traffic/exchange.rs
+++ b/crates/figscale/src/traffic/exchange.rs
@@ -291,9 +291,9 @@
         }
         let runner = &self.slot.grant.runner;
         let mut decisions = self.traffic.decide();
-        let was_known =
-            (decisions.dispatcher.table().runner(runner)).is_none_or(|runner| runner.said_leaving);
-        decisions.dispatcher.says_leaving(runner);
+        let was_known = (decisions.dispatcher.table().runner(runner))
+            .is_none_or(|runner| runner.announced_leaving);
+        decisions.dispatcher.mark_leaving(runner);
         drop(decisions);
         if !was_known {
             crate::event!(crate::events::requests::RUNNER_LEAVING, runner = runner);
--- a/crates/figscale/src/traffic/forward.rs
+++ b/crates/figscale/src/traffic/forward.rs
@@ -178,8 +178,8 @@
             let silent = self
                 .traffic
                 .decide()
-                .board
-                .is_silent(&self.holder.member, now);
+                .usage_table
+                .is_unresponsive(&self.holder.member, now);
             if silent && (verdict == Verdict::NotRun || self.call.idempotent) {
                 return Err(failed(verdict, Fault::PeerSilent));
             }
--- a/crates/figscale/src/traffic/homes.rs
+++ b/crates/figscale/src/traffic/homes.rs
@@ -1,4 +1,4 @@
-//! Homes of request ids: the messages around the deduplication in [`once`].
+//! Homes of request ids: the messages around the deduplication in [`dedup`].
 //!
 //! The low, random bits of a request id select its shard. The holder of the shard
 //! is the *home* of the id: it remembers which ids were used, so that a request
@@ -12,7 +12,7 @@
 use std::sync;
 use std::time;
 
-use figscale_core::request::once;
+use figscale_core::request::dedup;
 use figscale_types::clock;
 use figscale_types::ids;
 use figscale_types::mutex;
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Question {
     id: ids::RequestId,
-    attempt: once::AttemptId,
+    attempt: dedup::AttemptId,
     asked: Asked,
 }
 
@@ -59,7 +59,7 @@
 
 struct Home {
     epoch: ids::Epoch,
-    memory: once::Memory,
+    memory: dedup::SeenIds,
 }
 
 /// The memory of a home that is handed over to the next home.
@@ -69,7 +69,7 @@
     /// Epoch under which the shard was released; the next home holds it under the
     /// epoch that follows.
     pub(super) given_up: ids::Epoch,
-    kept: once::Kept,
+    kept: dedup::HandoverState,
 }
 
 /// When a shard was acquired.
@@ -81,7 +81,7 @@
 
 /// Memories of the id shards that this process holds, and handovers in progress.
 pub(super) struct Homes {
-    config: once::OnceConfig,
+    config: dedup::DedupConfig,
     homes: sync::Mutex<IndexMap<ids::ShardId, Home>>,
     released: sync::Mutex<IndexMap<ids::ShardId, ids::Epoch>>,
     /// Released by this process and not yet received by the next home.
@@ -93,10 +93,10 @@
 
 impl Homes {
     pub(super) fn new(settings: &settings::TrafficSettings) -> Self {
-        let config = once::OnceConfig {
+        let config = dedup::DedupConfig {
             tolerance: time::Duration::from_millis(settings.clock_tolerance_ms),
             capacity: settings.ids_per_home,
-            ..once::OnceConfig::default()
+            ..dedup::DedupConfig::default()
         };
         Self {
             config,
@@ -116,7 +116,7 @@
             let handover = Handover {
                 shard: shard.clone(),
                 given_up: epoch,
-                kept: home.memory.pass_on(),
+                kept: home.memory.handover_state(),
             };
             mutex::lock(&self.outgoing).insert(shard.clone(), handover);
         }
@@ -151,13 +151,13 @@
     ) -> Option<Home> {
         let epoch = held.epoch;
         let memory = if epoch == FIRST_EPOCH {
-            once::Memory::first(self.config)
+            dedup::SeenIds::first(self.config)
         } else if let Some(handover) = self.take_received(shard, epoch) {
-            once::Memory::from_kept(self.config, handover.kept)
+            dedup::SeenIds::from_handover(self.config, handover.kept)
         } else if held.clean && acquired.ago < HANDOVER_TIMEOUT {
             return None;
         } else {
-            once::Memory::new(self.config, acquired.unix_ms)
+            dedup::SeenIds::new(self.config, acquired.unix_ms)
         };
         Some(Home { epoch, memory })
     }
@@ -180,18 +180,18 @@
 
 impl Traffic {
     /// Answers a query if this process is the home, else with `NotHome`.
-    fn answer_locally(&self, question: Question) -> once::Begin {
-        let Some(shard) = once::home_of(question.id) else {
-            return once::Begin::NotHome;
+    fn answer_locally(&self, question: Question) -> dedup::Begin {
+        let Some(shard) = dedup::home_of(question.id) else {
+            return dedup::Begin::NotHome;
         };
         let Some(epoch) = self.home_epoch(&shard) else {
-            return once::Begin::NotHome;
+            return dedup::Begin::NotHome;
         };
         let answer = self.query_memory(&shard, epoch, question);
         // A process that acquired the shard meanwhile does not know this id.
         match self.home_epoch(&shard) == Some(epoch) {
             true => answer,
-            false => once::Begin::NotHome,
+            false => dedup::Begin::NotHome,
         }
     }
 
@@ -206,11 +206,11 @@
         shard: &ids::ShardId,
         epoch: ids::Epoch,
         question: Question,
-    ) -> once::Begin {
+    ) -> dedup::Begin {
         let now_ms = self.unix_ms();
         let mut homes = mutex::lock(&self.homes.homes);
         let Some(home) = self.open_home(&mut homes, shard, epoch, now_ms) else {
-            return once::Begin::NotHome;
+            return dedup::Begin::NotHome;
         };
         let memory = &mut home.memory;
         match question.asked {
@@ -218,7 +218,7 @@
             Asked::Peek => memory.peek(question.id, question.attempt, now_ms),
             Asked::End(verdict) => {
                 memory.end(question.id, question.attempt, verdict);
-                once::Begin::Fresh
+                dedup::Begin::Fresh
             }
         }
     }
@@ -289,9 +289,9 @@
     pub(super) async fn begin_once(
         &self,
         id: ids::RequestId,
-        attempt: once::AttemptId,
+        attempt: dedup::AttemptId,
         limit: time::Instant,
-    ) -> once::Begin {
+    ) -> dedup::Begin {
         let question = Question {
             id,
             attempt,
@@ -300,12 +300,12 @@
         loop {
             let answer = self.ask(question).await;
             if let Some(answer) = answer
-                && answer != once::Begin::NotHome
+                && answer != dedup::Begin::NotHome
             {
                 return answer;
             }
             if self.now() + RETRY_INTERVAL >= limit {
-                return once::Begin::NotHome;
+                return dedup::Begin::NotHome;
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
         }
@@ -315,15 +315,15 @@
     pub(super) async fn peek_once(
         &self,
         id: ids::RequestId,
-        attempt: once::AttemptId,
-    ) -> once::Begin {
+        attempt: dedup::AttemptId,
+    ) -> dedup::Begin {
         let question = Question {
             id,
             attempt,
             asked: Asked::Peek,
         };
         let asked = tokio::time::timeout(PEEK_TIMEOUT, self.ask(question)).await;
-        asked.ok().flatten().unwrap_or(once::Begin::NotHome)
+        asked.ok().flatten().unwrap_or(dedup::Begin::NotHome)
     }
 
     /// Reports to the home how an attempt ended. If the message is lost, the home
@@ -331,7 +331,7 @@
     pub(super) async fn end_once(
         &self,
         id: ids::RequestId,
-        attempt: once::AttemptId,
+        attempt: dedup::AttemptId,
         verdict: Verdict,
     ) {
         let question = Question {
@@ -342,8 +342,8 @@
         let _ = self.ask(question).await;
     }
 
-    async fn ask(&self, question: Question) -> Option<once::Begin> {
-        let shard = once::home_of(question.id)?;
+    async fn ask(&self, question: Question) -> Option<dedup::Begin> {
+        let shard = dedup::home_of(question.id)?;
         let view = self.context.shared.claims_now();
         let (holder, member) = view.holder(&shard)?;
         if *holder == view.me {
--- a/crates/figscale/src/traffic/mod.rs
+++ b/crates/figscale/src/traffic/mod.rs
@@ -37,10 +37,10 @@
 use std::time;
 
 use figscale_core::request::admission;
-use figscale_core::request::board;
 use figscale_core::request::dispatcher;
 use figscale_core::request::queue;
 use figscale_core::request::retry;
+use figscale_core::request::usage_table;
 use figscale_types::ids;
 use figscale_types::mutex;
 use figscale_types::verdict::Verdict;
@@ -71,7 +71,7 @@
 /// The decision state, behind one mutex.
 struct Decisions {
     dispatcher: dispatcher::Dispatcher,
-    board: board::Board,
+    usage_table: usage_table::UsageTable,
     admission: admission::Admission,
     budgets: IndexMap<ids::ServiceName, retry::RetryBudget>,
     retry: retry::RetryConfig,
@@ -89,7 +89,7 @@
         config.slots.settle = time::Duration::from_millis(settings.settle_ms);
         Self {
             dispatcher: dispatcher::Dispatcher::new(config),
-            board: board::Board::new(board::BoardConfig::default()),
+            usage_table: usage_table::UsageTable::new(usage_table::UsageTableConfig::default()),
             admission: admission::Admission::new(admission::AdmissionConfig::default()),
             budgets: IndexMap::new(),
             retry: retry::RetryConfig {
@@ -109,7 +109,7 @@
     }
 
     fn retry_after(&mut self, backlog: time::Duration) -> time::Duration {
-        self.admission.come_back(backlog, &mut self.rng)
+        self.admission.retry_after(backlog, &mut self.rng)
     }
 }
 
--- a/crates/figscale/src/traffic/push.rs
+++ b/crates/figscale/src/traffic/push.rs
@@ -8,7 +8,7 @@
 use std::sync;
 use std::time;
 
-use figscale_core::request::board;
+use figscale_core::request::usage_table;
 use figscale_types::ids;
 use indexmap::IndexMap;
 use serde::Deserialize;
@@ -26,7 +26,7 @@
 /// The slot counts of a holder, by service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Push {
-    counts: IndexMap<ids::ServiceName, board::Counts>,
+    counts: IndexMap<ids::ServiceName, usage_table::Counts>,
 }
 
 /// Registers the handler of the counts that peers push.
@@ -36,7 +36,10 @@
         let traffic = traffic.clone();
         async move {
             let now = traffic.now();
-            traffic.decide().board.hear(&from, &push.counts, now);
+            traffic
+                .decide()
+                .usage_table
+                .record_counts(&from, &push.counts, now);
             Ok(())
         }
     });
--- a/crates/figscale/src/traffic/route.rs
+++ b/crates/figscale/src/traffic/route.rs
@@ -8,7 +8,7 @@
 use std::time;
 
 use figscale_core::request::admission;
-use figscale_core::request::once;
+use figscale_core::request::dedup;
 use figscale_types::catalogue;
 use figscale_types::ids;
 use figscale_types::verdict::Verdict;
@@ -33,7 +33,7 @@
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        self.traffic.decide().admission.leave(&self.owner);
+        self.traffic.decide().admission.release_request(&self.owner);
     }
 }
 
@@ -42,7 +42,7 @@
 struct OnceGuard {
     traffic: sync::Arc<Traffic>,
     id: ids::RequestId,
-    attempt: once::AttemptId,
+    attempt: dedup::AttemptId,
     progress: sync::Arc<Progress>,
     ran: bool,
 }
@@ -63,8 +63,8 @@
 impl Traffic {
     /// A random id for one message of a caller, by which the home of a request id
     /// distinguishes messages with the same id.
-    pub(super) fn new_attempt_id(&self) -> once::AttemptId {
-        once::AttemptId(self.decide().rng.random())
+    pub(super) fn new_attempt_id(&self) -> dedup::AttemptId {
+        dedup::AttemptId(self.decide().rng.random())
     }
 
     /// The verdict to send to the caller with an error.
@@ -75,7 +75,7 @@
     pub(super) async fn final_verdict(
         &self,
         head: &call::Head,
-        attempt: once::AttemptId,
+        attempt: dedup::AttemptId,
         error: &RequestError,
     ) -> Verdict {
         let verdict = error.verdict();
@@ -96,9 +96,10 @@
         let parts = u32::try_from(parts).unwrap_or(u32::MAX);
         let mut decisions = self.decide();
         let catalogue = &accepted.catalogue;
-        let entered = decisions
-            .admission
-            .enter(catalogue, &head.entry, &head.owner, parts, now);
+        let entered =
+            decisions
+                .admission
+                .admit_request(catalogue, &head.entry, &head.owner, parts, now);
         match entered {
             Ok(admitted) => Ok(Admitted {
                 traffic: self.clone(),
@@ -114,7 +115,7 @@
     pub(super) async fn run(
         self: &sync::Arc<Self>,
         head: &call::Head,
-        attempt: once::AttemptId,
+        attempt: dedup::AttemptId,
         admitted: &Admitted,
         body: body::Incoming,
     ) -> Result<Answer, RequestError> {
@@ -170,7 +171,7 @@
     async fn remember(
         self: &sync::Arc<Self>,
         call: &Call,
-        attempt: once::AttemptId,
+        attempt: dedup::AttemptId,
         progress: &sync::Arc<Progress>,
     ) -> Result<OnceGuard, RequestError> {
         let guard = OnceGuard {
@@ -183,7 +184,7 @@
         let wait = time::Duration::from_millis(self.settings().holder_wait_ms);
         let limit = call.deadline.min(self.now() + wait);
         match self.begin_once(call.id, attempt, limit).await {
-            once::Begin::Fresh => Ok(guard),
+            dedup::Begin::Fresh => Ok(guard),
             begin => {
                 crate::event!(
                     crate::events::requests::REPEAT_REFUSED,
--- a/crates/figscale/src/traffic/shards.rs
+++ b/crates/figscale/src/traffic/shards.rs
@@ -71,7 +71,7 @@
         let mut decisions = self.decide();
         decisions.dispatcher.update(held, longest_run, now);
         decisions
-            .board
+            .usage_table
             .retain(|member| is_live(view, member) && *member != view.me);
         drop(decisions);
         self.close_unheld();
@@ -126,7 +126,7 @@
     let now = traffic.now();
     let runners: Vec<_> = {
         let decisions = traffic.decide();
-        let worth = decisions.dispatcher.table().worth_asking(now);
+        let worth = decisions.dispatcher.table().awaiting_report(now);
         worth
             .filter(|runner| runner.epoch.is_some())
             .cloned()
@@ -145,7 +145,7 @@
             let mut decisions = traffic.decide();
             decisions.dispatcher.report(id, report.busy, taken, now);
             if report.leaving {
-                decisions.dispatcher.says_leaving(id);
+                decisions.dispatcher.mark_leaving(id);
             }
         }
     });
--- a/crates/figscale/tests/requests_homes.rs
+++ b/crates/figscale/tests/requests_homes.rs
@@ -6,7 +6,7 @@
 
 use std::time;
 
-use figscale_core::request::once;
+use figscale_core::request::dedup;
 use figscale_types::claims;
 use figscale_types::headers;
 use figscale_types::ids;
@@ -66,7 +66,7 @@
     for to in [0, 1, 0] {
         move_homes(&cell, to, true).await;
         for id in &ids {
-            let home = once::home_of(*id).unwrap();
+            let home = dedup::home_of(*id).unwrap();
             let (status, verdict) = run(&cell, 1, *id).await;
             // The report of how it ended may arrive after the home has moved.
             let known = ["ran", "may-have-run"].contains(&verdict.as_str());
--- a/crates/figscale/tests/requests_limits.rs
+++ b/crates/figscale/tests/requests_limits.rs
@@ -274,7 +274,7 @@
     let first = cell.send(ask(0)).await;
     assert_eq!(first.status, 200, "{}", first.text());
     if moved {
-        let home = figscale_core::request::once::home_of(id).unwrap();
+        let home = figscale_core::request::dedup::home_of(id).unwrap();
         let from = cell.holder(&home);
         if drained {
             let kernel = &cell.entries[from].context.kernel;
@@ -439,7 +439,7 @@
 fn every_id_has_a_home() {
     let mut homes = std::collections::BTreeSet::new();
     for _ in 0..1_000 {
-        homes.insert(figscale_core::request::once::home_of(new_id()).unwrap());
+        homes.insert(figscale_core::request::dedup::home_of(new_id()).unwrap());
     }
     assert_eq!(homes.len(), claims::ID_SHARDS as usize);
 }
