--- a/crates/figscale/src/claims/calls.rs
+++ b/crates/figscale/src/claims/calls.rs
@@ -172,7 +172,7 @@
         let answer = peers.call(address, super::NAME, question, timeout).await;
         if answer.is_err() {
             // The connection may be dead without an error.
-            peers.forget(address);
+            peers.disconnect(address);
         }
         answer.ok()
     }
--- a/crates/figscale/src/fleet/access.rs
+++ b/crates/figscale/src/fleet/access.rs
@@ -321,7 +321,7 @@
                 }
                 Ok(Err(error)) => (error.verdict, error.cause),
                 Err(error) => {
-                    self.peers.forget(address);
+                    self.peers.disconnect(address);
                     (error.verdict, error.to_string())
                 }
             };
--- a/crates/figscale/src/fleet/leader_client.rs
+++ b/crates/figscale/src/fleet/leader_client.rs
@@ -95,7 +95,7 @@
         .await;
     answer.map_err(|error| {
         if error.verdict != Verdict::NotRun || error.is_refused() {
-            context.peers.forget(leader.address);
+            context.peers.disconnect(leader.address);
         }
         error.verdict
     })
--- a/crates/figscale/src/peer/client.rs
+++ b/crates/figscale/src/peer/client.rs
@@ -223,7 +223,7 @@
     }
 
     /// Drops the connections to a peer, so that the next call opens a new one.
-    pub fn forget(&self, peer: net::SocketAddr) {
+    pub fn disconnect(&self, peer: net::SocketAddr) {
         self.links().retain(|(address, _), _| *address != peer);
     }
 
--- a/crates/figscale/src/serve.rs
+++ b/crates/figscale/src/serve.rs
@@ -208,8 +208,8 @@
     let in_order = async {
         traffic::drain(context).await;
         claims::leave(context).await;
-        let passed_on = traffic::pass_on(context);
-        let _ = tokio::time::timeout(HANDOVER_LIMIT, passed_on).await;
+        let handover = traffic::hand_over_ids(context);
+        let _ = tokio::time::timeout(HANDOVER_LIMIT, handover).await;
         operators.end().await;
     };
     let _ = tokio::time::timeout(limit, in_order).await;
--- a/crates/figscale/src/traffic/mod.rs
+++ b/crates/figscale/src/traffic/mod.rs
@@ -21,9 +21,9 @@
 mod fence;
 mod forward;
 mod front;
+mod handover;
 mod homes;
 mod local;
-mod pass_on;
 mod peer_side;
 mod pool;
 mod progress;
@@ -199,14 +199,14 @@
     peer_side::register(&traffic, handlers);
     push::register(&traffic, handlers);
     homes::register(&traffic, handlers);
-    pass_on::register(&traffic, handlers);
+    handover::register(&traffic, handlers);
     dump::offer(&traffic);
     shards::offer_drains(&traffic);
     runtime.spawn(shards::follow(traffic.clone()));
     runtime.spawn(shards::keep_fetching_usage(traffic.clone()));
     runtime.spawn(local::keep_polling(traffic.clone()));
     runtime.spawn(push::keep_pushing(traffic.clone()));
-    runtime.spawn(pass_on::keep_handing_over(traffic.clone()));
+    runtime.spawn(handover::keep_handing_over(traffic.clone()));
     let inbox = context.kernel.register::<Message>(NAME);
     runtime.spawn(run(traffic, callers, inbox));
 }
@@ -221,7 +221,7 @@
                 reply.send(());
             }
             Message::HandOver(reply) => {
-                pass_on::wait_until_handed_over(&traffic).await;
+                handover::wait_until_handed_over(&traffic).await;
                 reply.send(());
             }
         }
@@ -237,7 +237,7 @@
 }
 
 /// Waits until the memories of request ids are handed over to their next homes.
-pub async fn pass_on(context: &state::Context) {
+pub async fn hand_over_ids(context: &state::Context) {
     if let Ok(address) = context.kernel.find::<Message>(NAME) {
         let _ = address.call(Message::HandOver).await;
     }
--- a/crates/figscale/tests/requests_front.rs
+++ b/crates/figscale/tests/requests_front.rs
@@ -189,7 +189,7 @@
 /// Callers that open many connections and send nothing block others for no longer
 /// than the time-out of a head.
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_connections_make_room() {
+async fn idle_connections_are_closed_in_favour_of_others() {
     let cell = cell().await;
     let mut idle = Vec::new();
     for _ in 0..40 {
--- a/crates/figscale/tests/requests_homes.rs
+++ b/crates/figscale/tests/requests_homes.rs
@@ -83,7 +83,7 @@
 /// Between the release of a home and its next holder no request id is accepted,
 /// neither at the earlier home nor through another entry instance.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_home_given_up_lets_nothing_through() {
+async fn a_released_home_accepts_no_id() {
     let cell = cell().await;
     let ran = (200, "ran".to_owned());
     assert_eq!(run(&cell, 0, new_id()).await, ran);
--- a/crates/figscale/tests/requests_limits.rs
+++ b/crates/figscale/tests/requests_limits.rs
@@ -109,7 +109,7 @@
 /// between any two readings of its clock and resumes after the end of its
 /// authority. A request that was not written before must not be written then.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dispatch_without_the_right_is_not_written() {
+async fn a_dispatch_without_authority_is_not_written() {
     let clock = sync::Arc::new(JumpingClock::default());
     let cell = Cell::start(Shape {
         clock: clock.clone(),
@@ -217,7 +217,7 @@
 
 /// A request whose last attempt failed is answered at once, not at its deadline.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_given_up_request_is_answered_at_once() {
+async fn a_failed_request_is_answered_before_its_deadline() {
     let cell = Cell::start(shape(2, 1, 2)).await;
     cell.runners[0]
         .handle
@@ -297,7 +297,7 @@
 #[case::no_such_entry("/v1/run/hullrate/nothing")]
 #[case::too_large("/v1/run/hullrate/private")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_repeat_tells_of_the_request(#[case] path: &str) {
+async fn a_refused_repeat_is_not_reported_as_not_run(#[case] path: &str) {
     let cell = Cell::start(shape(2, 1, 2)).await;
     tokio::time::sleep(ms(40)).await;
     let id = new_id();
@@ -383,7 +383,7 @@
 /// A runner that fails every request is ejected, so that it fails only a few, and is
 /// used again once it recovers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_runner_that_fails_everything_is_set_aside() {
+async fn a_runner_that_fails_everything_is_ejected() {
     let cell = Cell::start(shape(1, 4, 2)).await;
     cell.runners[0]
         .handle
--- a/crates/figscale/tests/requests_process.rs
+++ b/crates/figscale/tests/requests_process.rs
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_when_entry_instances_are_killed_and_frozen() {
+async fn guarantees_hold_when_entry_instances_are_killed_and_paused() {
     let mut cell = cell(plan(3, 4)).await;
     let callers = Callers::start(&cell, 3, 1);
     pause(500).await;
@@ -323,7 +323,7 @@
 /// Guards against a planned stop that cuts off requests: every admitted request
 /// gets its whole answer, and the process exits with status 0.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_nothing_off() {
+async fn a_planned_stop_truncates_no_answer() {
     let mut cell = cell(plan(3, 4)).await;
     let mut answers = send_twenty(&cell);
     let mut tries = 1;
--- a/crates/figscale/tests/requests_random.rs
+++ b/crates/figscale/tests/requests_random.rs
@@ -62,7 +62,7 @@
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn every_word_holds_through_random_faults(#[values(11, 12)] seed: u64) {
+async fn verdicts_are_correct_under_random_faults(#[values(11, 12)] seed: u64) {
     let seed = number("FIGSCALE_SEED", seed);
     let faults = number("FIGSCALE_FAULTS", 250);
     println!("seed {seed}, {faults} faults");
--- a/crates/figscale/tests/requests_stop.rs
+++ b/crates/figscale/tests/requests_stop.rs
@@ -16,7 +16,7 @@
 /// A connection that seems idle at a stop may have a request in flight. The request
 /// is served with `connection: close`, while new connections are refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_kept_connection_is_served_once_more() {
+async fn a_keep_alive_connection_is_served_once_more_at_a_stop() {
     let cell = Cell::start(Shape::default()).await;
     let entry = &cell.entries[0];
     let mut connection = TcpStream::connect(entry.caller).await.unwrap();
--- a/crates/figscale/tests/requests_whole.rs
+++ b/crates/figscale/tests/requests_whole.rs
@@ -252,7 +252,7 @@
 /// set by a runner do not reach the caller.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_runner_hears_nothing_that_a_caller_made_up(#[values(0, 1)] entry: usize) {
+async fn internal_headers_are_not_forwarded(#[values(0, 1)] entry: usize) {
     let shape = Shape {
         runners: 1,
         ..Shape::default()
