--- a/crates/figscale/src/serve.rs
+++ b/crates/figscale/src/serve.rs
@@ -159,7 +159,7 @@
         incarnation: new_incarnation(&clock),
     };
     let store = store::Store::new(settings.platform_address, &settings.store, clock.clone())
-        .named(&settings.member);
+        .with_client_name(&settings.member);
     let store = sync::Arc::new(store);
     let metrics = metrics::Metrics::default();
     let counted = store.clone();
--- a/crates/figscale/src/store/mod.rs
+++ b/crates/figscale/src/store/mod.rs
@@ -79,7 +79,7 @@
     }
 
     /// Sends the client's name with every call, for the platform's accounting.
-    pub fn named(mut self, member: &ids::MemberId) -> Self {
+    pub fn with_client_name(mut self, member: &ids::MemberId) -> Self {
         self.name = member.to_string();
         self
     }
