--- a/crates/figscale-core/src/claims/action.rs
+++ b/crates/figscale-core/src/claims/action.rs
@@ -87,11 +87,11 @@
     /// Result of [`Action::Ask`].
     Answered {
         /// The question.
-        question: claims::PeerQuestion,
+        question: claims::WitnessRequest,
         /// Time before the call.
         sent_at: time::Instant,
         /// The answer; `None` if there was none.
-        answer: Option<claims::PeerAnswer>,
+        answer: Option<claims::WitnessResponse>,
     },
     /// The platform's instance list was read.
     Instances(sync::Arc<instances::InstanceList>),
@@ -137,7 +137,7 @@
         /// Address of the peer.
         address: net::SocketAddr,
         /// The question.
-        question: claims::PeerQuestion,
+        question: claims::WitnessRequest,
     },
     /// Revoke a lease.
     Revoke {
--- a/crates/figscale-core/src/claims/machine/evict.rs
+++ b/crates/figscale-core/src/claims/machine/evict.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use figscale_types::claims;
-use figscale_types::claims::PeerQuestion;
+use figscale_types::claims::WitnessRequest;
 use figscale_types::hash;
 use figscale_types::ids;
 use indexmap::IndexMap;
@@ -50,7 +50,7 @@
             }
         }
         for (holder, lease, witness) in questions {
-            let question = PeerQuestion::Release {
+            let question = WitnessRequest::Release {
                 witness: witness.clone(),
                 holder,
                 lease,
--- a/crates/figscale-core/src/claims/machine/promise.rs
+++ b/crates/figscale-core/src/claims/machine/promise.rs
@@ -3,8 +3,8 @@
 use std::time;
 
 use figscale_types::claims;
-use figscale_types::claims::PeerAnswer;
-use figscale_types::claims::PeerQuestion;
+use figscale_types::claims::WitnessRequest;
+use figscale_types::claims::WitnessResponse;
 use figscale_types::ids;
 
 use super::super::Action;
@@ -21,10 +21,10 @@
         &mut self,
         now: time::Instant,
         from: &ids::MemberKey,
-        question: &PeerQuestion,
-    ) -> PeerAnswer {
+        question: &WitnessRequest,
+    ) -> WitnessResponse {
         let yes = match question {
-            PeerQuestion::Promise {
+            WitnessRequest::Promise {
                 witness,
                 holder,
                 leases,
@@ -37,15 +37,15 @@
                         .witness_record
                         .promise(holder, leases, now, &self.config)
             }
-            PeerQuestion::Release {
+            WitnessRequest::Release {
                 witness,
                 holder,
                 lease,
             } => self.answer_release(now, witness, holder, *lease),
         };
         match yes {
-            true => PeerAnswer::Yes,
-            false => PeerAnswer::No,
+            true => WitnessResponse::Yes,
+            false => WitnessResponse::No,
         }
     }
 
@@ -71,18 +71,18 @@
     /// Processes the answer of a peer.
     pub(super) fn answered(
         &mut self,
-        question: PeerQuestion,
+        question: WitnessRequest,
         sent_at: time::Instant,
-        answer: Option<PeerAnswer>,
+        answer: Option<WitnessResponse>,
     ) {
-        if answer != Some(PeerAnswer::Yes) {
+        if answer != Some(WitnessResponse::Yes) {
             return;
         }
         match question {
-            PeerQuestion::Promise { witness, .. } => {
+            WitnessRequest::Promise { witness, .. } => {
                 self.received_promises.add(witness, sent_at, &self.config);
             }
-            PeerQuestion::Release {
+            WitnessRequest::Release {
                 witness,
                 holder,
                 lease,
@@ -113,7 +113,7 @@
         witnesses.sort();
         witnesses.dedup();
         for witness in witnesses {
-            let question = PeerQuestion::Promise {
+            let question = WitnessRequest::Promise {
                 witness: witness.clone(),
                 holder: self.me.clone(),
                 leases: leases.clone(),
@@ -127,7 +127,7 @@
         &mut self,
         now: time::Instant,
         witness: &ids::MemberKey,
-        question: PeerQuestion,
+        question: WitnessRequest,
         actions: &mut Vec<Action>,
     ) {
         if witness.id == self.me.id {
--- a/crates/figscale-core/src/fleet/aging.rs
+++ b/crates/figscale-core/src/fleet/aging.rs
@@ -29,7 +29,7 @@
         }
         let largest = self.largest_room(pass);
         let wide = |step: &fleet::StepDescription| {
-            !step.gang && largest.times(&job::occupied(step), 2) < 2
+            !step.gang && largest.count_fitting(&job::occupied(step), 2) < 2
         };
         self.reserve_for_latest(candidates, pass::Lateness::Overdue, wide, pass);
     }
--- a/crates/figscale-core/src/fleet/customers.rs
+++ b/crates/figscale-core/src/fleet/customers.rs
@@ -77,7 +77,7 @@
             return most.min(1);
         }
         match left.limit.holds(&left.used) {
-            true => left.limit.minus(&left.used).times(need, most),
+            true => left.limit.minus(&left.used).count_fitting(need, most),
             false => 0,
         }
     }
@@ -228,7 +228,7 @@
         let gangs = job.description.steps.iter().filter(|step| step.gang);
         gangs.into_iter().any(|step| {
             let count = u64::from(step.count);
-            terms.limit.times(&job::occupied(step), count) < count
+            terms.limit.count_fitting(&job::occupied(step), count) < count
         })
     }
 }
--- a/crates/figscale-core/src/fleet/query.rs
+++ b/crates/figscale-core/src/fleet/query.rs
@@ -142,7 +142,7 @@
         for (id, worker) in self.queryable_workers(job, step, description, pass) {
             let slots = worker
                 .free()
-                .times(&job::occupied(description), max_members);
+                .count_fitting(&job::occupied(description), max_members);
             workers.push((slots, step.advice.verdicts.contains_key(id), id));
         }
         if workers.iter().all(|(slots, ..)| *slots == 0) {
@@ -199,7 +199,12 @@
             .collect();
         let free = |id: &fleet::WorkerId| {
             let worker = self.workers.get(id);
-            worker.map(|worker| (worker.free().times(&need, count), worker.free().cpu_millis))
+            worker.map(|worker| {
+                (
+                    worker.free().count_fitting(&need, count),
+                    worker.free().cpu_millis,
+                )
+            })
         };
         workers.sort_by_key(|(slots, _, id)| std::cmp::Reverse((free(id), *slots)));
         self.take_enough(workers, missing, &job.queue)
@@ -235,7 +240,7 @@
                 Some(false) => 0.0,
                 None => approved_fraction,
             };
-            fraction * worker.free().times(&need, max_members) as f64
+            fraction * worker.free().count_fitting(&need, max_members) as f64
         });
         expected.sum::<f64>() >= f64::from(description.count)
     }
--- a/crates/figscale-core/src/fleet/reserve.rs
+++ b/crates/figscale-core/src/fleet/reserve.rs
@@ -195,7 +195,7 @@
 
 /// Number of members that an empty worker holds.
 pub(crate) fn empty_slots(worker: &worker::Worker, description: &fleet::StepDescription) -> u64 {
-    worker.entry.room.times(
+    worker.entry.room.count_fitting(
         &job::occupied(description),
         max_members_per_worker(description),
     )
@@ -231,7 +231,8 @@
         .collect();
     ends.sort_by_key(|(end, _)| *end);
     let mut used = worker.used();
-    let slots = |used: &fleet::Room| worker.free_beside(used).times(&need, max_members) as usize;
+    let slots =
+        |used: &fleet::Room| worker.free_beside(used).count_fitting(&need, max_members) as usize;
     let mut times = vec![now; slots(&used)];
     for (end, room) in ends {
         used = used.minus(&room);
--- a/crates/figscale-core/src/fleet/starvation.rs
+++ b/crates/figscale-core/src/fleet/starvation.rs
@@ -169,7 +169,7 @@
     let mut slots = Slots::default();
     let suits = |(_, worker): &&Usable<'_>| worker.suits(&job.queue, description);
     for (id, worker) in usable.iter().filter(suits) {
-        let free = worker.free().times(&need, most);
+        let free = worker.free().count_fitting(&need, most);
         slots.free += free;
         if advised && step.advice.verdicts.get(*id) != Some(&true) {
             continue;
--- a/crates/figscale-core/tests/claims_simulation/mod.rs
+++ b/crates/figscale-core/tests/claims_simulation/mod.rs
@@ -70,7 +70,7 @@
     AtPeer {
         call: Call,
         to: usize,
-        question: claims::PeerQuestion,
+        question: claims::WitnessRequest,
     },
     Answer {
         call: Call,
@@ -491,7 +491,7 @@
         }
     }
 
-    fn at_peer(&mut self, call: Call, to: usize, question: claims::PeerQuestion) {
+    fn at_peer(&mut self, call: Call, to: usize, question: claims::WitnessRequest) {
         let now = self.local(to);
         let from = ids::MemberKey {
             id: self.nodes[call.node].id.clone(),
--- a/crates/figscale-core/tests/fleet/backlog.rs
+++ b/crates/figscale-core/tests/fleet/backlog.rs
@@ -181,11 +181,11 @@
     fn arrive(&mut self) {
         for kind in 0..self.kinds.len() {
             let gang = self.kinds[kind].step.gang;
-            let times = match gang && PEAK_MS.contains(&self.at_ms) {
+            let count_fitting = match gang && PEAK_MS.contains(&self.at_ms) {
                 true => PEAK_FACTOR,
                 false => 1.0,
             };
-            let mut expected = self.kinds[kind].per_s * times * STEP_MS as f64 / 1_000.0;
+            let mut expected = self.kinds[kind].per_s * count_fitting * STEP_MS as f64 / 1_000.0;
             while expected > 0.0 {
                 if self.random.next() < expected {
                     self.submit(kind);
@@ -315,7 +315,7 @@
             let anywhere = self.count_forbidden_workers;
             let allowed = |worker: &usize| anywhere || is_allowed(*number, *worker, part);
             let slots = (0..WORKERS).filter(allowed);
-            let slots = slots.map(|worker| free[worker].times(&job.step.room, 2 * count));
+            let slots = slots.map(|worker| free[worker].count_fitting(&job.step.room, 2 * count));
             let twice = slots.sum::<u64>() >= 2 * count;
             let idle = half_free && twice && !running.contains_key(number);
             job.idle_ms = if idle { job.idle_ms + STEP_MS } else { 0 };
--- a/crates/figscale-standin/src/platform/store.rs
+++ b/crates/figscale-standin/src/platform/store.rs
@@ -91,7 +91,7 @@
     pub(crate) fn keys(&self, prefix: &str) -> platform::KeyList {
         let under = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
         let mut keys: Vec<_> = under
-            .map(|(key, stored)| platform::KeyLine {
+            .map(|(key, stored)| platform::KeyRevision {
                 key: key.clone(),
                 revision: stored.revision,
             })
--- a/crates/figscale-types/src/claims.rs
+++ b/crates/figscale-types/src/claims.rs
@@ -106,7 +106,7 @@
 /// `witness` names the incarnation that is asked, so that a restarted process
 /// does not answer in place of the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PeerQuestion {
+pub enum WitnessRequest {
     /// `holder` asks the witness not to help evict it for the duration of a lease.
     Promise {
         /// The member that is asked.
@@ -127,9 +127,9 @@
     },
 }
 
-/// Answer to a [`PeerQuestion`].
+/// Answer to a [`WitnessRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PeerAnswer {
+pub enum WitnessResponse {
     /// Granted.
     Yes,
     /// Refused; a later request may be granted.
--- a/crates/figscale-types/src/fleet/customer.rs
+++ b/crates/figscale-types/src/fleet/customer.rs
@@ -109,7 +109,7 @@
     }
 
     /// The customer that a key belongs to.
-    pub fn owner_of(&self, key: &KeyDigest) -> Option<&CustomerName> {
+    pub fn customer_of(&self, key: &KeyDigest) -> Option<&CustomerName> {
         self.keys.get(key)
     }
 
--- a/crates/figscale-types/src/fleet/job.rs
+++ b/crates/figscale-types/src/fleet/job.rs
@@ -59,7 +59,7 @@
     }
 
     /// How many times `need` fits, at most `most`.
-    pub fn times(&self, need: &Self, most: u64) -> u64 {
+    pub fn count_fitting(&self, need: &Self, most: u64) -> u64 {
         let fitting = |have: u64, need: u64| have.checked_div(need).unwrap_or(most);
         fitting(self.cpu_millis, need.cpu_millis)
             .min(fitting(self.memory_mb, need.memory_mb))
--- a/crates/figscale-types/src/platform.rs
+++ b/crates/figscale-types/src/platform.rs
@@ -84,7 +84,7 @@
 
 /// A key without its value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeyLine {
+pub struct KeyRevision {
     /// The key.
     pub key: String,
     /// Its revision.
@@ -95,5 +95,5 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyList {
     /// The keys, in order.
-    pub keys: Vec<KeyLine>,
+    pub keys: Vec<KeyRevision>,
 }
--- a/crates/figscale/src/claims/calls.rs
+++ b/crates/figscale/src/claims/calls.rs
@@ -142,7 +142,7 @@
     async fn list(&self) -> Result<Vec<ids::LeaseId>, StoreFailure> {
         let list = self.context.store.keys(super::MEMBER_PREFIX).await;
         let keys = list.map_err(|e| failure(&e))?.keys;
-        let lease_of = |line: &figscale_types::platform::KeyLine| {
+        let lease_of = |line: &figscale_types::platform::KeyRevision| {
             let (_, lease) = line.key.rsplit_once('/')?;
             lease.parse().ok()
         };
@@ -165,8 +165,8 @@
     async fn call_peer(
         &self,
         address: net::SocketAddr,
-        question: &claims::PeerQuestion,
-    ) -> Option<claims::PeerAnswer> {
+        question: &claims::WitnessRequest,
+    ) -> Option<claims::WitnessResponse> {
         let timeout = time::Duration::from_millis(PEER_TIMEOUT_MS);
         let peers = &self.context.peers;
         let answer = peers.call(address, super::NAME, question, timeout).await;
--- a/crates/figscale/src/claims/mod.rs
+++ b/crates/figscale/src/claims/mod.rs
@@ -38,8 +38,8 @@
     /// A call of a peer.
     Peer {
         from: ids::MemberKey,
-        question: claims::PeerQuestion,
-        reply: kernel::Reply<claims::PeerAnswer>,
+        question: claims::WitnessRequest,
+        reply: kernel::Reply<claims::WitnessResponse>,
     },
     /// Release all shards and leave; answered once that is done.
     Leave(kernel::Reply<()>),
@@ -60,7 +60,7 @@
 }
 
 fn register_peer_handler(address: kernel::Address<Message>, handlers: &mut peer::Handlers) {
-    handlers.on_call(NAME, move |from, question: claims::PeerQuestion| {
+    handlers.on_call(NAME, move |from, question: claims::WitnessRequest| {
         let address = address.clone();
         async move {
             let answer = address
--- a/crates/figscale/src/fleet/access.rs
+++ b/crates/figscale/src/fleet/access.rs
@@ -235,8 +235,8 @@
         let mut revision = listing.revision;
         loop {
             match self.watch(key, revision, wait).await? {
-                store::Watched::Compacted => return Ok(()),
-                store::Watched::Events {
+                store::WatchResult::Compacted => return Ok(()),
+                store::WatchResult::Events {
                     events,
                     revision: newer,
                 } => {
@@ -261,7 +261,7 @@
         prefix: &str,
         after_revision: u64,
         wait: time::Duration,
-    ) -> Result<store::Watched, CallError> {
+    ) -> Result<store::WatchResult, CallError> {
         let store = self.direct_store.store();
         let watched = store.watch(prefix, after_revision, wait).await;
         self.direct_store.record_result(&watched);
@@ -393,5 +393,5 @@
         Answer::Done => "nothing",
         Answer::Configuration(_) => "a configuration",
     };
-    CallError::maybe(format!("a peer answered with {kind}"))
+    CallError::may_have_run(format!("a peer answered with {kind}"))
 }
--- a/crates/figscale/src/fleet/advice.rs
+++ b/crates/figscale/src/fleet/advice.rs
@@ -39,7 +39,7 @@
     let Some(address) = context.fleet.advice_address else {
         eyre::bail!("no advisory service in the settings");
     };
-    let service = advice::Advice::new(context.client.clone(), address);
+    let service = advice::AdvisoryService::new(context.client.clone(), address);
     Ok(service
         .ask(question, expected * 2 + RESPONSE_MARGIN)
         .await?)
--- a/crates/figscale/src/fleet/config_watch.rs
+++ b/crates/figscale/src/fleet/config_watch.rs
@@ -96,11 +96,11 @@
         }
         let known = context.config_proof.proof().revision();
         let watched = match known {
-            0 => Ok(store::Watched::Compacted),
+            0 => Ok(store::WatchResult::Compacted),
             known => context.store.watch(config::KEY, known, WATCH_WAIT).await,
         };
         match watched {
-            Ok(store::Watched::Events { events, .. }) => {
+            Ok(store::WatchResult::Events { events, .. }) => {
                 for event in &events {
                     if let store::Event::Written(item) = event
                         && item.key == config::KEY
@@ -110,7 +110,7 @@
                 }
             }
             // The cause of a failure is logged by the call to the store.
-            Ok(store::Watched::Compacted) | Err(_) => {
+            Ok(store::WatchResult::Compacted) | Err(_) => {
                 context.config_proof.outdated.notify_one();
                 tokio::time::sleep(scaled(&context, RETRY_PAUSE)).await;
             }
--- a/crates/figscale/src/fleet/election.rs
+++ b/crates/figscale/src/fleet/election.rs
@@ -308,7 +308,7 @@
     pub(super) async fn joined(mut self) -> Result<T, CallError> {
         match (&mut self.0).await {
             Ok(result) => result,
-            Err(error) => Err(CallError::maybe(error)),
+            Err(error) => Err(CallError::may_have_run(error)),
         }
     }
 }
--- a/crates/figscale/src/fleet/entry/authorize.rs
+++ b/crates/figscale/src/fleet/entry/authorize.rs
@@ -29,7 +29,7 @@
     let Some(customers) = table.customers.as_ref().filter(|_| table.needs_key(queue)) else {
         return Ok(None);
     };
-    let owner = call.key.and_then(|key| customers.owner_of(&key));
+    let owner = call.key.and_then(|key| customers.customer_of(&key));
     let owner = owner.ok_or(Refusal::UnknownKey)?;
     match config_watch::is_proven(context) {
         true => Ok(Some(owner.clone())),
--- a/crates/figscale/src/fleet/ledger.rs
+++ b/crates/figscale/src/fleet/ledger.rs
@@ -212,7 +212,7 @@
     ) -> Result<store::Committed, CallError> {
         tokio::select! {
             outcome = self.store.commit(transaction) => outcome,
-            () = self.later_read_answered() => Err(CallError::maybe(
+            () = self.later_read_answered() => Err(CallError::may_have_run(
                 "a read that was sent later was answered first",
             )),
         }
--- a/crates/figscale/src/fleet/workers/hedged.rs
+++ b/crates/figscale/src/fleet/workers/hedged.rs
@@ -100,7 +100,7 @@
         (Ok(one), Ok(other)) => format!("ordered twice: {one:?}, {other:?}"),
     };
     // The refusal of one order does not show the outcome of the other.
-    Err(CallError::maybe(cause))
+    Err(CallError::may_have_run(cause))
 }
 
 /// Handles a second call that was answered before the first. If the first went
--- a/crates/figscale/tests/fleet_keys.rs
+++ b/crates/figscale/tests/fleet_keys.rs
@@ -95,7 +95,7 @@
     let fleet = start(3, 0).await;
     let leader = fleet.leader().await;
     for proxy in &fleet.store_proxies {
-        proxy.set_shut(true);
+        proxy.set_blocked(true);
     }
     configure(&fleet, 30, &[], 0);
     tokio::time::sleep(MAX_CONFIG_AGE).await;
@@ -104,7 +104,7 @@
         assert!(are_all_refused(statuses), "leader {leader}: {statuses:?}");
     }
     for proxy in &fleet.store_proxies {
-        proxy.set_shut(false);
+        proxy.set_blocked(false);
     }
     for instance in 0..3 {
         fleet.wait_for_status(instance, "/jobs/", 401).await;
@@ -122,11 +122,11 @@
     fleet
         .platform
         .store
-        .change_faults(|faults| faults.watches_silent = true);
+        .change_faults(|faults| faults.watches_without_events = true);
     fleet.signal(paused, "STOP");
     configure(&fleet, 30, &[], 0);
     tokio::time::sleep(MAX_CONFIG_AGE).await;
-    fleet.store_proxies[paused].set_shut(true);
+    fleet.store_proxies[paused].set_blocked(true);
     fleet.signal(paused, "CONT");
     for instance in [paused, leader, (leader + 2) % 3] {
         let statuses = statuses(&fleet, instance, 0xe0).await;
@@ -142,7 +142,7 @@
     let fleet = start(3, 0).await;
     let leader = fleet.leader().await;
     let cut = (leader + 1) % 3;
-    fleet.store_proxies[cut].set_shut(true);
+    fleet.store_proxies[cut].set_blocked(true);
     tokio::time::sleep(MAX_CONFIG_AGE * 2).await;
     fleet.submit_until_taken(cut, 0xf0, 1, "10").await;
     fleet.wait_for_state(cut, 0xf0, "completed").await;
--- a/crates/figscale/tests/fleet_leaders.rs
+++ b/crates/figscale/tests/fleet_leaders.rs
@@ -87,7 +87,7 @@
     fleet
         .platform
         .store
-        .change_faults(|faults| faults.leases_stand = true);
+        .change_faults(|faults| faults.leases_never_expire = true);
     for instance in 0..3 {
         fleet.kill(instance);
     }
@@ -112,7 +112,7 @@
     fleet
         .platform
         .store
-        .change_faults(|faults| faults.leases_stand = true);
+        .change_faults(|faults| faults.leases_never_expire = true);
     fleet.signal(leader, "STOP");
     fleet
         .wait("a second term", || fleet.count_events("TERM_BEGUN") >= 2)
@@ -154,8 +154,8 @@
     let pages = || store.pages_asked("figscale/jobs/");
     let before = pages();
     store.change_faults(|faults| {
-        faults.grants_held = true;
-        faults.transactions_held = true;
+        faults.grants_blocked = true;
+        faults.transactions_blocked = true;
     });
     fleet.signal(leader, "TERM");
     fleet
@@ -163,14 +163,14 @@
             pages() > before
         })
         .await;
-    store.change_faults(|faults| faults.grants_held = false);
+    store.change_faults(|faults| faults.grants_blocked = false);
     fleet
         .wait("two pages, in parallel with the election", || {
             pages() > before + 1
         })
         .await;
     assert_eq!(fleet.count_events("TERM_BEGUN"), 1);
-    store.change_faults(|faults| faults.transactions_held = false);
+    store.change_faults(|faults| faults.transactions_blocked = false);
     fleet
         .wait("a second term", || fleet.count_events("TERM_BEGUN") >= 2)
         .await;
@@ -333,7 +333,7 @@
     fleet
         .platform
         .store
-        .change_faults(|faults| faults.leases_stand = true);
+        .change_faults(|faults| faults.leases_never_expire = true);
     fleet.signal(leader, "TERM");
     let begun = time::Instant::now();
     let mut number = 0;
--- a/crates/figscale/tests/fleet_support/mod.rs
+++ b/crates/figscale/tests/fleet_support/mod.rs
@@ -37,7 +37,7 @@
 pub(crate) struct Fleet {
     pub(crate) platform: standin::Platform,
     /// The proxy through which each instance reaches the store.
-    pub(crate) store_proxies: Vec<standin::store::Door>,
+    pub(crate) store_proxies: Vec<standin::store::StoreProxy>,
     instances: Vec<Instance>,
     /// Largest number of workers for which a leader makes all calls itself.
     own_workers: u64,
@@ -104,7 +104,7 @@
         for number in 0..instances {
             fleet
                 .store_proxies
-                .push(fleet.platform.store.door().await.unwrap());
+                .push(fleet.platform.store.open_proxy().await.unwrap());
             fleet.add_instance(number);
             fleet.launch(number);
         }
@@ -242,7 +242,7 @@
         let worker_id = self.platform.ledger.runs()[0].worker.clone();
         let mut workers = self.platform.workers.iter();
         let worker = workers.find(|worker| worker.plan.id == worker_id).unwrap();
-        worker.change_faults(|faults| faults.silent = true);
+        worker.change_faults(|faults| faults.unresponsive = true);
         worker_id
     }
 
@@ -446,7 +446,7 @@
     /// Checks that no worker saw a violation of the guarantees, such as a task that ran
     /// twice.
     pub(crate) fn assert_no_violations(&self) {
-        let faults = self.platform.ledger.faults();
+        let faults = self.platform.ledger.violations();
         assert!(faults.is_empty(), "{faults:#?}");
     }
 
--- a/crates/figscale/tests/fleet_writes.rs
+++ b/crates/figscale/tests/fleet_writes.rs
@@ -31,11 +31,11 @@
         // its records are then read in one page.
         faults.whole_pages = true;
     });
-    store.take_most_at_once();
+    store.take_max_in_flight();
     let jobs =
         (0..240).map(|job| fleet.submit_until_taken(job as usize % 2, 0xd000 + job, 1, "20"));
     futures_util::future::join_all(jobs).await;
-    let at_once = store.take_most_at_once();
+    let at_once = store.take_max_in_flight();
     assert!(at_once >= 4, "{at_once}");
     fleet.assert_no_violations();
 }
@@ -72,29 +72,29 @@
     // On a busy machine the lease may be granted too early or too late in a round.
     for round in 1..=MAX_ROUNDS {
         let renewed_late = fleet.count_events("LEASE_RENEWED_LATE");
-        store.change_faults(|faults| faults.grants_held = true);
+        store.change_faults(|faults| faults.grants_blocked = true);
         store.end_leases();
         let noticed = || fleet.count_events("LEASE_RENEWED_LATE") > renewed_late;
         fleet.wait("the end of the lease", noticed).await;
-        store.change_faults(|faults| faults.transactions_held = true);
+        store.change_faults(|faults| faults.transactions_blocked = true);
         let jobs = (0..400).map(|job| fleet.submit_until_taken(0, round << 16 | job, 1, "20"));
         let lease = async {
             tokio::time::sleep(HOLD_TIME).await;
-            store.change_faults(|faults| faults.grants_held = false);
+            store.change_faults(|faults| faults.grants_blocked = false);
             tokio::time::sleep(HOLD_TIME).await;
-            store.change_faults(|faults| faults.transactions_held = false);
+            store.change_faults(|faults| faults.transactions_blocked = false);
         };
         tokio::join!(futures_util::future::join_all(jobs), lease);
         fleet
             .wait("the leader's key", || fleet.has_leader_key())
             .await;
-        if store.fullest_under_lease() >= FULL_WRITE_ENTRIES {
+        if store.max_leased_entries() >= FULL_WRITE_ENTRIES {
             break;
         }
     }
     fleet.assert_no_write_refused();
     assert!(
-        store.fullest_under_lease() >= FULL_WRITE_ENTRIES,
+        store.max_leased_entries() >= FULL_WRITE_ENTRIES,
         "no write was full"
     );
     assert_eq!(fleet.count_events("TERM_BEGUN"), 1);
@@ -139,7 +139,9 @@
     store.change_faults(|faults| faults.no_transactions = true);
     store.end_leases();
     fleet
-        .wait("the lease's write", || store.leases_turned_away() > 0)
+        .wait("the lease's write", || {
+            store.leased_transactions_refused() > 0
+        })
         .await;
     // It is retried for a short time before it fails.
     let failed = || fleet.count_events("RECORDS_NOT_WRITTEN");
@@ -188,14 +190,15 @@
     fleet.wait_for_all_heartbeats(leader).await;
     let cut = [leader, (leader + 1) % 5];
     for instance in cut {
-        fleet.store_proxies[instance].set_shut(true);
+        fleet.store_proxies[instance].set_blocked(true);
     }
     // The first call detects the cut; watches that began before it are still answered.
     fleet
         .submit_until_taken((leader + 2) % 5, 0xf00, 1, "20")
         .await;
     tokio::time::sleep(2 * NEW_LEASE).await;
-    let shut_out = || cut.map(|instance| fleet.store_proxies[instance].transactions_shut_out());
+    let shut_out =
+        || cut.map(|instance| fleet.store_proxies[instance].transactions_while_blocked());
     let before = shut_out();
     let taken = fleet.platform.store.transactions();
     for job in 1..=30 {
