--- a/crates/figscale/src/catalogue/mod.rs
+++ b/crates/figscale/src/catalogue/mod.rs
@@ -76,12 +76,12 @@
     tokio::task::spawn_local(propagation::poll_store(service.clone()));
     tokio::task::spawn_local(propagation::poll_peers(service.clone()));
     tokio::task::spawn_local(answer_all(service, inbox));
-    offer_dump(context);
+    register_dump(context);
 }
 
-fn offer_dump(context: &state::Context) {
+fn register_dump(context: &state::Context) {
     let shared = context.shared.clone();
-    context.kernel.offer_dump(NAME, move || {
+    context.kernel.register_dump(NAME, move || {
         let accepted = shared.catalogue_now();
         Box::pin(async move {
             serde_json::json!({
--- a/crates/figscale/src/claims/mod.rs
+++ b/crates/figscale/src/claims/mod.rs
@@ -76,7 +76,7 @@
 }
 
 fn register_dumps(context: &state::Context, address: kernel::Address<Message>) {
-    context.kernel.offer_dump(NAME, move || {
+    context.kernel.register_dump(NAME, move || {
         let address = address.clone();
         Box::pin(async move {
             let dump = address.call(Message::Dump).await;
@@ -84,7 +84,7 @@
         })
     });
     let store = context.store.clone();
-    context.kernel.offer_dump("store", move || {
+    context.kernel.register_dump("store", move || {
         let counts = serde_json::to_value(store.counts());
         Box::pin(async move { counts.unwrap_or_default() })
     });
--- a/crates/figscale/src/fleet/term/mod.rs
+++ b/crates/figscale/src/fleet/term/mod.rs
@@ -415,13 +415,13 @@
     fn update_gauges(&self, now: time::Instant) {
         let counts = self.scheduler.counts(now);
         let metrics = &self.context.metrics;
-        metrics.fleet_knows("open_jobs", counts.open_jobs);
-        metrics.fleet_knows("queued_jobs", counts.queued_jobs);
-        metrics.fleet_knows("waiting_steps", counts.waiting_steps);
-        metrics.fleet_knows("pass_looks", counts.pass_scans);
-        metrics.fleet_knows("runs", counts.runs);
-        metrics.fleet_knows("usable_workers", counts.usable_workers);
-        metrics.fleet_knows("workers", counts.workers);
-        metrics.fleet_knows("members", self.members.len());
+        metrics.fleet_state_changed("open_jobs", counts.open_jobs);
+        metrics.fleet_state_changed("queued_jobs", counts.queued_jobs);
+        metrics.fleet_state_changed("waiting_steps", counts.waiting_steps);
+        metrics.fleet_state_changed("pass_looks", counts.pass_scans);
+        metrics.fleet_state_changed("runs", counts.runs);
+        metrics.fleet_state_changed("usable_workers", counts.usable_workers);
+        metrics.fleet_state_changed("workers", counts.workers);
+        metrics.fleet_state_changed("members", self.members.len());
     }
 }
--- a/crates/figscale/src/jobs/mod.rs
+++ b/crates/figscale/src/jobs/mod.rs
@@ -71,12 +71,12 @@
     register_peer_handler(&address, handlers);
     register_drains(&address, &context.kernel);
     let dumped = address.clone();
-    context.kernel.offer_dump(NAME, move || {
+    context.kernel.register_dump(NAME, move || {
         let address = dumped.clone();
         Box::pin(async move { address.call(Message::Dump).await.unwrap_or_default() })
     });
     let reported = address.clone();
-    context.kernel.offer_report(NAME, move || {
+    context.kernel.register_report(NAME, move || {
         let address = reported.clone();
         Box::pin(async move { address.call(Message::Report).await.unwrap_or_default() })
     });
@@ -103,7 +103,7 @@
 fn register_drains(address: &kernel::Address<Message>, kernel: &kernel::Kernel) {
     for prefix in ["worker/", "job/"] {
         let address = address.clone();
-        kernel.offer_drain(prefix, move |shard| {
+        kernel.register_drain(prefix, move |shard| {
             let address = address.clone();
             Box::pin(async move {
                 let drained = address.call(|reply| Message::Drain(shard, reply)).await;
--- a/crates/figscale/src/kernel.rs
+++ b/crates/figscale/src/kernel.rs
@@ -139,7 +139,7 @@
     }
 
     /// Registers the callback that dumps the state of a service.
-    pub fn offer_dump(
+    pub fn register_dump(
         &self,
         name: &'static str,
         dump: impl Fn() -> BoxFuture<serde_json::Value> + Send + Sync + 'static,
@@ -161,7 +161,7 @@
     ///
     /// Gauges change much more often than they are read, so they are set when
     /// metrics are rendered rather than at every change.
-    pub fn offer_report(
+    pub fn register_report(
         &self,
         name: &'static str,
         report: impl Fn() -> BoxFuture<()> + Send + Sync + 'static,
@@ -178,7 +178,7 @@
     }
 
     /// Registers the callback that drains shards whose id begins with `prefix`.
-    pub fn offer_drain(
+    pub fn register_drain(
         &self,
         prefix: &'static str,
         drain: impl Fn(ids::ShardId) -> BoxFuture<Drained> + Send + Sync + 'static,
--- a/crates/figscale/src/metrics.rs
+++ b/crates/figscale/src/metrics.rs
@@ -288,7 +288,7 @@
     }
 
     /// Sets the number of objects of a kind (jobs, runs, workers) known to the leader.
-    pub fn fleet_knows(&self, kind: &'static str, number: usize) {
+    pub fn fleet_state_changed(&self, kind: &'static str, number: usize) {
         self.fleet_state
             .record(count(number), &[KeyValue::new("kind", kind)]);
     }
--- a/crates/figscale/src/operator/mod.rs
+++ b/crates/figscale/src/operator/mod.rs
@@ -48,7 +48,7 @@
 
 /// Starts serving the operator address on the traffic threads.
 pub fn start(context: &state::Context, listener: TcpListener) -> Server {
-    process::offer_dump(context);
+    process::register_dump(context);
     let app = router(context);
     let (stop, mut stopped) = watch::channel(false);
     let until = async move {
--- a/crates/figscale/src/operator/process.rs
+++ b/crates/figscale/src/operator/process.rs
@@ -25,12 +25,12 @@
 }
 
 /// Registers the section of the dump about the process itself.
-pub(super) fn offer_dump(context: &state::Context) {
+pub(super) fn register_dump(context: &state::Context) {
     let shared = context.shared.clone();
     let settings = context.settings.clone();
     let clock = context.clock.clone();
     let started = clock.now();
-    context.kernel.offer_dump("process", move || {
+    context.kernel.register_dump("process", move || {
         let shared = shared.clone();
         let settings = settings.clone();
         let clock = clock.clone();
--- a/crates/figscale/src/traffic/dump.rs
+++ b/crates/figscale/src/traffic/dump.rs
@@ -13,12 +13,12 @@
 pub(super) fn offer(traffic: &sync::Arc<Traffic>) {
     let kernel = traffic.context.kernel.clone();
     let reported = traffic.clone();
-    kernel.offer_report(super::NAME, move || {
+    kernel.register_report(super::NAME, move || {
         reported.report();
         Box::pin(future::ready(()))
     });
     let traffic = traffic.clone();
-    kernel.offer_dump(super::NAME, move || {
+    kernel.register_dump(super::NAME, move || {
         let dump = traffic.dump();
         Box::pin(async move { dump })
     });
--- a/crates/figscale/src/traffic/shards.rs
+++ b/crates/figscale/src/traffic/shards.rs
@@ -157,11 +157,11 @@
 pub(super) fn offer_drains(traffic: &sync::Arc<Traffic>) {
     let kernel = &traffic.context.kernel;
     let runners = traffic.clone();
-    kernel.offer_drain(RUNNER_SHARD_PREFIX, move |shard| {
+    kernel.register_drain(RUNNER_SHARD_PREFIX, move |shard| {
         Box::pin(drain_runners(runners.clone(), shard))
     });
     let releasing = traffic.clone();
-    kernel.offer_drain(homes::ID_SHARD_PREFIX, move |shard| {
+    kernel.register_drain(homes::ID_SHARD_PREFIX, move |shard| {
         releasing.release_home(&shard);
         Box::pin(async { kernel::Drained::Clean })
     });
--- a/crates/figscale/tests/claims_support/mod.rs
+++ b/crates/figscale/tests/claims_support/mod.rs
@@ -15,7 +15,7 @@
 use serde_json::json;
 
 use crate::harness;
-use crate::harness::PATIENCE;
+use crate::harness::CONDITION_TIMEOUT;
 
 /// Duration of a lease in these tests.
 pub(crate) const LEASE_MS: u64 = 2_000;
@@ -210,7 +210,7 @@
             if done(&all) {
                 return;
             }
-            assert!(began.elapsed() < PATIENCE, "no {what}: {all:#?}");
+            assert!(began.elapsed() < CONDITION_TIMEOUT, "no {what}: {all:#?}");
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
     }
@@ -248,7 +248,10 @@
             if listed.count() == self.len() {
                 return;
             }
-            assert!(began.elapsed() < PATIENCE, "no witnesses: {document:#?}");
+            assert!(
+                began.elapsed() < CONDITION_TIMEOUT,
+                "no witnesses: {document:#?}"
+            );
             self.poll().await;
             tokio::time::sleep(time::Duration::from_millis(20)).await;
         }
--- a/crates/figscale/tests/cli_exit.rs
+++ b/crates/figscale/tests/cli_exit.rs
@@ -207,7 +207,7 @@
 /// If no connection was accepted, nothing was sent and nothing can have taken
 /// effect.
 #[test]
-fn nobody_there_is_unavailable() {
+fn refused_connections_are_unavailable() {
     let file = data("catalogue/good.json");
     let output = figscale(
         REFUSING_ADDRESS,
@@ -218,7 +218,7 @@
 
 /// The next address is tried if the first refuses connections.
 #[test]
-fn second_address_is_asked() {
+fn second_address_is_tried() {
     let server = serve_script(vec![ACCEPTED]);
     let entries = format!("{REFUSING_ADDRESS},{}", server.address);
     let file = data("catalogue/good.json");
@@ -309,7 +309,7 @@
 
 /// Output to a closed pipe, as in `figscale dump | head`, is no failure.
 #[test]
-fn output_that_nobody_reads_is_no_failure() {
+fn output_to_a_closed_pipe_is_no_failure() {
     let (reader, writer) = io::pipe().unwrap();
     drop(reader);
     let mut command = process::Command::new(env!("CARGO_BIN_EXE_figscale"));
--- a/crates/figscale/tests/cli_serve.rs
+++ b/crates/figscale/tests/cli_serve.rs
@@ -116,7 +116,7 @@
 #[rstest]
 #[case("TERM")]
 #[case("INT")]
-fn signal_stops_in_order(#[case] signal: &str) {
+fn signal_stops_gracefully(#[case] signal: &str) {
     let mut serve = serve(free_addresses());
     let started = serve.read_until("PROCESS_STARTED");
     assert_eq!(started["event"], 1_001);
--- a/crates/figscale/tests/harness/mod.rs
+++ b/crates/figscale/tests/harness/mod.rs
@@ -56,7 +56,7 @@
 use serde_json::json;
 
 /// Maximum time to wait for a condition.
-pub(crate) const PATIENCE: time::Duration = time::Duration::from_secs(45);
+pub(crate) const CONDITION_TIMEOUT: time::Duration = time::Duration::from_secs(45);
 /// Maximum attempts to start a cell, when addresses turn out to be in use.
 const STARTS: usize = 5;
 /// Failure domains, to which instances are assigned in turn.
@@ -98,14 +98,17 @@
     }
 }
 
-/// Polls until `done` is true; panics with `what` after [`PATIENCE`].
+/// Polls until `done` is true; panics with `what` after [`CONDITION_TIMEOUT`].
 pub(crate) async fn wait_until<F>(what: &str, mut done: impl FnMut() -> F)
 where
     F: future::Future<Output = bool>,
 {
     let began = time::Instant::now();
     while !done().await {
-        assert!(began.elapsed() < PATIENCE, "no {what} in {PATIENCE:?}");
+        assert!(
+            began.elapsed() < CONDITION_TIMEOUT,
+            "no {what} in {CONDITION_TIMEOUT:?}"
+        );
         tokio::time::sleep(time::Duration::from_millis(10)).await;
     }
 }
@@ -217,7 +220,10 @@
         let began = time::Instant::now();
         while !self.is_live(index).await {
             self.entries[index].check_early_exit()?;
-            assert!(began.elapsed() < PATIENCE, "entry-{index} does not answer");
+            assert!(
+                began.elapsed() < CONDITION_TIMEOUT,
+                "entry-{index} does not answer"
+            );
             tokio::time::sleep(time::Duration::from_millis(10)).await;
         }
         Ok(())
@@ -344,7 +350,10 @@
             if let Some(status) = self.entries[index].try_wait() {
                 return status.code();
             }
-            assert!(began.elapsed() < PATIENCE, "entry-{index} does not end");
+            assert!(
+                began.elapsed() < CONDITION_TIMEOUT,
+                "entry-{index} does not end"
+            );
             tokio::time::sleep(time::Duration::from_millis(5)).await;
         }
     }
--- a/crates/figscale/tests/harness_ports.rs
+++ b/crates/figscale/tests/harness_ports.rs
@@ -6,7 +6,7 @@
 use std::net;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_taken_address_is_given_up() {
+async fn a_cell_is_restarted_with_another_address() {
     let taken = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let taken_address = taken.local_addr().unwrap();
     let plan = harness::Plan {
--- a/crates/figscale/tests/jobs_support/mod.rs
+++ b/crates/figscale/tests/jobs_support/mod.rs
@@ -100,7 +100,7 @@
 ) {
     let began = time::Instant::now();
     while state(cell, entry, name).await != Some(wanted) {
-        if began.elapsed() >= harness::PATIENCE {
+        if began.elapsed() >= harness::CONDITION_TIMEOUT {
             let status = cell.operator(entry).job(&id(name)).await;
             let dumps = dumps(cell).await;
             panic!("{name} is not {wanted:?} but {status:?}\n{dumps}");
--- a/crates/figscale/tests/logs_bound.rs
+++ b/crates/figscale/tests/logs_bound.rs
@@ -53,7 +53,7 @@
 
 /// A reader of the log that stalls must not block the threads that log.
 #[test]
-fn a_stalled_reader_holds_nobody_up() {
+fn a_stalled_reader_does_not_block_logging() {
     let output = Output::default();
     let stalled = output.stalled.clone();
     let held = stalled.lock().unwrap();
--- a/crates/figscale/tests/operator_api.rs
+++ b/crates/figscale/tests/operator_api.rs
@@ -142,7 +142,7 @@
 
 /// A service that drops a call may have executed it, so the result is unknown.
 #[test]
-fn dropped_question_is_unknown() {
+fn dropped_call_has_unknown_result() {
     let entry = entry::Entry::start();
     let mut inbox = entry.context.kernel.register::<jobs::Message>(jobs::NAME);
     entry.context.traffic.spawn(async move {
@@ -272,7 +272,7 @@
 #[rstest]
 #[case::read("GET", "/v1/jobs/j", operator::ErrorKind::Unavailable)]
 #[case::change("POST", "/v1/jobs/j/cancel", operator::ErrorKind::Unknown)]
-fn silent_service_is_given_up_on(
+fn unresponsive_service_times_out(
     #[case] method: &str,
     #[case] path: &str,
     #[case] kind: operator::ErrorKind,
--- a/crates/figscale/tests/replace_all.rs
+++ b/crates/figscale/tests/replace_all.rs
@@ -73,7 +73,7 @@
 #[case::same_names([0, 1, 2])]
 #[case::a_new_name([3, 1, 2])]
 #[tokio::test(flavor = "multi_thread")]
-async fn replaced_all_at_once_no_promise_breaks(#[case] new: [usize; ENTRIES]) {
+async fn replaced_all_at_once_guarantees_hold(#[case] new: [usize; ENTRIES]) {
     let mut cell = cell().await;
     let callers = Callers::start(&cell, ENTRIES + 1, 2);
     callers.wait_for_answers(200).await;
--- a/crates/figscale/tests/session/mod.rs
+++ b/crates/figscale/tests/session/mod.rs
@@ -190,7 +190,7 @@
         let _ = writeln!(self.text, "> ({} bytes)", body.len());
         let answer = self
             .client
-            .send_within(harness::PATIENCE, call)
+            .send_within(harness::CONDITION_TIMEOUT, call)
             .await
             .unwrap();
         let id = answer.header(headers::REQUEST_ID).to_owned();
@@ -229,7 +229,7 @@
                     break status;
                 }
                 assert!(
-                    began.elapsed() < harness::PATIENCE,
+                    began.elapsed() < harness::CONDITION_TIMEOUT,
                     "the entry instance did not end"
                 );
                 tokio::time::sleep(std::time::Duration::from_millis(5)).await;
--- a/crates/figscale/tests/session_golden.rs
+++ b/crates/figscale/tests/session_golden.rs
@@ -214,7 +214,11 @@
         if answer.status.is_success() {
             return (id, answer);
         }
-        assert!(began.elapsed() < harness::PATIENCE, "{}", answer.text());
+        assert!(
+            began.elapsed() < harness::CONDITION_TIMEOUT,
+            "{}",
+            answer.text()
+        );
         session.truncate(before);
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
