--- a/crates/figscale-standin/src/cell/mod.rs
+++ b/crates/figscale-standin/src/cell/mod.rs
@@ -7,8 +7,8 @@
 
 mod operator;
 mod plan;
+mod scenario;
 mod users;
-mod walk;
 
 use std::net;
 use std::sync;
@@ -30,9 +30,9 @@
 pub use operator::Operator;
 pub use plan::Place;
 pub use plan::Size;
+pub use scenario::Options;
+pub use scenario::run;
 pub use users::User;
-pub use walk::Options;
-pub use walk::run;
 
 /// Secret with which the entry instances of a cell authenticate to each other.
 const PEER_TOKEN: &str = "a-secret-of-the-cell-only";
--- a/crates/figscale-standin/src/cell/walk.rs
+++ b/crates/figscale-standin/src/cell/scenario.rs
@@ -148,7 +148,7 @@
         classes: cell.user.classes()?,
         rate_per_s: RATE_PER_S,
         duration,
-        patience: STEP_TIMEOUT,
+        response_timeout: STEP_TIMEOUT,
         seed,
     })
 }
--- a/crates/figscale-standin/src/experiment/capacity/load.rs
+++ b/crates/figscale-standin/src/experiment/capacity/load.rs
@@ -60,7 +60,7 @@
         classes: (0..callers).map(class).collect::<eyre::Result<_>>()?,
         rate_per_s,
         duration,
-        patience: time::Duration::from_secs(15),
+        response_timeout: time::Duration::from_secs(15),
         seed: 1,
     };
     Ok(tokio::spawn(async move { load::run(&config).await }))
--- a/crates/figscale-standin/src/experiment/tools.rs
+++ b/crates/figscale-standin/src/experiment/tools.rs
@@ -59,7 +59,7 @@
         classes,
         rate_per_s,
         duration: DURATION,
-        patience: time::Duration::from_secs(30),
+        response_timeout: time::Duration::from_secs(30),
         seed,
     })
 }
--- a/crates/figscale-standin/src/load/mod.rs
+++ b/crates/figscale-standin/src/load/mod.rs
@@ -88,7 +88,7 @@
     /// Period in which requests arrive.
     pub duration: time::Duration,
     /// Time limit of one request.
-    pub patience: time::Duration,
+    pub response_timeout: time::Duration,
     /// Seed of the arrivals.
     pub seed: u64,
 }
@@ -107,7 +107,7 @@
             class: classes[arrival.class].clone(),
             target: config.targets[arrival.target].address,
             due,
-            patience: config.patience,
+            response_timeout: config.response_timeout,
             arrival,
         };
         requests.spawn(call.make());
--- a/crates/figscale-standin/src/load/request.rs
+++ b/crates/figscale-standin/src/load/request.rs
@@ -56,7 +56,7 @@
     pub(super) class: Class,
     pub(super) target: net::SocketAddr,
     pub(super) due: tokio::time::Instant,
-    pub(super) patience: time::Duration,
+    pub(super) response_timeout: time::Duration,
     pub(super) arrival: Arrival,
 }
 
@@ -65,7 +65,7 @@
         let request_id = ids::RequestId(uuid::Uuid::now_v7());
         let body = self.body(request_id);
         let call = self.call(request_id, body.clone());
-        let answer = self.client.send_within(self.patience, call).await;
+        let answer = self.client.send_within(self.response_timeout, call).await;
         let kind = match answer {
             Ok(answer) => classify(&answer, request_id, &body),
             Err(error) => OutcomeKind::NoAnswer(error.to_string()),
--- a/crates/figscale-standin/src/main.rs
+++ b/crates/figscale-standin/src/main.rs
@@ -328,7 +328,7 @@
         classes,
         rate_per_s: arguments.rate_per_s,
         duration,
-        patience: time::Duration::from_millis(arguments.patience_ms),
+        response_timeout: time::Duration::from_millis(arguments.patience_ms),
         seed: arguments.seed,
     })
     .await;
--- a/crates/figscale-standin/src/proxy/control.rs
+++ b/crates/figscale-standin/src/proxy/control.rs
@@ -16,7 +16,7 @@
 pub(super) fn router(shared: sync::Arc<Shared>) -> Router {
     Router::new()
         .route("/control/faults", routing::get(faults).put(set_faults))
-        .route("/control/break", routing::post(break_connections))
+        .route("/control/break", routing::post(reset_connections))
         .route("/control/traffic", routing::get(traffic))
         .with_state(shared)
 }
@@ -29,7 +29,7 @@
     shared.faults.send_replace(faults);
 }
 
-async fn break_connections(State(shared): SharedState) {
+async fn reset_connections(State(shared): SharedState) {
     shared.resets.send_modify(|resets| *resets += 1);
 }
 
--- a/crates/figscale-standin/src/proxy/mod.rs
+++ b/crates/figscale-standin/src/proxy/mod.rs
@@ -231,7 +231,7 @@
     }
 
     /// Resets every open connection.
-    pub fn break_connections(&self) {
+    pub fn reset_connections(&self) {
         self.shared.resets.send_modify(|resets| *resets += 1);
     }
 
--- a/crates/figscale-standin/tests/load.rs
+++ b/crates/figscale-standin/tests/load.rs
@@ -21,7 +21,7 @@
         classes: vec![class("quotes", 3.0), class("renewals", 1.0)],
         rate_per_s: 1_000.0,
         duration: time::Duration::from_millis(300),
-        patience: time::Duration::from_secs(30),
+        response_timeout: time::Duration::from_secs(30),
         seed: 7,
     }
 }
--- a/crates/figscale-standin/tests/proxy.rs
+++ b/crates/figscale-standin/tests/proxy.rs
@@ -196,7 +196,7 @@
     assert!(read(&mut refused, 1).await.is_err());
     client.write_all(b"question").await.unwrap();
     assert_eq!(read(&mut target, 8).await.unwrap(), b"question");
-    fixture.proxy.break_connections();
+    fixture.proxy.reset_connections();
     assert!(read(&mut client, 1).await.is_err());
     assert!(read(&mut target, 1).await.is_err());
 }
--- a/crates/figscale/tests/claims_support/mod.rs
+++ b/crates/figscale/tests/claims_support/mod.rs
@@ -261,10 +261,10 @@
     /// broken too, so that messages in flight do not arrive.
     pub(crate) fn cut_off(&self, index: usize, others: &[usize]) {
         self.cut_store(index, true);
-        self.store_path(index).break_connections();
+        self.store_path(index).reset_connections();
         for other in others {
             self.cut_peers(index, *other, true);
-            self.peer_path(*other, index).break_connections();
+            self.peer_path(*other, index).reset_connections();
         }
     }
 
--- a/crates/figscale/tests/requests_overload.rs
+++ b/crates/figscale/tests/requests_overload.rs
@@ -57,7 +57,7 @@
         ],
         rate_per_s: 3.0 * capacity_per_s,
         duration: time::Duration::from_secs(SECONDS),
-        patience: requests_cell::LONG,
+        response_timeout: requests_cell::LONG,
         seed: 5,
     };
     let report = load::run(&config).await;
--- a/crates/figscale/tests/requests_random.rs
+++ b/crates/figscale/tests/requests_random.rs
@@ -136,7 +136,7 @@
     let number = rng.random_range(0..RUNNERS);
     let runner = &cell.runners[number];
     match rng.random_range(0..24) {
-        0 => runner.proxy.break_connections(),
+        0 => runner.proxy.reset_connections(),
         1 => runner
             .proxy
             .change_faults(|faults| faults.to_target.freeze = true),
@@ -154,7 +154,7 @@
             .change_faults(|faults| faults.wrong_length = true),
         6 => runner.handle.change_faults(|faults| faults.refuse = true),
         7 => runner.handle.change_faults(|faults| faults.fail = true),
-        8 => cell.entries[number].peer.break_connections(),
+        8 => cell.entries[number].peer.reset_connections(),
         9 => take_over(cell, number, rng.random_range(0..ENTRIES)),
         10 => drop(tokio::spawn(hand_over(
             cell.clone(),
