--- a/crates/figscale-core/src/job/home/job.rs
+++ b/crates/figscale-core/src/job/home/job.rs
@@ -30,7 +30,7 @@
         since: time::Instant,
         marked: bool,
     },
-    /// The placer was told to start it and has not confirmed that yet.
+    /// The placer was ordered to start it and has not confirmed that yet.
     Going {
         placer: ids::MemberKey,
         place: message::Place,
@@ -65,7 +65,7 @@
     pub(super) hold: bool,
     /// Whether it is being cancelled.
     pub(super) stopping: bool,
-    /// When its placer was last told to stop it.
+    /// When its placer was last ordered to stop it.
     pub(super) stop_sent: Option<time::Instant>,
 }
 
--- a/crates/figscale-core/src/job/home/mod.rs
+++ b/crates/figscale-core/src/job/home/mod.rs
@@ -218,7 +218,7 @@
         self.draining || self.paused
     }
 
-    /// Stops accepting and placing for good, before the shard is handed over.
+    /// Stops accepting and placing permanently, before the shard is handed over.
     pub fn drain(&mut self) {
         self.draining = true;
         // The last write lists the tasks that may be placed.
--- a/crates/figscale-core/src/job/home/queue.rs
+++ b/crates/figscale-core/src/job/home/queue.rs
@@ -73,7 +73,7 @@
         });
     }
 
-    /// Gives up the start tag of a task that was placed or has ended.
+    /// Releases the start tag of a task that was placed or has ended.
     pub(super) fn release_start_tag(&mut self, id: &ids::TaskId) {
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
--- a/crates/figscale-core/src/job/placement/cluster.rs
+++ b/crates/figscale-core/src/job/placement/cluster.rs
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Records that a task was told to end or to use less processor time. A
+    /// Records that a task was ordered to end or to use less processor time. A
     /// throttled task reserves no more processor time than it declared.
     pub(super) fn mark_ending(&mut self, task: &ids::TaskId, action: protocol::TaskAction) {
         let Some(allocation) = self.allocations.get_mut(task) else {
--- a/crates/figscale-core/src/job/placement/preempt.rs
+++ b/crates/figscale-core/src/job/placement/preempt.rs
@@ -8,7 +8,7 @@
 //! more work than one that weighs packing higher. Work that may not run twice and
 //! cannot save its state is never preempted.
 //!
-//! Tasks that were told to end before count as ended, so that resources are not freed
+//! Tasks that were ordered to end before count as ended, so that resources are not freed
 //! twice for one task.
 
 use figscale_types::catalogue;
--- a/crates/figscale-core/src/job/placement/work.rs
+++ b/crates/figscale-core/src/job/placement/work.rs
@@ -107,7 +107,7 @@
     pub expires: Option<time::Instant>,
     /// Time since the task's start, as last reported.
     pub ran_ms: u64,
-    /// Whether the task was told to end.
+    /// Whether the task was ordered to end.
     pub ending: bool,
     /// The reservation round of its gang that made the allocation.
     pub gang_round: Option<RoundNumber>,
--- a/crates/figscale-core/src/request/dedup.rs
+++ b/crates/figscale-core/src/request/dedup.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Creates the memory of a home whose shard nobody held before.
+    /// Creates the memory of a home whose shard had no earlier holder.
     pub fn first(config: DedupConfig) -> Self {
         Self {
             config,
--- a/crates/figscale-core/tests/fleet/config_proof.rs
+++ b/crates/figscale-core/tests/fleet/config_proof.rs
@@ -51,7 +51,7 @@
     );
 }
 
-/// Guards against a leader without access to the store that goes on confirming
+/// Guards against a leader without access to the store that continues confirming
 /// its configuration.
 #[test]
 fn a_forwarded_proof_keeps_its_age() {
--- a/crates/figscale-core/tests/fleet/terms/mod.rs
+++ b/crates/figscale-core/tests/fleet/terms/mod.rs
@@ -1,7 +1,7 @@
 //! Simulates many terms of leadership over workers and a store, with messages
 //! that are lost, delayed and reordered.
 //!
-//! Several leaders may run at once: an old one goes on until it learns from a
+//! Several leaders may run at once: an old one continues until it learns from a
 //! worker's fence or a refused write that its term is over. The simulation sees
 //! what really starts and ends on the workers, and checks two rules. A task
 //! never runs twice at a time. A task never starts again once a run of it ended
--- a/crates/figscale/src/fleet/workers/hedged.rs
+++ b/crates/figscale/src/fleet/workers/hedged.rs
@@ -1,6 +1,6 @@
 //! Hedged calls to workers: a second call is made when the first is overdue.
 //!
-//! A call to a healthy worker or its answer is lost now and then, or a relay is
+//! A call to a healthy worker or its answer is lost occasionally, or a relay is
 //! slow. Both calls continue in parallel, the second always directly, and the first
 //! useful answer is taken. A worker may thus get a call twice; calls are idempotent
 //! there.
--- a/crates/figscale/src/jobs/service/requests.rs
+++ b/crates/figscale/src/jobs/service/requests.rs
@@ -140,7 +140,7 @@
             | wire::Question::Status(id)
             | wire::Question::Cancel(id) => id,
         };
-        // An id without a shard is treated like one whose home is elsewhere.
+        // An id without a shard gets no answer: the reply is dropped.
         let Some(shard) = jobs::shard_of(job) else {
             return;
         };
--- a/crates/figscale/tests/fleet_writes.rs
+++ b/crates/figscale/tests/fleet_writes.rs
@@ -108,7 +108,7 @@
 /// Eight writes begin within this time, and none of them times out.
 const HOLD_TIME: time::Duration = time::Duration::from_millis(180);
 
-/// Guards against a write that fails for good because its lease ended before it was
+/// Guards against a write that fails permanently because its lease ended before it was
 /// used: the write is tried a second time, even if the first answer has taken longer
 /// than the time in which a failed write is retried.
 #[tokio::test(flavor = "multi_thread")]
