--- a/crates/figscale-core/examples/request_waits/serve.rs
+++ b/crates/figscale-core/examples/request_waits/serve.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request: the holder chosen, its wait, its run.
+//! Course of a request: choice of the holder, wait, run and retries.
 
 use std::time;
 
@@ -7,30 +7,30 @@
 use rand::RngExt as _;
 
 use crate::setting;
-use crate::world;
+use crate::simulation;
 
-impl world::World {
+impl simulation::Simulation {
     pub(crate) fn choose(&mut self, number: usize) {
         let entry = self.requests[number].entry;
         if self.policy == setting::Policy::Fixed {
-            self.entries[entry].line.push_back(number);
-            return self.serve_line(entry);
+            self.entries[entry].queue.push_back(number);
+            return self.serve_queue(entry);
         }
         let urgency = setting::CLASSES[self.requests[number].class].urgency;
         let request = &self.requests[number];
-        let me = world::key(entry, 1);
+        let me = simulation::key(entry, 1);
         let here = !request.excluded.contains(&me);
         let state = &mut self.entries[entry];
-        let own = state.dispatcher.counts_of(&world::service(), self.now);
+        let own = state.dispatcher.counts_of(&simulation::service(), self.now);
         if here
             && state
                 .dispatcher
-                .would_grant(&world::service(), urgency, self.now)
+                .would_grant(&simulation::service(), urgency, self.now)
         {
             return self.submit(number, entry, false);
         }
-        let chosen = (state.board).choose(
-            &world::service(),
+        let chosen = (state.usage_table).choose(
+            &simulation::service(),
             urgency,
             &request.excluded,
             self.now,
@@ -38,11 +38,13 @@
         );
         match chosen {
             Some(choice) if !here || choice.room > own.room(urgency, 0) => {
-                state.board.sent(&world::service(), &choice.member);
+                state
+                    .usage_table
+                    .record_sent(&simulation::service(), &choice.member);
                 self.outcome.forwarded += 1;
                 self.after(
-                    setting::HOP,
-                    world::Event::Reach(number, world::number_of(&choice.member)),
+                    setting::HOP_LATENCY,
+                    simulation::Event::Forwarded(number, simulation::number_of(&choice.member)),
                 );
             }
             _ if here && own.slots > 0 => self.submit(number, entry, false),
@@ -52,9 +54,9 @@
 
     pub(crate) fn submit(&mut self, number: usize, holder: usize, forwarded: bool) {
         if !self.entries[holder].alive {
-            // The link breaks; nothing was sent but the head.
+            // The connection breaks; only the head of the request was sent.
             let request = &mut self.requests[number];
-            request.excluded.push(world::key(holder, 1));
+            request.excluded.push(simulation::key(holder, 1));
             return self.choose(number);
         }
         let ticket = queue::Ticket(self.count);
@@ -64,7 +66,7 @@
         let submission = dispatcher::Submission {
             ticket,
             entry: class.name.parse().expect("a name"),
-            service: world::service(),
+            service: simulation::service(),
             owner: "owner".parse().expect("a name"),
             weight: 1,
             urgency: class.urgency,
@@ -82,11 +84,17 @@
                 let moves = self.requests[number].moves;
                 self.entries[holder].tickets.insert(ticket, number);
                 if self.policy == setting::Policy::Shared {
-                    self.after(setting::LOOK, world::Event::Look(number, moves));
+                    self.after(
+                        setting::RECHECK_INTERVAL,
+                        simulation::Event::Recheck(number, moves),
+                    );
                 }
             }
             dispatcher::Submitted::Refused(_) if forwarded => {
-                self.after(setting::HOP, world::Event::Refused(number, holder));
+                self.after(
+                    setting::HOP_LATENCY,
+                    simulation::Event::Refused(number, holder),
+                );
             }
             dispatcher::Submitted::Refused(_) => self.refused(number, holder),
         }
@@ -95,10 +103,10 @@
     pub(crate) fn refused(&mut self, number: usize, holder: usize) {
         let entry = self.requests[number].entry;
         self.entries[entry]
-            .board
-            .refused(&world::service(), &world::key(holder, 1));
+            .usage_table
+            .record_refusal(&simulation::service(), &simulation::key(holder, 1));
         let request = &mut self.requests[number];
-        request.excluded.push(world::key(holder, 1));
+        request.excluded.push(simulation::key(holder, 1));
         request.refusals += 1;
         if request.refusals >= 3 {
             self.outcome.refused[request.class] += 1;
@@ -107,8 +115,8 @@
         self.choose(number);
     }
 
-    /// A request that waits moves to a holder with a free slot.
-    pub(crate) fn look(&mut self, number: usize, moves: u32) {
+    /// Moves a waiting request to a holder with a free slot, if there is one.
+    pub(crate) fn recheck(&mut self, number: usize, moves: u32) {
         let request = &self.requests[number];
         let (Some(holder), true) = (request.at, request.moves == moves) else {
             return;
@@ -121,13 +129,20 @@
         let own = holder != entry
             && state
                 .dispatcher
-                .would_grant(&world::service(), urgency, now);
-        let chosen = state
-            .board
-            .choose(&world::service(), urgency, &excluded, now, &mut self.rng);
-        let better = chosen.filter(|c| c.room > 0.0 && world::number_of(&c.member) != holder);
+                .would_grant(&simulation::service(), urgency, now);
+        let chosen = state.usage_table.choose(
+            &simulation::service(),
+            urgency,
+            &excluded,
+            now,
+            &mut self.rng,
+        );
+        let better = chosen.filter(|c| c.room > 0.0 && simulation::number_of(&c.member) != holder);
         if !own && better.is_none() {
-            return self.after(setting::LOOK, world::Event::Look(number, moves));
+            return self.after(
+                setting::RECHECK_INTERVAL,
+                simulation::Event::Recheck(number, moves),
+            );
         }
         let ticket = self.entries[holder]
             .tickets
@@ -143,11 +158,11 @@
             _ if own => self.submit(number, entry, false),
             Some(choice) => {
                 self.entries[entry]
-                    .board
-                    .sent(&world::service(), &choice.member);
+                    .usage_table
+                    .record_sent(&simulation::service(), &choice.member);
                 self.after(
-                    setting::HOP,
-                    world::Event::Reach(number, world::number_of(&choice.member)),
+                    setting::HOP_LATENCY,
+                    simulation::Event::Forwarded(number, simulation::number_of(&choice.member)),
                 );
             }
             None => {}
@@ -179,10 +194,10 @@
             false => run,
         };
         self.at_runner[runner] += 1;
-        let most = self.outcome.most_at_runner.max(self.at_runner[runner]);
-        self.outcome.most_at_runner = most;
+        let most = self.outcome.max_at_runner.max(self.at_runner[runner]);
+        self.outcome.max_at_runner = most;
         self.running.insert((holder, slot), (number, runner, run));
-        self.after(run, world::Event::Done(holder, slot, runner));
+        self.after(run, simulation::Event::Done(holder, slot, runner));
     }
 
     pub(crate) fn done(&mut self, holder: usize, slot: u64) {
@@ -199,7 +214,7 @@
             if failing {
                 self.outcome.failed[self.requests[number].class] += 1;
             }
-            return self.serve_line(holder);
+            return self.serve_queue(holder);
         }
         let end = match failing {
             true => dispatcher::End::Lost,
@@ -209,7 +224,7 @@
         self.entries[holder].dispatcher.finish(id, end, self.now);
         if failing {
             let request = &mut self.requests[number];
-            request.avoid = Some(world::runner_id(runner));
+            request.avoid = Some(simulation::runner_id(runner));
             if request.attempts < 3 {
                 self.choose(number);
             } else {
@@ -236,14 +251,14 @@
         }
     }
 
-    pub(crate) fn serve_line(&mut self, entry: usize) {
+    pub(crate) fn serve_queue(&mut self, entry: usize) {
         let free: Vec<_> = (0..setting::RUNNERS)
             .filter(|runner| self.entries[entry].used[*runner] == 0)
             .collect();
         if free.is_empty() {
             return;
         }
-        while let Some(number) = self.entries[entry].line.pop_front() {
+        while let Some(number) = self.entries[entry].queue.pop_front() {
             if self.requests[number].deadline < self.now {
                 self.outcome.refused[self.requests[number].class] += 1;
                 continue;
--- /dev/null
+++ b/crates/figscale-core/src/fleet/config_proof.rs
@@ -0,0 +1,108 @@
+//! Age of the proof that a configuration is still the operators' newest.
+//!
+//! A key that the operators revoke must be invalid at every instance within a
+//! bounded time, including an instance that the store refuses, whose watch
+//! delivers nothing, or whose machine was suspended. So what counts is not when
+//! the last update was received, but when a read of the store that named this
+//! revision was started: a proof is as old as the start of that read.
+//!
+//! An instance that has such a proof can forward it to others. The receiver
+//! adds the time since its own request to the age. All times are those since
+//! the machine started, from a clock that also runs while the machine is
+//! suspended.
+
+use std::time;
+
+use serde::Deserialize;
+use serde::Serialize;
+
+/// Percentage of the bound that is used: the clocks of the two machines that a
+/// proof passes through may each be 2% slow.
+const USABLE_PERCENT: u32 = 94;
+
+/// A proof as sent to another instance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProofStamp {
+    /// Revision that the store named.
+    pub revision: u64,
+    /// Time since the read of the store was started, in milliseconds.
+    pub age_ms: u64,
+}
+
+/// What a stamp shows about the configuration known here.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StampOutcome {
+    /// It was still the newest, as of the stamp.
+    Confirmed,
+    /// There is a newer one.
+    Outdated,
+}
+
+/// Revision of the configuration known here, and the time as of which it is
+/// proven.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ConfigProof {
+    revision: u64,
+    proven_at: Option<time::Duration>,
+}
+
+impl ConfigProof {
+    /// Known revision; 0 if there is none.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Records that a read of the store, started at `asked_at`, returned this
+    /// revision.
+    pub fn read(&mut self, revision: u64, asked_at: time::Duration) {
+        self.revision = self.revision.max(revision);
+        self.confirm(asked_at);
+    }
+
+    /// Records a revision delivered by a watch. That says which revision is
+    /// known, but not that it is still the newest now.
+    pub fn record_watched(&mut self, revision: u64) {
+        self.revision = self.revision.max(revision);
+    }
+
+    /// Applies a stamp that another instance returned for a request sent at
+    /// `asked_at`.
+    pub fn apply_stamp(&mut self, stamp: ProofStamp, asked_at: time::Duration) -> StampOutcome {
+        if stamp.revision > self.revision {
+            return StampOutcome::Outdated;
+        }
+        let age = time::Duration::from_millis(stamp.age_ms);
+        if let Some(proven_at) = asked_at.checked_sub(age) {
+            self.confirm(proven_at);
+        }
+        StampOutcome::Confirmed
+    }
+
+    /// The proof to forward to another instance; `None` if there is none.
+    pub fn stamp(&self, now: time::Duration) -> Option<ProofStamp> {
+        let age = self.age(now)?;
+        Some(ProofStamp {
+            revision: self.revision,
+            age_ms: u64::try_from(age.as_millis()).map_or(u64::MAX, |age_ms| age_ms + 1),
+        })
+    }
+
+    /// Age of the proof; `None` if there is none.
+    pub fn age(&self, now: time::Duration) -> Option<time::Duration> {
+        let proven_at = self.proven_at?;
+        Some(now.saturating_sub(proven_at))
+    }
+
+    /// Whether the proof is young enough, where `bound` is the maximum age of a
+    /// proof if there is one.
+    pub fn holds(&self, bound: Option<time::Duration>, now: time::Duration) -> bool {
+        bound.is_none_or(|bound| {
+            let age = self.age(now);
+            age.is_some_and(|age| age < bound * USABLE_PERCENT / 100)
+        })
+    }
+
+    fn confirm(&mut self, at: time::Duration) {
+        self.proven_at = Some(self.proven_at.map_or(at, |known| known.max(at)));
+    }
+}
--- a/crates/figscale-core/src/fleet/mod.rs
+++ b/crates/figscale-core/src/fleet/mod.rs
@@ -1,96 +1,100 @@
-//! The scheduler of a fleet of workers: jobs in, orders out.
+//! The scheduler of a fleet of workers: takes jobs and issues start and stop
+//! orders.
 //!
-//! One entry instance leads at a time and runs one [`Scheduler`] for its term.
-//! The scheduler is a state machine: it is told what callers, workers, the
-//! advisory service and the store said, with the time, and leaves [`Action`]s
-//! to be carried out. It knows no socket and no clock.
+//! One entry instance is the leader at a time and runs one [`Scheduler`] for its
+//! term. The scheduler is a pure state machine: it receives messages from
+//! callers, workers, the advisory service and the store, each with the current
+//! time, and produces [`Action`]s for its owner to execute. It opens no sockets
+//! and reads no clock.
 //!
-//! What it believes of workers comes from their own reports, so nothing of a
-//! placement is written anywhere: a new leader asks every worker, under its
-//! own higher epoch, and takes the lists as the truth. What must outlive a
-//! leader (jobs, ends that were acknowledged to workers) is in `durable`
-//! records. An end is acknowledged only after its record is in the store.
+//! Its view of the workers comes from their own reports, so placements are not
+//! persisted: a new leader asks every worker for its list of runs, under its own
+//! higher epoch, and treats the lists as authoritative. State that must outlive
+//! a leader (jobs, and ends of runs that were acknowledged to workers) is in
+//! `durable` records. An end is acknowledged only after its record is in the
+//! store.
 //!
-//! One memory for all workers decides better and serves gangs without
-//! agreement between placers; the price is that its processor bounds the rate
-//! of starts, and that a takeover reads everything again.
+//! A single scheduler that sees all workers makes better decisions, and places
+//! gangs without an agreement between several placers. The price is that the
+//! leader's processor bounds the rate of starts, and that a takeover has to read
+//! all state again.
 
 mod action;
 mod admission;
 mod advice;
-mod carriers;
-mod check;
+mod aging;
+mod candidacy;
+mod channels;
+mod config_proof;
 mod crashes;
 mod customers;
-mod draft;
 mod durable;
-mod fitness;
 mod health;
 mod job;
-mod lanes;
+mod leader_loss;
 mod lease;
 mod leaving;
-mod losses;
+mod lost_answers;
+mod machine_health;
 mod maps;
+mod open_workers;
 mod pass;
-mod places;
 mod plan;
-mod proof;
+mod query;
 mod records;
 mod recovery;
+mod relay_choice;
 mod report;
 mod reserve;
 mod scheduler;
-mod silence;
-mod standing;
 mod starts;
+mod starvation;
 mod stops;
 mod submit;
-mod turns;
 mod unsaved;
+mod validation;
 mod view;
-mod waits;
 mod worker;
 
 pub use action::Action;
-pub use action::Note;
-pub use action::Question;
+pub use action::AdviceQuery;
+pub use action::LogEntry;
 pub use admission::Admission;
-pub use carriers::Carrier;
-pub use carriers::choose_carrier;
-pub use check::MAX_TASKS;
-pub use check::fault_of;
+pub use candidacy::LeaderEvidence;
+pub use candidacy::RENEWAL_GRACE;
+pub use candidacy::candidacy_delay;
+pub use candidacy::is_clearly_stronger;
+pub use candidacy::may_have_leader;
+pub use config_proof::ConfigProof;
+pub use config_proof::ProofStamp;
+pub use config_proof::StampOutcome;
 pub use durable::Record;
 pub use durable::RecordError;
 pub use durable::RecordKey;
 pub use durable::Records;
-pub use fitness::BEAT;
-pub use fitness::Fitness;
-pub use fitness::Lag;
-pub use fitness::Turn;
-pub use losses::Losses;
-pub use proof::ConfigProof;
-pub use proof::ProofStamp;
-pub use proof::Told;
+pub use leader_loss::HEARTBEAT_INTERVAL;
+pub use leader_loss::HEARTBEAT_TIMEOUT;
+pub use leader_loss::LATE_RESPONSE;
+pub use leader_loss::LEADER_QUERY_TIMEOUT;
+pub use leader_loss::MAX_PEERS_QUERIED;
+pub use leader_loss::NotLeading;
+pub use leader_loss::PeerView;
+pub use leader_loss::ResponseTimes;
+pub use leader_loss::UNRESPONSIVE_AFTER;
+pub use leader_loss::heartbeat_interval;
+pub use leader_loss::is_lost;
+pub use leader_loss::member_timeout;
+pub use leader_loss::scaled_interval;
+pub use lost_answers::LostAnswers;
+pub use machine_health::HandoverLag;
+pub use machine_health::MachineHealth;
+pub use machine_health::MachineHealthChange;
+pub use machine_health::SAMPLE_INTERVAL;
+pub use relay_choice::RelayCandidate;
+pub use relay_choice::choose_relay;
 pub use scheduler::Config;
 pub use scheduler::Counts;
 pub use scheduler::Scheduler;
-pub use silence::AnswerTimes;
-pub use silence::HELLO_PAUSE;
-pub use silence::HELLO_TIMEOUT;
-pub use silence::LATE_ANSWER;
-pub use silence::MAX_PEERS_ASKED;
-pub use silence::NotLeading;
-pub use silence::PeerView;
-pub use silence::SIGHTING_TIMEOUT;
-pub use silence::SILENCE;
-pub use silence::hello_pause;
-pub use silence::is_lost;
-pub use silence::member_silence;
-pub use silence::spread_over;
-pub use standing::RENEWAL_GRACE;
-pub use standing::Sight;
-pub use standing::is_clearly_stronger;
-pub use standing::may_be_led;
-pub use standing::standing_delay;
+pub use validation::MAX_TASKS;
+pub use validation::validation_error;
 pub use worker::ReportDue;
--- /dev/null
+++ b/crates/figscale-core/src/fleet/query.rs
@@ -0,0 +1,320 @@
+//! Choice of the workers that a query to the advisory service names.
+//!
+//! A step of single tasks queries for the workers with most free resources. A
+//! gang first queries which workers are approved for it at all, and then for
+//! tickets of the workers reserved for it.
+
+use std::time;
+
+use figscale_types::fleet;
+
+use super::advice;
+use super::job;
+use super::pass;
+use super::reserve;
+use super::scheduler;
+use super::worker;
+
+/// Maximum number of workers in one query.
+const MAX_QUERIED: usize = 30;
+/// Maximum number of workers in a query for a gang's tickets, which is also the
+/// most that the service accepts. Spread over several queries the first tickets
+/// would expire before the last arrive, and a gang on 61 workers would never
+/// start.
+const MAX_QUERIED_FOR_TICKETS: usize = 100;
+/// Minimum number of workers in one query, if there are that many.
+const MIN_QUERIED: usize = 4;
+/// A query names more workers than needed while that adds no more than this
+/// fraction to its duration. Often the free resources are taken by the time the
+/// response arrives; queries about few workers then had to be repeated, up to
+/// 400 times a second on a busy day.
+const CHEAP_FRACTION: f64 = 1.0 / 3.0;
+/// Expected number of approved slots to query for, for each slot needed.
+const QUERY_FACTOR: f64 = 1.6;
+/// Slots wanted on approved workers for each member of a gang, so that it can
+/// choose those that become free first.
+const GANG_CHOICE_FACTOR: f64 = 1.5;
+/// The same for a gang that would wait longer than [`MAX_GANG_WAIT`] for the
+/// approved workers it knows.
+const GANG_WIDE_CHOICE_FACTOR: f64 = 4.0;
+/// Waiting for room up to this long is better than another query.
+const MAX_GANG_WAIT: time::Duration = time::Duration::from_millis(600);
+/// Tickets for a gang are queried this long before they are needed.
+const TICKET_LEAD_TIME: time::Duration = time::Duration::from_millis(100);
+
+/// How wide a choice of workers is queried.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Breadth {
+    /// As many as a step needs to start.
+    Needed,
+    /// More, on advice channels that no other query needs.
+    Wide,
+}
+
+/// A query that is not yet assigned to an advice channel.
+pub(crate) struct UnassignedQuery {
+    pub(crate) workers: Vec<fleet::WorkerId>,
+    /// Set for a query for a gang's tickets: these workers stay reserved until
+    /// the response arrives.
+    pub(crate) reservation: Option<reserve::Reservation>,
+    pub(crate) expected: time::Duration,
+}
+
+impl scheduler::Scheduler {
+    /// Whether a gang with reserved workers could start as soon as it has
+    /// tickets.
+    fn needs_only_tickets(&self, candidate: &pass::Candidate, now: time::Instant) -> bool {
+        let reservation = candidate.reservation.as_ref();
+        let reservation = reservation.filter(|reservation| reservation.active);
+        reservation.is_some_and(|reservation| self.starts_soon(&candidate.task, reservation, now))
+    }
+
+    /// Whether there is room for a gang by the time that its tickets could
+    /// arrive.
+    pub(crate) fn starts_soon(
+        &self,
+        task: &fleet::TaskId,
+        reservation: &reserve::Reservation,
+        now: time::Instant,
+    ) -> bool {
+        let policy = self.jobs.get(&task.job).and_then(|job| job.queue.advice);
+        let response = policy.map(|policy| advice::duration(&policy, reservation.workers.len()));
+        reservation.ready_at <= now + response.unwrap_or_default() + TICKET_LEAD_TIME
+    }
+
+    /// The query that a step needs now, if any.
+    pub(crate) fn next_query(
+        &self,
+        candidate: &pass::Candidate,
+        breadth: Breadth,
+        pass: &pass::Pass,
+    ) -> Option<UnassignedQuery> {
+        let now = pass.now;
+        let job = self.jobs.get(&candidate.task.job)?;
+        let policy = job.queue.advice?;
+        let step = job.step(&candidate.task)?;
+        if step.advice.not_before.is_some_and(|at| now < at) {
+            return None;
+        }
+        let description = job.step_description(&candidate.task)?;
+        let mut reservation = None;
+        let workers = match description.gang {
+            true => {
+                let tickets = match self.needs_only_tickets(candidate, now) {
+                    true => tickets_to_query(candidate, step, &policy, now),
+                    false => Vec::new(),
+                };
+                match tickets.is_empty() {
+                    true => self.choice_to_query(candidate, job, description, breadth, pass),
+                    false => {
+                        reservation = candidate.reservation.clone();
+                        tickets
+                    }
+                }
+            }
+            false => self.workers_to_query(candidate, job, description, pass),
+        };
+        if workers.is_empty() {
+            return None;
+        }
+        let expected = advice::duration(&policy, workers.len());
+        Some(UnassignedQuery {
+            workers,
+            reservation,
+            expected,
+        })
+    }
+
+    /// The workers with most free resources, as many as make tickets for all
+    /// waiting tasks likely.
+    fn workers_to_query(
+        &self,
+        candidate: &pass::Candidate,
+        job: &job::Job,
+        description: &fleet::StepDescription,
+        pass: &pass::Pass,
+    ) -> Vec<fleet::WorkerId> {
+        let Some(step) = job.step(&candidate.task) else {
+            return Vec::new();
+        };
+        let max_members = reserve::max_members_per_worker(description);
+        let mut workers: Vec<(u64, bool, &fleet::WorkerId)> = Vec::new();
+        for (id, worker) in self.queryable_workers(job, step, description, pass) {
+            let slots = worker
+                .free()
+                .count_fitting(&job::occupied(description), max_members);
+            workers.push((slots, step.advice.verdicts.contains_key(id), id));
+        }
+        if workers.iter().all(|(slots, ..)| *slots == 0) {
+            return Vec::new();
+        }
+        workers
+            .sort_by_key(|(slots, approved, _)| std::cmp::Reverse((*slots > 0, *approved, *slots)));
+        self.take_enough(workers, step.waiting() as f64 * QUERY_FACTOR, &job.queue)
+    }
+
+    /// Workers to query for their approval for a gang, those with most
+    /// free resources first, until there is a choice among approved ones.
+    fn choice_to_query(
+        &self,
+        candidate: &pass::Candidate,
+        job: &job::Job,
+        description: &fleet::StepDescription,
+        breadth: Breadth,
+        pass: &pass::Pass,
+    ) -> Vec<fleet::WorkerId> {
+        let now = pass.now;
+        let Some(step) = job.step(&candidate.task) else {
+            return Vec::new();
+        };
+        let first = candidate.may_query_early;
+        let count = u64::from(description.count);
+        let approved_slots = self.approved_slots(&candidate.task, description, pass);
+        let ready_at = candidate
+            .reservation
+            .as_ref()
+            .map(|reservation| reservation.ready_at);
+        let waits_long = ready_at.is_none_or(|at| at > now + MAX_GANG_WAIT);
+        let choice = match breadth == Breadth::Wide || first && waits_long {
+            true => GANG_WIDE_CHOICE_FACTOR,
+            false => GANG_CHOICE_FACTOR,
+        };
+        let missing = count as f64 * choice - approved_slots as f64;
+        let speculative = breadth == Breadth::Needed && !first;
+        if missing <= 0.0 || speculative && !self.may_fit_now(candidate, job, description, pass) {
+            return Vec::new();
+        }
+        let need = job::occupied(description);
+        let unknown = self
+            .queryable_workers(job, step, description, pass)
+            .filter(|(id, _)| {
+                let open = pass
+                    .reserved_for_others_until(&candidate.task, id)
+                    .is_none();
+                open && !step.advice.verdicts.contains_key(*id)
+            });
+        let mut workers: Vec<(u64, bool, &fleet::WorkerId)> = unknown
+            .map(|(id, worker)| (reserve::empty_slots(worker, description), false, id))
+            .filter(|(slots, ..)| *slots > 0)
+            .collect();
+        let free = |id: &fleet::WorkerId| {
+            let worker = self.workers.get(id);
+            worker.map(|worker| {
+                (
+                    worker.free().count_fitting(&need, count),
+                    worker.free().cpu_millis,
+                )
+            })
+        };
+        workers.sort_by_key(|(slots, _, id)| std::cmp::Reverse((free(id), *slots)));
+        self.take_enough(workers, missing, &job.queue)
+    }
+
+    /// Whether a gang would fit now on workers that are not reserved for
+    /// others, if the usual fraction of those not yet queried is approved.
+    fn may_fit_now(
+        &self,
+        candidate: &pass::Candidate,
+        job: &job::Job,
+        description: &fleet::StepDescription,
+        pass: &pass::Pass,
+    ) -> bool {
+        let Some(step) = job.step(&candidate.task) else {
+            return false;
+        };
+        let need = job::occupied(description);
+        let max_members = reserve::max_members_per_worker(description);
+        let approved_fraction = self.channels.approved_fraction(&job.queue.name);
+        pass.count_scans(pass.usable.len());
+        let usable = pass.usable.iter();
+        let usable = usable.filter_map(|position| self.workers.get_index(*position));
+        let open = usable.filter(|(id, worker)| {
+            worker.suits(&job.queue, description)
+                && pass
+                    .reserved_for_others_until(&candidate.task, id)
+                    .is_none()
+        });
+        let expected = open.map(|(id, worker)| {
+            let fraction = match step.advice.verdicts.get(id) {
+                Some(true) => 1.0,
+                Some(false) => 0.0,
+                None => approved_fraction,
+            };
+            fraction * worker.free().count_fitting(&need, max_members) as f64
+        });
+        expected.sum::<f64>() >= f64::from(description.count)
+    }
+
+    /// Usable workers that may be approved for a step and hold no valid ticket
+    /// for it.
+    fn queryable_workers<'a>(
+        &'a self,
+        job: &'a job::Job,
+        step: &'a job::Step,
+        description: &'a fleet::StepDescription,
+        pass: &pass::Pass,
+    ) -> impl Iterator<Item = (&'a fleet::WorkerId, &'a worker::Worker)> {
+        pass.count_scans(self.workers.len());
+        let now = pass.now;
+        self.workers.iter().filter(move |(id, worker)| {
+            let bad = step.advice.verdicts.get(*id) == Some(&false);
+            let ticket = step.advice.tickets.get(*id);
+            let holds = ticket.is_some_and(|ticket| ticket.valid_until > now);
+            let usable = self.is_usable(worker, now);
+            !bad && !holds && usable && worker.suits(&job.queue, description)
+        })
+    }
+
+    /// The first of the given workers, as many as make the wanted number of
+    /// approved slots likely. A worker known to be approved counts fully, others
+    /// by the fraction learned for the queue.
+    fn take_enough(
+        &self,
+        workers: Vec<(u64, bool, &fleet::WorkerId)>,
+        wanted_slots: f64,
+        queue: &fleet::Queue,
+    ) -> Vec<fleet::WorkerId> {
+        let approved_fraction = self.channels.approved_fraction(&queue.name);
+        let at_least = queue.advice.as_ref().map_or(MIN_QUERIED, cheap_workers);
+        let mut queried = Vec::new();
+        let mut expected_slots = 0.0;
+        for (slots, approved, id) in workers {
+            let enough = expected_slots >= wanted_slots && queried.len() >= at_least;
+            if enough || queried.len() >= MAX_QUERIED {
+                break;
+            }
+            expected_slots += slots as f64 * if approved { 1.0 } else { approved_fraction };
+            queried.push(id.clone());
+        }
+        queried
+    }
+}
+
+/// Workers reserved for a gang for which it has no ticket that stays valid
+/// until it can start.
+fn tickets_to_query(
+    candidate: &pass::Candidate,
+    step: &job::Step,
+    policy: &fleet::AdvicePolicy,
+    now: time::Instant,
+) -> Vec<fleet::WorkerId> {
+    let Some(reservation) = &candidate.reservation else {
+        return Vec::new();
+    };
+    let queried = reservation.workers.len().min(MAX_QUERIED_FOR_TICKETS);
+    let response_at = now + advice::duration(policy, queried);
+    let needed_until = reservation.ready_at.max(response_at);
+    let covered = |id: &fleet::WorkerId| {
+        let ticket = step.advice.tickets.get(id);
+        ticket.is_some_and(|ticket| ticket.valid_until > needed_until)
+    };
+    let workers = reservation.workers.iter().filter(|id| !covered(id));
+    workers.take(MAX_QUERIED_FOR_TICKETS).cloned().collect()
+}
+
+/// Number of workers that a query may name at little more than its base
+/// duration.
+fn cheap_workers(policy: &fleet::AdvicePolicy) -> usize {
+    let workers = policy.base_ms * CHEAP_FRACTION / policy.per_worker_ms.max(f64::MIN_POSITIVE);
+    (workers as usize).clamp(MIN_QUERIED, MAX_QUERIED)
+}
--- a/crates/figscale-core/src/fleet/report.rs
+++ b/crates/figscale-core/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What workers report: what runs there and what has ended.
+//! Reports of workers: their runs, and the runs that have ended.
 
 use std::time;
 
@@ -6,18 +6,18 @@
 use indexmap::IndexSet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::job;
 use super::scheduler;
 use super::worker;
 
 impl scheduler::Scheduler {
-    /// What the next call for a worker's report should carry; `None` for one
-    /// that is unknown or replaced. The lease is reckoned as sent.
+    /// Returns what the next call for a worker's report has to carry; `None` if
+    /// the worker is unknown or replaced. The lease counts as sent from then on.
     ///
-    /// The lease counts from the worker's last reading and not from now. So a
-    /// silent worker's is not extended by calls that might still reach it, and
-    /// what runs there can be given up in the end.
+    /// The lease starts at the last reading of the worker's clock and not now.
+    /// So the lease of an unresponsive worker is not extended by calls that might
+    /// still reach it, and its runs can be abandoned in the end.
     pub fn report_due(&mut self, id: &fleet::WorkerId) -> Option<worker::ReportDue> {
         let lease_ms = super::lease::millis(self.config.lease);
         let worker = self.workers.get_mut(id)?;
@@ -27,7 +27,7 @@
         let reading_ms = worker.lease.last_reading_ms();
         let lease_until_clock_ms = reading_ms.map(|clock_ms| clock_ms + lease_ms);
         if let Some(until) = lease_until_clock_ms {
-            worker.lease.sent(until);
+            worker.lease.record_sent(until);
         }
         Some(worker::ReportDue {
             acknowledged: worker.acknowledged,
@@ -35,7 +35,7 @@
         })
     }
 
-    /// A worker's report has arrived.
+    /// Applies a worker's report.
     pub fn worker_reported(
         &mut self,
         id: &fleet::WorkerId,
@@ -45,36 +45,41 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.heard(report.clock_ms, now);
+        worker.record_contact(report.clock_ms, now);
         let replaced = worker.replaced;
         let first = !worker.reported;
         worker.reported = true;
         if first {
-            // What it held before may go on as long as any lease ever sent.
+            // Runs of earlier terms may go on for any lease that was sent to it.
             let lease_ms = super::lease::millis(self.config.lease);
-            worker.lease.sent(report.clock_ms + lease_ms);
+            worker.lease.record_sent(report.clock_ms + lease_ms);
         }
         for run in &report.finished {
-            self.take_in_end(id, run, now);
+            self.apply_finished_run(id, run, now);
         }
-        // A late report of a worker that is gone tells nothing of what runs.
+        // A late report of a replaced worker says nothing about what runs now.
         if !replaced {
-            self.take_in_running(id, report, now);
-            self.drop_missing(id, report);
+            self.apply_running(id, report, now);
+            self.remove_missing_runs(id, report);
         }
-        if self.unheard.swap_remove(id).is_some() {
+        if self.not_yet_reported.swap_remove(id).is_some() {
             self.check_recovery(now);
         }
     }
 
-    fn take_in_end(&mut self, id: &fleet::WorkerId, run: &fleet::FinishedRun, now: time::Instant) {
+    fn apply_finished_run(
+        &mut self,
+        id: &fleet::WorkerId,
+        run: &fleet::FinishedRun,
+        now: time::Instant,
+    ) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if run.number <= worker.taken_in {
+        if run.number <= worker.applied {
             return;
         }
-        worker.take_in(run.number, run.task.job);
+        worker.record_end(run.number, run.task.job);
         let key = (run.task, run.attempt);
         worker.remove_run(&key);
         self.retract_loss(id, &key);
@@ -84,26 +89,31 @@
         match run.end {
             fleet::End::Done => worker.health.succeeded(),
             fleet::End::Failed if worker.health.failed(run.task.job, now) => {
-                let note = Note::WorkerSetAside {
+                let log_entry = LogEntry::WorkerEjected {
                     worker: id.clone(),
-                    cause: "failures in a row",
+                    cause: "consecutive failures",
                 };
-                self.actions.push(Action::Tell(note));
+                self.actions.push(Action::Log(log_entry));
             }
             _ => (),
         }
         if run.end != fleet::End::Done {
-            self.actions.push(Action::Tell(Note::RunEnded {
+            self.actions.push(Action::Log(LogEntry::RunEnded {
                 task: run.task,
                 attempt: run.attempt,
                 worker: id.clone(),
                 end: run.end,
             }));
         }
-        self.apply_end(id, run, now);
+        self.apply_end_to_job(id, run, now);
     }
 
-    fn apply_end(&mut self, id: &fleet::WorkerId, run: &fleet::FinishedRun, now: time::Instant) {
+    fn apply_end_to_job(
+        &mut self,
+        id: &fleet::WorkerId,
+        run: &fleet::FinishedRun,
+        now: time::Instant,
+    ) {
         self.add_rounds_ahead(&run.task, now);
         let Some(job) = self.jobs.get_mut(&run.task.job).filter(|job| job.is_open()) else {
             return;
@@ -113,16 +123,17 @@
         };
         let (is_gang, long_running) = (description.gang, description.long_running);
         job.started = true;
-        keep_checkpoint(job, run, is_gang);
+        store_checkpoint(job, run, is_gang);
         self.unsaved.change(run.task.job);
         match run.end {
             fleet::End::Done if !long_running => self.task_done(id, run, is_gang, now),
             fleet::End::Failed if !long_running => self.task_failed(id, run, is_gang, now),
-            _ => self.task_free_again(id, &(run.task, run.attempt)),
+            _ => self.requeue_task(id, &(run.task, run.attempt)),
         }
     }
 
-    /// A task has ended well; in a gang that stands for all members.
+    /// Marks a task as done; the end of one member of a gang counts for all of
+    /// them.
     fn task_done(
         &mut self,
         id: &fleet::WorkerId,
@@ -136,10 +147,11 @@
         let Some(task) = job.task_mut(&run.task) else {
             return;
         };
-        let runs_elsewhere =
-            matches!(task.state, job::TaskState::Placed { .. }) && !task.runs_as(id, run.attempt);
+        let runs_elsewhere = matches!(task.state, job::TaskState::Placed { .. })
+            && !task.is_current_run(id, run.attempt);
         if runs_elsewhere {
-            // Given up when its worker's lease was over; the later run counts.
+            // This run was abandoned when its worker's lease was over; the later
+            // run counts.
             return;
         }
         task.state = job::TaskState::Done;
@@ -166,22 +178,22 @@
         let max_attempts = job.queue.max_attempts;
         let mut failures = 0;
         if let Some(task) = job.task_mut(&run.task) {
-            job::note_failed(&mut task.failed_attempts, run.attempt);
+            job::add_failed_attempt(&mut task.failed_attempts, run.attempt);
             task.failed_on = Some(id.clone());
             failures = task.failed_attempts.len();
         }
         if is_gang && let Some(step) = job.step_mut(&run.task) {
-            job::note_failed(&mut step.gang_failed_attempts, run.attempt);
+            job::add_failed_attempt(&mut step.gang_failed_attempts, run.attempt);
             failures = failures.max(step.gang_failed_attempts.len());
         }
-        self.task_free_again(id, &(run.task, run.attempt));
+        self.requeue_task(id, &(run.task, run.attempt));
         if failures >= max_attempts as usize {
             self.end_job(run.task.job, fleet::JobState::Failed, now);
         }
     }
 
-    /// Confirms known runs, adopts those of an earlier term, stops the rest.
-    fn take_in_running(
+    /// Confirms known runs, adopts those of an earlier term and stops orphans.
+    fn apply_running(
         &mut self,
         id: &fleet::WorkerId,
         report: &fleet::WorkerReport,
@@ -197,12 +209,12 @@
                 Some(run) => {
                     let confirmed = run.confirmed_clock_ms.unwrap_or(0);
                     run.confirmed_clock_ms = Some(confirmed.max(report.clock_ms));
-                    self.note_progress(id, running, now);
+                    self.apply_progress(id, running, now);
                     self.check_outlived(&key);
                 }
-                None => self.find_run(id, running, report.clock_ms, now),
+                None => self.adopt_run(id, running, report.clock_ms, now),
             }
-            // A run in quarantine has yet to outlive those before it.
+            // A run in quarantine has to outlive the lost ones first.
             if !self.is_quarantined(id, &key) {
                 self.retract_loss(id, &key);
             }
@@ -212,7 +224,7 @@
         }
     }
 
-    fn note_progress(
+    fn apply_progress(
         &mut self,
         id: &fleet::WorkerId,
         running: &fleet::RunningTask,
@@ -227,17 +239,17 @@
             .is_some_and(|step| !step.long_running && !step.filler && step.room.cpu_millis > 0);
         if !running.checkpoint.is_empty()
             && let Some(task) = job.task_mut(&running.task)
-            && task.runs_as(id, running.attempt)
+            && task.is_current_run(id, running.attempt)
         {
             task.checkpoint.clone_from(&running.checkpoint);
         }
         if watched && let Some(used) = running.used_cpu_millis {
-            self.note_use(id, (running.task, running.attempt), used, now);
+            self.check_processor_use(id, (running.task, running.attempt), used, now);
         }
     }
 
-    /// A run that this term did not order.
-    fn find_run(
+    /// Adds a run that this term did not order.
+    fn adopt_run(
         &mut self,
         id: &fleet::WorkerId,
         running: &fleet::RunningTask,
@@ -251,7 +263,8 @@
             .get(&running.task.job)
             .and_then(|job| job.rooms.get(step));
         let all = self.workers.get(id).map(|worker| worker.entry.room);
-        // Of a job that nobody knows: nothing else goes there until it ended.
+        // If the job is unknown, so is what the run occupies: it counts as the
+        // whole worker, which gets no other work until the run has ended.
         let room = known_room.copied().or(all).unwrap_or_default();
         let job = self.jobs.get_mut(&running.task.job);
         let mut estimate = time::Duration::ZERO;
@@ -290,7 +303,7 @@
             worker.add_run(key, run);
         }
         if !self.is_wanted(id, key) {
-            self.actions.push(Action::Tell(Note::StrayRun {
+            self.actions.push(Action::Log(LogEntry::OrphanRun {
                 task: running.task,
                 attempt: running.attempt,
                 worker: id.clone(),
@@ -303,17 +316,20 @@
         run.is_some_and(|run| run.quarantined)
     }
 
+    /// Whether a run is the current one of a task of an open job.
     pub(crate) fn is_wanted(&self, id: &fleet::WorkerId, key: worker::RunKey) -> bool {
         let job = self.jobs.get(&key.0.job).filter(|job| job.is_open());
         let task = job.and_then(|job| job.task(&key.0));
-        task.is_some_and(|task| task.runs_as(id, key.1))
+        task.is_some_and(|task| task.is_current_run(id, key.1))
     }
 
-    /// Runs that a report lacks have ended, or were never started.
+    /// Removes runs that are missing in a report: they have ended, or were never
+    /// started.
     ///
-    /// A report may be older than a start that overtook it, so a run is only
-    /// missed once the report's clock is past the run's own.
-    fn drop_missing(&mut self, id: &fleet::WorkerId, report: &fleet::WorkerReport) {
+    /// A start order may overtake an older report. So a run only counts as
+    /// missing once the report's clock reading is past the run's confirmation,
+    /// or past the expiry of its order if it is not confirmed.
+    fn remove_missing_runs(&mut self, id: &fleet::WorkerId, report: &fleet::WorkerReport) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -332,13 +348,13 @@
         }
         for key in &keys {
             self.retract_loss(id, key);
-            self.task_free_again(id, key);
+            self.requeue_task(id, key);
         }
     }
 }
 
-/// The newest checkpoint; one member's is good for its whole gang.
-fn keep_checkpoint(job: &mut job::Job, run: &fleet::FinishedRun, is_gang: bool) {
+/// Stores the newest checkpoint; that of one member is valid for its whole gang.
+fn store_checkpoint(job: &mut job::Job, run: &fleet::FinishedRun, is_gang: bool) {
     if run.checkpoint.is_empty() {
         return;
     }
--- a/crates/figscale-core/src/fleet/starts.rs
+++ b/crates/figscale-core/src/fleet/starts.rs
@@ -1,24 +1,26 @@
-//! What workers answer to starts.
+//! Responses of workers to start orders.
 //!
-//! A start without an answer may have been executed, so the run stays in the
-//! books, with its room, until a report tells.
+//! A start without a response may have been executed, so its run stays
+//! recorded, with its resources, until a report of the worker shows whether it
+//! was.
 
 use std::time;
 
 use figscale_types::fleet;
 
 use super::action::Action;
-use super::action::Note;
+use super::action::LogEntry;
 use super::scheduler;
 use super::worker;
 
-/// First pause after a worker had no room although it should have had.
+/// First pause after a worker refused a start for lack of room that it should
+/// have had.
 const NO_ROOM_PAUSE: time::Duration = time::Duration::from_millis(250);
-/// First pause after a worker refused as unhealthy.
+/// First pause after a worker refused a start as unhealthy.
 const UNHEALTHY_PAUSE: time::Duration = time::Duration::from_millis(1_000);
 
 impl scheduler::Scheduler {
-    /// A start was answered, or not.
+    /// Applies the response to a start order, or the lack of one.
     pub fn start_answered(
         &mut self,
         id: &fleet::WorkerId,
@@ -34,7 +36,8 @@
             fleet::StartOutcome::Refused(refusal) => {
                 self.start_refused(id, (task, attempt), refusal, now);
             }
-            // Its room stays taken until a report tells what became of it.
+            // Its resources stay occupied until a report shows what became of
+            // it.
             fleet::StartOutcome::Unknown => (),
         }
     }
@@ -47,7 +50,7 @@
         now: time::Instant,
     ) {
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.heard(clock_ms, now);
+            worker.record_contact(clock_ms, now);
             worker.health.started();
             if let Some(run) = worker.runs.get_mut(&key) {
                 let known = run.confirmed_clock_ms.unwrap_or(0);
@@ -70,7 +73,7 @@
         refusal: fleet::StartRefusal,
         now: time::Instant,
     ) {
-        self.actions.push(Action::Tell(Note::StartRefused {
+        self.actions.push(Action::Log(LogEntry::StartRefused {
             task: key.0,
             attempt: key.1,
             worker: id.clone(),
@@ -83,7 +86,7 @@
             worker.remove_run(&key);
         }
         self.retract_loss(id, &key);
-        self.task_free_again(id, &key);
+        self.requeue_task(id, &key);
         match refusal {
             fleet::StartRefusal::StaleEpoch => self.actions.push(Action::StepDown),
             fleet::StartRefusal::OtherLife => self.worker_replaced(id, now),
--- a/crates/figscale-core/tests/fleet/kit.rs
+++ b/crates/figscale-core/tests/fleet/helpers.rs
@@ -1,13 +1,14 @@
-//! A scheduler between workers, a store and an advisory service in memory.
+//! Test helpers: a scheduler with workers, a store and an advisory service
+//! simulated in memory.
 
 use std::ops;
 use std::time;
 
 use figscale_core::fleet::Action;
 use figscale_core::fleet::Admission;
+use figscale_core::fleet::AdviceQuery;
 use figscale_core::fleet::Config;
-use figscale_core::fleet::Note;
-use figscale_core::fleet::Question;
+use figscale_core::fleet::LogEntry;
 use figscale_core::fleet::Record;
 use figscale_core::fleet::RecordKey;
 use figscale_core::fleet::Records;
@@ -16,7 +17,7 @@
 use figscale_types::fleet::StartOutcome;
 use indexmap::IndexMap;
 
-pub(crate) const MOST_RECORDS: usize = 30;
+pub(crate) const MAX_RECORDS: usize = 30;
 const FIRST_CLOCK_MS: u64 = 100_000;
 const WALL_MS: u64 = 1_700_000_000_000;
 
@@ -55,7 +56,7 @@
     }
 }
 
-pub(crate) fn advised(priority: u32) -> fleet::Queue {
+pub(crate) fn advised_queue(priority: u32) -> fleet::Queue {
     let advice = fleet::AdvicePolicy {
         base_ms: 10.0,
         per_worker_ms: 1.0,
@@ -95,20 +96,24 @@
     }
 }
 
-pub(crate) fn lasting(step: fleet::StepDescription, estimate_ms: u64) -> fleet::StepDescription {
+pub(crate) fn with_estimate(
+    step: fleet::StepDescription,
+    estimate_ms: u64,
+) -> fleet::StepDescription {
     fleet::StepDescription {
         estimate_ms,
         ..step
     }
 }
 
-/// Tickets for those workers of a question that may run its step, by number.
-pub(crate) fn tickets(question: &Question, good: impl Fn(usize) -> bool) -> Vec<fleet::Ticket> {
-    tickets_of(question, |id| good(id.as_str()[2..].parse().unwrap()))
+/// Tickets for those workers of a query that may run its step. `good` takes the
+/// number of a worker.
+pub(crate) fn tickets(query: &AdviceQuery, good: impl Fn(usize) -> bool) -> Vec<fleet::Ticket> {
+    tickets_of(query, |id| good(id.as_str()[2..].parse().unwrap()))
 }
 
-fn tickets_of(question: &Question, good: impl Fn(&fleet::WorkerId) -> bool) -> Vec<fleet::Ticket> {
-    let good = question.workers.iter().filter(|id| good(id));
+fn tickets_of(query: &AdviceQuery, good: impl Fn(&fleet::WorkerId) -> bool) -> Vec<fleet::Ticket> {
+    let good = query.workers.iter().filter(|id| good(id));
     let tickets = good.map(|id| fleet::Ticket {
         worker: id.clone(),
         token: format!("t-{id}"),
@@ -116,7 +121,7 @@
     tickets.collect()
 }
 
-/// Numbers from 0 to 1, the same ones in each run.
+/// Generator of numbers from 0 to 1, the same sequence in each run.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
@@ -127,40 +132,42 @@
     }
 }
 
-/// A worker that starts what it is told to and ends it when the test says so.
+/// Simulated worker. It starts what it is ordered to, and its runs end when the
+/// test ends them.
 pub(crate) struct FakeWorker {
     pub(crate) entry: fleet::WorkerEntry,
     pub(crate) running: IndexMap<(fleet::TaskId, u32), fleet::RunningTask>,
     pub(crate) finished: Vec<fleet::FinishedRun>,
     pub(crate) orders: Vec<fleet::StartOrder>,
     pub(crate) reachable: bool,
-    /// What a start is answered with, in place of success.
-    pub(crate) answer: Option<StartOutcome>,
-    /// Whether a stop ends a run at once; else the test ends it.
+    /// Outcome returned for a start order in place of success.
+    pub(crate) start_outcome: Option<StartOutcome>,
+    /// Whether a stop order ends its run at once; otherwise the test ends the
+    /// run.
     pub(crate) stops_at_once: bool,
     ended: u64,
 }
 
-/// Everything around one scheduler.
-pub(crate) struct Cell {
+/// One scheduler with its simulated workers, store and pending queries.
+pub(crate) struct TestCluster {
     pub(crate) scheduler: Scheduler,
     pub(crate) now: time::Instant,
     pub(crate) wall_ms: u64,
     pub(crate) workers: IndexMap<fleet::WorkerId, FakeWorker>,
     pub(crate) store: IndexMap<RecordKey, Vec<u8>>,
-    pub(crate) questions: Vec<Question>,
-    pub(crate) notes: Vec<Note>,
+    pub(crate) queries: Vec<AdviceQuery>,
+    pub(crate) log_entries: Vec<LogEntry>,
     pub(crate) stops: Vec<(fleet::WorkerId, fleet::TaskId, u32)>,
     pub(crate) stepped_down: bool,
-    /// Whether records are written and entries read.
-    pub(crate) store_answers: bool,
-    /// Workers that there have been.
+    /// Whether the store takes records and returns worker entries.
+    pub(crate) store_available: bool,
+    /// Number of workers ever added; the next one gets this number.
     pub(crate) added: usize,
     begun: time::Instant,
 }
 
-impl Cell {
-    /// So many workers of 64 cores, in racks of four.
+impl TestCluster {
+    /// Creates `workers` workers of 64 cores, in racks of four.
     pub(crate) fn new(workers: usize) -> Self {
         Self::with_cores(workers, 64)
     }
@@ -171,26 +178,26 @@
 
     pub(crate) fn with_config(workers: usize, cores: u64, config: Config) -> Self {
         let now = time::Instant::now();
-        let mut cell = Self {
+        let mut cluster = Self {
             scheduler: Scheduler::new(config),
             now,
             wall_ms: WALL_MS,
             workers: IndexMap::new(),
             store: IndexMap::new(),
-            questions: Vec::new(),
-            notes: Vec::new(),
+            queries: Vec::new(),
+            log_entries: Vec::new(),
             stops: Vec::new(),
             stepped_down: false,
-            store_answers: true,
+            store_available: true,
             added: 0,
             begun: now,
         };
-        cell.scheduler.member_joined(&"entry-1".parse().unwrap());
+        cluster.scheduler.member_joined(&"entry-1".parse().unwrap());
         for number in 0..workers {
-            cell.add_worker(number, cores);
+            cluster.add_worker(number, cores);
         }
-        cell.settle();
-        cell
+        cluster.settle();
+        cluster
     }
 
     pub(crate) fn add_worker(&mut self, number: usize, cores: u64) {
@@ -218,15 +225,16 @@
             finished: Vec::new(),
             orders: Vec::new(),
             reachable: true,
-            answer: None,
+            start_outcome: None,
             stops_at_once: true,
             ended: 0,
         };
         self.workers.insert(worker_id(number), worker);
     }
 
-    /// Entry instances with these numbers can ask the advisory service.
-    pub(crate) fn join(&mut self, numbers: ops::RangeInclusive<usize>) {
+    /// Adds the entry instances with these numbers; each can query the advisory
+    /// service.
+    pub(crate) fn join_entries(&mut self, numbers: ops::RangeInclusive<usize>) {
         for number in numbers {
             let member = format!("entry-{number}").parse().unwrap();
             self.scheduler.member_joined(&member);
@@ -252,7 +260,8 @@
             .submit(job_id(number), queue, description, self.now, self.wall_ms)
     }
 
-    /// Submits, writes and places.
+    /// Submits a job, which must be accepted, writes its record and places its
+    /// tasks.
     pub(crate) fn run(
         &mut self,
         number: u64,
@@ -268,13 +277,13 @@
     }
 
     pub(crate) fn write(&mut self) -> Records {
-        let records = self.scheduler.take_records(MOST_RECORDS);
-        self.keep(&records.records);
+        let records = self.scheduler.take_records(MAX_RECORDS);
+        self.apply_records(&records.records);
         self.scheduler.records_written(&records);
         records
     }
 
-    pub(crate) fn keep(&mut self, records: &[Record]) {
+    pub(crate) fn apply_records(&mut self, records: &[Record]) {
         for record in records {
             match &record.bytes {
                 Some(bytes) => {
@@ -287,22 +296,24 @@
         }
     }
 
-    /// Reports, writes, plans and carries out until nothing changes.
+    /// Delivers reports, writes records, plans and executes actions until no
+    /// action is left, for eight rounds at most.
     pub(crate) fn settle(&mut self) {
         for _ in 0..8 {
             self.report_all();
-            while self.store_answers && self.scheduler.has_records() {
+            while self.store_available && self.scheduler.has_records() {
                 self.write();
             }
             self.scheduler.plan(self.now);
-            if !self.carry_out() {
+            if !self.execute_actions() {
                 break;
             }
         }
     }
 
-    /// Lets time pass in small parts, with reports as they come.
-    pub(crate) fn pass(&mut self, time_ms: u64) {
+    /// Advances time in steps of 100 ms, with a tick and all reports at each
+    /// step.
+    pub(crate) fn advance(&mut self, time_ms: u64) {
         for _ in 0..time_ms.div_ceil(100) {
             self.now += ms(100);
             self.wall_ms += 100;
@@ -311,10 +322,11 @@
         }
     }
 
-    /// Entries are read, and workers report.
+    /// Reads the worker entries, unless the store is unavailable, and delivers
+    /// a report of each worker.
     pub(crate) fn report_all(&mut self) {
         let ids: Vec<fleet::WorkerId> = self.workers.keys().cloned().collect();
-        if self.store_answers {
+        if self.store_available {
             self.scheduler.entries_read(&ids, self.now);
         }
         for id in ids {
@@ -340,8 +352,8 @@
         self.scheduler.worker_reported(id, &report, self.now);
     }
 
-    /// Carries out actions; true if there were any.
-    pub(crate) fn carry_out(&mut self) -> bool {
+    /// Executes pending actions; returns whether there were any.
+    pub(crate) fn execute_actions(&mut self) -> bool {
         let actions = self.scheduler.take_actions();
         let any = !actions.is_empty();
         for action in actions {
@@ -352,9 +364,9 @@
                     task,
                     attempt,
                 } => self.stop(worker, task, attempt),
-                Action::Ask(question) => self.questions.push(question),
+                Action::QueryAdvice(query) => self.queries.push(query),
                 Action::StepDown => self.stepped_down = true,
-                Action::Tell(note) => self.notes.push(note),
+                Action::Log(note) => self.log_entries.push(note),
             }
         }
         any
@@ -364,13 +376,13 @@
         let clock_ms = self.clock_ms();
         let worker = self.workers.get_mut(id).unwrap();
         worker.orders.push(order.clone());
-        let outcome = match (worker.reachable, worker.answer) {
+        let outcome = match (worker.reachable, worker.start_outcome) {
             (false, _) => StartOutcome::Unknown,
-            (true, Some(answer)) => answer,
+            (true, Some(outcome)) => outcome,
             (true, None) => StartOutcome::Started { clock_ms },
         };
         if matches!(outcome, StartOutcome::Started { .. }) {
-            worker.begin(&order);
+            worker.start_run(&order);
         }
         self.scheduler
             .start_answered(id, order.task, order.attempt, outcome, self.now);
@@ -384,24 +396,25 @@
         }
     }
 
-    /// Where a task runs once; `None` if it runs nowhere.
-    pub(crate) fn home(&self, task: fleet::TaskId) -> Option<fleet::WorkerId> {
+    /// The worker on which a task runs; `None` if it runs nowhere. Panics if it
+    /// runs more than once.
+    pub(crate) fn host_worker(&self, task: fleet::TaskId) -> Option<fleet::WorkerId> {
         let placed = self.placed(task);
         assert!(placed.len() <= 1, "{task} runs at {placed:?}");
         placed.into_iter().next().map(|(worker, _)| worker)
     }
 
-    /// A worker crashes: its calls fail, nothing runs there any more.
+    /// Crashes a worker: calls to it fail, and nothing runs there any more.
     pub(crate) fn crash(&mut self, id: &fleet::WorkerId) {
         let worker = self.workers.get_mut(id).unwrap();
         worker.reachable = false;
         worker.running.clear();
         worker.finished.clear();
-        self.scheduler.worker_doubted(id, self.now);
+        self.scheduler.worker_call_failed(id, self.now);
         self.settle();
     }
 
-    /// Another worker comes in the place of one that has crashed.
+    /// Replaces a crashed worker by a new one.
     pub(crate) fn replace(&mut self, id: &fleet::WorkerId, cores: u64) {
         self.workers.swap_remove(id);
         self.scheduler.worker_replaced(id, self.now);
@@ -411,7 +424,7 @@
         self.settle();
     }
 
-    /// Where a task runs, with the attempt.
+    /// All runs of a task: worker and attempt.
     pub(crate) fn placed(&self, task: fleet::TaskId) -> Vec<(fleet::WorkerId, u32)> {
         let mut found = Vec::new();
         for (id, worker) in &self.workers {
@@ -424,7 +437,7 @@
         found
     }
 
-    /// Ends a task wherever it runs.
+    /// Ends the only run of a task, on whichever worker it is.
     pub(crate) fn end(&mut self, task: fleet::TaskId, end: fleet::End) {
         let placed = self.placed(task);
         assert_eq!(placed.len(), 1, "{task} runs at {placed:?}");
@@ -436,7 +449,7 @@
         self.settle();
     }
 
-    /// Attempts under which a task was ordered to a worker.
+    /// Attempts of the start orders that a worker has received.
     pub(crate) fn attempts_at(&mut self, number: usize) -> Vec<u32> {
         let orders = self.worker(number).orders.iter();
         orders.map(|order| order.attempt).collect()
@@ -449,17 +462,19 @@
             .sum()
     }
 
-    /// Answers the oldest question; `good` says who may run the step.
-    pub(crate) fn advise(&mut self, good: impl Fn(&fleet::WorkerId) -> bool) -> Question {
-        let question = self.questions.remove(0);
-        let tickets = tickets_of(&question, good);
+    /// Responds to the oldest query; `good` decides which workers may run the
+    /// step.
+    pub(crate) fn respond(&mut self, good: impl Fn(&fleet::WorkerId) -> bool) -> AdviceQuery {
+        let query = self.queries.remove(0);
+        let tickets = tickets_of(&query, good);
         self.scheduler
-            .advice_answered(&question, Some(tickets), self.now);
+            .advice_answered(&query, Some(tickets), self.now);
         self.settle();
-        question
+        query
     }
 
-    /// A new leader over the same store and workers.
+    /// Replaces the scheduler by that of a new leader, with the same store and
+    /// workers.
     pub(crate) fn take_over(&mut self, epoch: u64) {
         let config = Config {
             epoch: fleet::Epoch(epoch),
@@ -491,7 +506,7 @@
 }
 
 impl FakeWorker {
-    pub(crate) fn begin(&mut self, order: &fleet::StartOrder) {
+    pub(crate) fn start_run(&mut self, order: &fleet::StartOrder) {
         let running = fleet::RunningTask {
             task: order.task,
             attempt: order.attempt,
--- /dev/null
+++ b/crates/figscale-core/tests/fleet/lost_calls.rs
@@ -0,0 +1,56 @@
+//! Lost calls to workers, and workers that become unresponsive.
+//!
+//! For some seconds one order in thirty gets no response, among them the calls
+//! that wait for ends. Packing has put the tasks of many quick jobs on one
+//! worker, so one lost call hides the ends of many jobs. Over whole simulated
+//! days with such intervals, five seeds, shorter waits and no new work for
+//! workers with overdue calls raised the worth of the day from 0.892 to 0.911
+//! where the interval coincided with a peak of quick jobs, and from 0.766 to
+//! 0.772 where an outage weighs more.
+
+use std::time;
+
+use figscale_core::fleet::LostAnswers;
+
+use crate::helpers;
+use crate::helpers::TestCluster;
+
+#[test]
+fn report_waits_are_shorter_while_responses_get_lost() {
+    let now = time::Instant::now();
+    let mut lost_answers = LostAnswers::default();
+    let usual = lost_answers.report_wait(now);
+    lost_answers.record_lost_answer(now);
+    assert!(lost_answers.report_wait(now + helpers::ms(1_000)) * 3 < usual);
+    lost_answers.record_lost_answer(now + helpers::ms(2_000));
+    assert!(lost_answers.report_wait(now + helpers::ms(4_000)) < usual);
+    assert_eq!(lost_answers.report_wait(now + helpers::ms(6_000)), usual);
+}
+
+#[test]
+fn a_worker_with_an_overdue_call_gets_no_work_until_it_reports() {
+    let mut cluster = TestCluster::new(2);
+    cluster
+        .scheduler
+        .worker_call_failed(&helpers::worker_id(0), cluster.now);
+    let queue = helpers::queue(0);
+    assert_eq!(
+        cluster.submit(1, &queue, helpers::job(vec![helpers::step(4, 1)])),
+        figscale_core::fleet::Admission::Accepted
+    );
+    while cluster.scheduler.has_records() {
+        cluster.write();
+    }
+    cluster.scheduler.plan(cluster.now);
+    cluster.execute_actions();
+    assert!(cluster.worker(0).running.is_empty());
+    assert_eq!(cluster.worker(1).running.len(), 4);
+
+    cluster.report_all();
+    cluster.worker(1).reachable = false;
+    cluster
+        .scheduler
+        .worker_call_failed(&helpers::worker_id(1), cluster.now);
+    cluster.run(2, &queue, vec![helpers::step(4, 1)]);
+    assert_eq!(cluster.worker(0).running.len(), 4);
+}
--- a/crates/figscale-core/tests/fleet/main.rs
+++ b/crates/figscale-core/tests/fleet/main.rs
@@ -1,31 +1,32 @@
-//! The scheduler of a fleet, with workers and a store that are plain memory.
+//! Tests of the fleet scheduler with workers, store and advisory service
+//! simulated in memory.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
 mod advice;
 mod backlog;
-mod callers;
-mod carriers;
+mod caller_responses;
+mod candidacy;
+mod config_proof;
 mod crashes;
 mod customers;
-mod ends;
-mod fitness;
 mod gang_limits;
 mod gangs;
-mod hopeless;
-mod kit;
-mod leaving;
-mod load;
-mod losses;
-mod passes;
-mod placing;
-mod proof;
+mod helpers;
+mod leader_loss;
+mod leaving_workers;
+mod load_peaks;
+mod lost_calls;
+mod machine_health;
+mod no_capacity;
+mod pass_cost;
+mod placement;
 mod records;
 mod recovery;
-mod shrinking;
-mod silence;
-mod standing;
-mod starving;
+mod relay_choice;
+mod resized_workers;
+mod run_ends;
+mod starvation;
+mod starvation_reports;
 mod terms;
-mod trouble;
-mod waits;
+mod worker_faults;
--- a/crates/figscale-core/tests/job_faults/cell/network.rs
+++ b/crates/figscale-core/tests/job_faults/cell/network.rs
@@ -1,5 +1,5 @@
-//! Calls under way: what entry instances ask, when it arrives, what is
-//! answered and how the answer is taken in.
+//! Calls in flight: sending, delivery, the answers of the other side, and their
+//! delivery to the caller.
 
 use figscale_core::job::home;
 use figscale_core::job::message;
@@ -45,7 +45,7 @@
                             question,
                         });
                     }
-                    home::Action::Answer(ticket, outcome) => answers.push((ticket, outcome)),
+                    home::Action::Answer(reply_to, outcome) => answers.push((reply_to, outcome)),
                 }
             }
         }
@@ -54,22 +54,22 @@
                 placer::Action::Start(call) => Call::Start(call),
                 placer::Action::Renew(call) => Call::Renew(now.at, call),
                 placer::Action::Act(call) => Call::Act(now.at, call),
-                placer::Action::Tell(shard, events) => {
+                placer::Action::NotifyHome(shard, events) => {
                     let to = self.shards[&shard].holder;
-                    Call::Tell(to, events, shard)
+                    Call::NotifyHome(to, events, shard)
                 }
             });
         }
-        for (ticket, outcome) in answers {
-            self.take_answer(ticket, &outcome);
+        for (reply_to, outcome) in answers {
+            self.record_outcome(reply_to, &outcome);
         }
         for call in wanted {
             self.send(caller.clone(), call);
         }
     }
 
-    pub(super) fn take_answer(&mut self, ticket: home::Ticket, outcome: &home::Outcome) {
-        let Some(id) = self.tickets.get(&ticket) else {
+    pub(super) fn record_outcome(&mut self, reply_to: home::ReplyTo, outcome: &home::Outcome) {
+        let Some(id) = self.reply_tos.get(&reply_to) else {
             return;
         };
         use figscale_types::operator::ErrorKind;
@@ -81,7 +81,7 @@
         self.submitted.insert(id.clone(), state);
     }
 
-    /// Puts a call on the network; it may be lost, late, or late to answer.
+    /// Sends a call over the network, which may lose or delay it or its answer.
     pub(super) fn send(&mut self, caller: ids::MemberKey, call: Call) {
         self.next_call += 1;
         let id = self.next_call;
@@ -93,7 +93,7 @@
         let timeout = self.now + RPC_TIMEOUT;
         self.deliveries.push((timeout, Delivery::Timeout(id)));
         if !self.chance(self.faults.lose_message) {
-            // Now and then a message is on its way for long.
+            // Some messages may take longer than the timeout.
             let slow = self.chance(self.faults.lose_message);
             let at = self.now + self.millis(0, if slow { 3_000 } else { 30 });
             self.requests.insert(id, Pending { caller, call });
@@ -117,7 +117,7 @@
         }
     }
 
-    pub(super) fn later(&mut self, delivery: Delivery) {
+    pub(super) fn retry_next_step(&mut self, delivery: Delivery) {
         self.deliveries.push((self.now + STEP, delivery));
     }
 
@@ -125,10 +125,10 @@
         match delivery {
             Delivery::View(index) => {
                 if self.entries[index].frozen_until.is_some() {
-                    return self.later(delivery);
+                    return self.retry_next_step(delivery);
                 }
                 if self.entries[index].alive {
-                    self.push_view(index);
+                    self.update_view(index);
                 }
             }
             Delivery::Request(id) => self.deliver_request(id),
@@ -141,17 +141,17 @@
         let Some(request) = self.requests.swap_remove(&id) else {
             return;
         };
-        let busy = match &request.call {
+        let frozen = match &request.call {
             Call::Start(call) => self.is_worker_frozen(&call.target),
             Call::Renew(_, call) => self.is_worker_frozen(&call.target),
             Call::Act(_, call) => self.is_worker_frozen(&call.target),
             Call::Peer { to, .. } => self.is_entry_frozen(to),
-            Call::Tell(to, ..) => self.entries[*to].frozen_until.is_some(),
+            Call::NotifyHome(to, ..) => self.entries[*to].frozen_until.is_some(),
             Call::Read(_) | Call::Write(..) => false,
         };
-        if busy {
+        if frozen {
             self.requests.insert(id, request);
-            return self.later(Delivery::Request(id));
+            return self.retry_next_step(Delivery::Request(id));
         }
         let Some(reply) = self.answer(&request) else {
             return;
@@ -192,7 +192,7 @@
                 }
                 let answer = self.workers[index].start(self.now, &call.start);
                 if answer == protocol::StartAnswer::Started {
-                    self.judge_start(index, &call.start);
+                    self.check_start(index, &call.start);
                 }
                 Some(Reply::Start(answer))
             }
@@ -222,14 +222,14 @@
                 let answer = entry.placer.answer(now, valid_until, question.clone());
                 Some(Reply::Peer(answer))
             }
-            Call::Tell(to, events, shard) => {
+            Call::NotifyHome(to, events, shard) => {
                 let now = self.home_now();
                 let entry = &mut self.entries[*to];
                 if !entry.alive {
                     return None;
                 }
                 let home = entry.homes.get_mut(shard)?;
-                home.on_tell(now, &request.caller, events);
+                home.on_updates(now, &request.caller, events);
                 Some(Reply::Peer(message::Answer::Noted))
             }
             Call::Read(home) => self.answer_read(home),
@@ -239,7 +239,7 @@
 
     pub(super) fn answer_read(&mut self, home: &message::HomeKey) -> Option<Reply> {
         if self.store_down_until.is_some() {
-            return Some(Reply::Read(home::ReadOutcome::Away));
+            return Some(Reply::Read(home::ReadOutcome::NoAnswer));
         }
         let found = self.documents.get(&home.shard).cloned();
         let (revision, document) = found.unwrap_or_default();
@@ -284,15 +284,15 @@
                 Some(reply) => Delivery::Reply(id, reply),
                 None => Delivery::Timeout(id),
             };
-            return self.later(delivery);
+            return self.retry_next_step(delivery);
         }
         let Some(pending) = self.pending.swap_remove(&id) else {
             return;
         };
-        self.take_reply(index, pending.call, reply);
+        self.handle_reply(index, pending.call, reply);
     }
 
-    pub(super) fn take_reply(&mut self, index: usize, call: Call, reply: Option<Reply>) {
+    pub(super) fn handle_reply(&mut self, index: usize, call: Call, reply: Option<Reply>) {
         let now = self.home_now();
         let entry = &mut self.entries[index];
         match (call, reply) {
@@ -341,12 +341,12 @@
                     known.on_call(now, &to, asked_at, question, result);
                 }
             }
-            (Call::Tell(_, events, _), Some(_)) => entry.placer.on_told(&events),
-            (Call::Tell(..), None) => {}
+            (Call::NotifyHome(_, events, _), Some(_)) => entry.placer.on_updates_confirmed(&events),
+            (Call::NotifyHome(..), None) => {}
             (Call::Read(home), reply) => {
                 let outcome = match reply {
                     Some(Reply::Read(outcome)) => outcome,
-                    _ => home::ReadOutcome::Away,
+                    _ => home::ReadOutcome::NoAnswer,
                 };
                 if let Some(known) = entry.homes.get_mut(&home.shard)
                     && *known.key() == home
--- a/crates/figscale/src/fleet/entry/submit.rs
+++ b/crates/figscale/src/fleet/entry/submit.rs
@@ -1,4 +1,4 @@
-//! Submissions: a job is checked, given to the leader, and its caller told.
+//! Submissions: validates a job, sends it to the leader and answers the caller.
 
 use axum::response;
 use axum::response::IntoResponse as _;
@@ -12,11 +12,11 @@
 use super::reply;
 use crate::events;
 use crate::fleet::Context;
-use crate::fleet::ask;
 use crate::fleet::calls::LeaderAnswer;
 use crate::fleet::calls::LeaderCall;
+use crate::fleet::leader_client;
 
-/// Gives a job to the leader, and tells its caller what came of it.
+/// Sends a job to the leader, and returns the outcome to its caller.
 pub(super) async fn submit(
     context: &Context,
     call: &call::Call,
@@ -25,7 +25,7 @@
     customer: Option<fleet::CustomerName>,
 ) -> response::Response {
     let decoded = ingress::decode_job(&call.body);
-    let description = match decoded.and_then(checked) {
+    let description = match decoded.and_then(validated) {
         Ok(description) => description,
         Err(fault) => {
             crate::event!(events::fleet::CALL_REJECTED, job = job, cause = fault);
@@ -35,13 +35,13 @@
     let queue_name = queue.name.clone();
     let shape = shape(&description);
     let started = context.clock.now();
-    let question = LeaderCall::Submit {
+    let leader_call = LeaderCall::Submit {
         job,
         queue,
         customer,
         description,
     };
-    let (answer, verdict) = ask::leader(context, &question, call.deadline).await;
+    let (answer, verdict) = leader_client::call_leader(context, &leader_call, call.deadline).await;
     let waited_ms = clock::millis(context.clock.now().saturating_duration_since(started));
     let (event, cause, response) = match answer {
         Some(LeaderAnswer::Accepted) => {
@@ -54,8 +54,8 @@
             );
             return reply::json(http::StatusCode::OK, bytes::Bytes::from_static(b"{}"));
         }
-        // Beside an earlier call without an answer, which may arrive yet, no
-        // refusal says that the job never runs.
+        // An earlier call that was not answered may still arrive, and then no
+        // refusal can say that the job never runs.
         Some(LeaderAnswer::Refused { retry_after_ms }) if verdict == Verdict::NotRun => {
             let cause = "the work in front of it would last too long";
             return reply::refuse_job(http::StatusCode::TOO_MANY_REQUESTS, cause, retry_after_ms);
@@ -75,7 +75,7 @@
         }
         answer => (
             events::fleet::JOB_UNANSWERED,
-            why_unanswered(answer.as_ref(), verdict),
+            unanswered_cause(answer.as_ref(), verdict),
             http::StatusCode::GATEWAY_TIMEOUT.into_response(),
         ),
     };
@@ -89,10 +89,10 @@
     response
 }
 
-/// Why nobody can say whether a job was taken. Where this try did nothing an
-/// earlier one may have: any instance takes any try, and only a leader knows
-/// all jobs.
-fn why_unanswered(answer: Option<&LeaderAnswer>, verdict: Verdict) -> &'static str {
+/// Why it is unknown whether a job was accepted. Even if this attempt had no
+/// effect, an earlier one through another instance may have had one, and only a
+/// leader knows all jobs.
+fn unanswered_cause(answer: Option<&LeaderAnswer>, verdict: Verdict) -> &'static str {
     match answer {
         Some(LeaderAnswer::Overloaded) => "the leader is overloaded",
         Some(_) => "an earlier call of the leader had no answer",
@@ -101,15 +101,15 @@
     }
 }
 
-/// The job itself unless it has a fault.
-fn checked(job: fleet::JobDescription) -> Result<fleet::JobDescription, String> {
-    match scheduling::fault_of(&job) {
+/// The job itself if it is valid, or else the fault.
+fn validated(job: fleet::JobDescription) -> Result<fleet::JobDescription, String> {
+    match scheduling::validation_error(&job) {
         Some(fault) => Err(fault),
         None => Ok(job),
     }
 }
 
-/// A job's steps in one word, as tasks x cores, with `g` for a gang.
+/// Summary of a job's steps as tasks x cores, with `g` for a gang.
 fn shape(description: &fleet::JobDescription) -> String {
     let steps = description.steps.iter().map(|step| {
         let gang = if step.gang { "g" } else { "" };
--- a/crates/figscale/src/fleet/term/messages.rs
+++ b/crates/figscale/src/fleet/term/messages.rs
@@ -1,4 +1,4 @@
-//! What comes back to a term from the store, the workers and peers.
+//! Handles the results of the term's calls to the store, the workers and peers.
 
 use std::time;
 
@@ -26,10 +26,10 @@
                 self.scheduler
                     .start_answered(&worker, task, attempt, outcome, now);
             }
-            Message::Overdue(id) => self.scheduler.worker_doubted(&id, now),
-            Message::AnswerLost => self.workers.answer_lost(now),
-            Message::Advised(question, good) => {
-                self.scheduler.advice_answered(&question, good, now);
+            Message::Overdue(id) => self.scheduler.worker_call_failed(&id, now),
+            Message::AnswerLost => self.workers.record_lost_answer(now),
+            Message::Advised(query, good) => {
+                self.scheduler.advice_answered(&query, good, now);
             }
             Message::MemberGone(member) => self.drop_member(&member),
             Message::Written(result, ledger) => self.on_written(result, ledger),
@@ -59,9 +59,9 @@
         }
         let queues = self.context.queues.borrow().clone();
         for entry in entries {
-            // An entry of a pool that no configuration names may be anybody's.
-            // Before the first configuration is read all are asked, since their
-            // leases run.
+            // An entry whose service no queue of the configuration names may belong
+            // to another user of the platform. Before the first configuration is
+            // read all workers are called, since their leases are running.
             let known = self.scheduler.knows_worker(&entry.id);
             if !known && queues.version > 0 && !queues.has_service(&entry.service) {
                 continue;
@@ -106,9 +106,9 @@
                 self.scheduler.worker_replaced(id, now)
             }
             Ok(platform_workers::ReportOutcome::Unhealthy) => (),
-            Err(_) => self.scheduler.worker_doubted(id, now),
+            Err(_) => self.scheduler.worker_call_failed(id, now),
         }
         let waits = self.scheduler.has_unacknowledged(id);
-        self.workers.reported(id, &report, waits, now);
+        self.workers.schedule_next_call(id, &report, waits, now);
     }
 }
--- a/crates/figscale/src/traffic/dump.rs
+++ b/crates/figscale/src/traffic/dump.rs
@@ -1,4 +1,4 @@
-//! The dump of slots, queues and budgets.
+//! Diagnostic dump and gauges of slots, queues and retry budgets.
 
 use std::future;
 use std::sync;
@@ -9,16 +9,16 @@
 use super::Traffic;
 use crate::metrics;
 
-/// Offers the dump and the gauges under the service's name.
+/// Registers the dump and the gauges under the service's name.
 pub(super) fn offer(traffic: &sync::Arc<Traffic>) {
     let kernel = traffic.context.kernel.clone();
     let reported = traffic.clone();
-    kernel.offer_report(super::NAME, move || {
+    kernel.register_report(super::NAME, move || {
         reported.report();
         Box::pin(future::ready(()))
     });
     let traffic = traffic.clone();
-    kernel.offer_dump(super::NAME, move || {
+    kernel.register_dump(super::NAME, move || {
         let dump = traffic.dump();
         Box::pin(async move { dump })
     });
@@ -35,7 +35,7 @@
         let metrics = &self.context.metrics;
         metrics.queue_changed(waiting);
         for (service, counts) in services {
-            // Some urgency may have every free slot; the others keep from some.
+            // Some urgency may use every free slot; from the others some are reserved.
             let free = counts.free.into_iter().max().unwrap_or(0);
             let slots = metrics::Slots {
                 free,
@@ -57,19 +57,19 @@
                     "epoch": runner.epoch,
                     "slots": runner.instance.slots,
                     "busy": runner.busy,
-                    "kept_back": runner.kept_back(now),
+                    "kept_back": runner.withheld(now),
                     "leaving": runner.is_leaving(),
                     "ejected": dispatcher.is_ejected(runner, now),
                 })
             })
             .collect();
-        let others: Vec<_> = (decisions.board.lines())
+        let others: Vec<_> = (decisions.usage_table.all_counts())
             .map(|(service, member, counts)| {
                 json!({ "service": service, "member": member, "counts": counts })
             })
             .collect();
         let budgets: serde_json::Map<_, _> = (decisions.budgets.iter())
-            .map(|(service, budget)| (service.to_string(), json!(budget.saved())))
+            .map(|(service, budget)| (service.to_string(), json!(budget.balance())))
             .collect();
         let owners: serde_json::Map<_, _> = (decisions.admission.in_progress())
             .map(|(owner, count)| (owner.to_string(), json!(count)))
@@ -86,7 +86,7 @@
             "waiting": dispatcher.waiting(),
             "counts": dispatcher.counts(now),
             "runners": runners,
-            "heard": decisions.board.heard().collect::<Vec<_>>(),
+            "heard": decisions.usage_table.reporting_members().collect::<Vec<_>>(),
             "others": others,
             "retries_saved": budgets,
             "owners": owners,
--- a/crates/figscale/tests/entry/mod.rs
+++ b/crates/figscale/tests/entry/mod.rs
@@ -1,4 +1,4 @@
-//! An operator address without the real services behind it.
+//! The operators' HTTP API of an instance without the real services behind it.
 
 use std::future;
 use std::net;
@@ -23,10 +23,10 @@
 use tokio::net::TcpListener;
 use tokio::task;
 
-/// Longest wait for anything.
-const LIMIT: time::Duration = time::Duration::from_secs(30);
+/// Timeout of any operation.
+const OPERATION_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// The operator address of a process in which no service was started.
+/// The operators' HTTP API of a process in which no service was started.
 pub(crate) struct Entry {
     pub(crate) context: state::Context,
     address: net::SocketAddr,
@@ -76,36 +76,36 @@
     }
 
     pub(crate) fn block_on<F: future::Future>(&self, work: F) -> F::Output {
-        let limited = async { tokio::time::timeout(LIMIT, work).await };
+        let limited = async { tokio::time::timeout(OPERATION_TIMEOUT, work).await };
         self.runtime.block_on(limited).expect("done in time")
     }
 
     pub(crate) fn get(&self, path: &str) -> Answer {
-        self.ask("GET", path, Bytes::new())
+        self.send_request("GET", path, Bytes::new())
     }
 
     pub(crate) fn post(&self, path: &str, body: String) -> Answer {
-        self.ask("POST", path, body)
+        self.send_request("POST", path, body)
     }
 
-    pub(crate) fn ask(&self, method: &str, path: &str, body: impl Into<Bytes>) -> Answer {
-        self.block_on(ask(self.address, method, path, body.into()))
+    pub(crate) fn send_request(&self, method: &str, path: &str, body: impl Into<Bytes>) -> Answer {
+        self.block_on(send_request(self.address, method, path, body.into()))
     }
 
-    pub(crate) fn post_later(&self, path: &str, body: String) -> task::JoinHandle<Answer> {
+    pub(crate) fn spawn_post(&self, path: &str, body: String) -> task::JoinHandle<Answer> {
         let address = self.address;
         let path = path.to_owned();
         self.runtime
-            .spawn(async move { ask(address, "POST", &path, body.into()).await })
+            .spawn(async move { send_request(address, "POST", &path, body.into()).await })
     }
 
-    /// Begins the end of the server.
-    pub(crate) fn end_later(&mut self) -> task::JoinHandle<()> {
+    /// Starts to shut down the server.
+    pub(crate) fn spawn_shutdown(&mut self) -> task::JoinHandle<()> {
         let server = self.server.take().unwrap();
         self.runtime.spawn(server.end())
     }
 
-    /// Waits until no connection is taken any more.
+    /// Waits until no more connections are accepted.
     pub(crate) fn wait_until_refused(&self) {
         self.block_on(async {
             while tokio::net::TcpStream::connect(self.address).await.is_ok() {
@@ -115,7 +115,7 @@
     }
 }
 
-async fn ask(address: net::SocketAddr, method: &str, path: &str, body: Bytes) -> Answer {
+async fn send_request(address: net::SocketAddr, method: &str, path: &str, body: Bytes) -> Answer {
     let client = legacy::Client::builder(TokioExecutor::new()).build_http();
     let request = http::Request::builder()
         .method(method)
@@ -132,13 +132,13 @@
     }
 }
 
-/// Reports one of each.
+/// Reports one sample of each metric.
 pub(crate) fn report_everything(metrics: &metrics::Metrics) {
     let entry: ids::EntryName = "hullrate/quote".parse().unwrap();
     let urgency = catalogue::Urgency::Interactive;
-    let moment = time::Duration::from_millis(3);
+    let latency = time::Duration::from_millis(3);
     metrics.request_answered(&entry, urgency, verdict::Verdict::Ran);
-    metrics.request_dispatched(&entry, urgency, moment);
+    metrics.request_dispatched(&entry, urgency, latency);
     metrics.queue_changed(7);
     let slots = metrics::Slots { free: 5, taken: 3 };
     metrics.slots_changed(&"hullrate".parse().unwrap(), slots);
--- a/crates/figscale/tests/harness_ports.rs
+++ b/crates/figscale/tests/harness_ports.rs
@@ -1,11 +1,12 @@
-//! The harness itself: an address that somebody else took is no failure.
+//! The test harness itself: if an address of a cell is in use, the start is
+//! repeated with other addresses.
 
 mod harness;
 
 use std::net;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_taken_address_is_given_up() {
+async fn a_cell_is_restarted_with_another_address() {
     let taken = net::TcpListener::bind("127.0.0.1:0").unwrap();
     let taken_address = taken.local_addr().unwrap();
     let plan = harness::Plan {
