--- a/crates/figscale-core/src/fleet/leader_loss.rs
+++ b/crates/figscale-core/src/fleet/leader_loss.rs
@@ -133,18 +133,17 @@
     /// The peer has sent no heartbeat to this leader yet, or takes another
     /// instance for the leader.
     Unknown,
-    /// Time since the leader last responded to the peer.
-    LastResponse(time::Duration),
+    /// Time since the leader last responded to the peer. The name of the variant
+    /// is written to the log.
+    Heard(time::Duration),
 }
 
 /// Whether a leader is lost that last responded to this instance
 /// `answered_ago` ago, given the views of all other peers. `allowed` is the time
 /// that it may take to respond.
 pub fn is_lost(answered_ago: time::Duration, peers: &[PeerView], allowed: time::Duration) -> bool {
-    let has_contact =
-        |view: &&PeerView| matches!(view, PeerView::LastResponse(ago) if *ago < allowed);
-    let lacks_contact =
-        |view: &&PeerView| matches!(view, PeerView::LastResponse(ago) if *ago >= allowed);
+    let has_contact = |view: &&PeerView| matches!(view, PeerView::Heard(ago) if *ago < allowed);
+    let lacks_contact = |view: &&PeerView| matches!(view, PeerView::Heard(ago) if *ago >= allowed);
     let without_contact = peers.iter().filter(lacks_contact).count();
     let any_has_contact = answered_ago < allowed || peers.iter().any(|view| has_contact(&view));
     // More than half of all instances, this one included, and never this one
--- a/crates/figscale-core/tests/fleet/leader_loss.rs
+++ b/crates/figscale-core/tests/fleet/leader_loss.rs
@@ -15,8 +15,8 @@
 use figscale_types::fleet::Epoch;
 use rstest::rstest;
 
-const MISSED: PeerView = PeerView::LastResponse(UNRESPONSIVE_AFTER);
-const HEARD: PeerView = PeerView::LastResponse(time::Duration::from_millis(399));
+const MISSED: PeerView = PeerView::Heard(UNRESPONSIVE_AFTER);
+const HEARD: PeerView = PeerView::Heard(time::Duration::from_millis(399));
 const UNREACHABLE: PeerView = PeerView::Unreachable;
 const UNKNOWN: PeerView = PeerView::Unknown;
 
@@ -78,7 +78,7 @@
     assert!(missed + LEADER_QUERY_TIMEOUT < time::Duration::from_millis(1_000));
     assert!(missed + LEADER_QUERY_TIMEOUT < shortest_lease);
     let quick = ResponseTimes::default().response_limit();
-    assert!(is_lost(missed, &[PeerView::LastResponse(missed); 2], quick));
+    assert!(is_lost(missed, &[PeerView::Heard(missed); 2], quick));
 }
 
 /// Guards against heartbeats to the leader that grow with the number of
@@ -111,7 +111,7 @@
     for took in [50, 150, 300, 500, 700].map(time::Duration::from_millis) {
         let allowed = times.response_limit();
         let unanswered_for = HEARTBEAT_INTERVAL + took;
-        let peers = [PeerView::LastResponse(unanswered_for); 20];
+        let peers = [PeerView::Heard(unanswered_for); 20];
         assert!(
             !is_lost(unanswered_for, &peers, allowed),
             "{took:?} {allowed:?}"
@@ -126,6 +126,6 @@
     let mut times = ResponseTimes::default();
     times.record_response(time::Duration::from_secs(10));
     let unanswered_for = time::Duration::from_secs(3);
-    let peers = [PeerView::LastResponse(unanswered_for); 20];
+    let peers = [PeerView::Heard(unanswered_for); 20];
     assert!(is_lost(unanswered_for, &peers, times.response_limit()));
 }
--- a/crates/figscale/src/fleet/heartbeat.rs
+++ b/crates/figscale/src/fleet/heartbeat.rs
@@ -411,7 +411,7 @@
 fn peer_view(observation: &LeaderObservation, leader: &leadership::Leader) -> fleet::PeerView {
     let same = observation.leader.as_ref() == Some(leader);
     match observation.heard_ms_ago {
-        Some(ago) if same => fleet::PeerView::LastResponse(time::Duration::from_millis(ago)),
+        Some(ago) if same => fleet::PeerView::Heard(time::Duration::from_millis(ago)),
         _ => fleet::PeerView::Unknown,
     }
 }
