--- a/crates/figscale-core/src/fleet/starvation.rs
+++ b/crates/figscale-core/src/fleet/starvation.rs
@@ -23,8 +23,7 @@
 
 /// Minimum time between two scans. With [`MAX_REPORTED`] it limits the log to
 /// three lines in 2 s. A scan takes about 25 us with 350 workers and 40 waiting
-/// steps (measured by the example `fleet_cost`), where each of the 80 ticks in
-/// that time takes 20 us.
+/// steps, where each of the 80 ticks in that time takes 20 us.
 const SCAN_INTERVAL: time::Duration = time::Duration::from_secs(2);
 /// Only steps of jobs submitted longer ago than this are reported. The lease of
 /// a lost worker and the stop after it take 4.9 s by default, so a first step
@@ -92,7 +91,7 @@
         let usable: Vec<_> = self.workers.iter().filter(usable).collect();
         let log_entries = waiting.iter();
         log_entries
-            .filter_map(|(_, task)| self.starvation_note(task, &usable, now))
+            .filter_map(|(_, task)| self.starvation_entry(task, &usable, now))
             .collect()
     }
 
@@ -131,7 +130,7 @@
             .collect()
     }
 
-    fn starvation_note(
+    fn starvation_entry(
         &self,
         task: &fleet::TaskId,
         usable: &[Usable<'_>],
