--- a/crates/figscale-core/src/claims/mod.rs
+++ b/crates/figscale-core/src/claims/mod.rs
@@ -15,10 +15,11 @@
 //! in the document itself, to *promise* not to help evict it. With promises
 //! from a majority of them it may continue. To evict a holder, a member must
 //! observe that the holder's lease has expired in the store, and must collect
-//! *releases* from so many of the holder's witnesses that no majority is left
-//! to promise. A release is permanent: a witness that released a lease never
-//! promises for it again. The two quorums intersect in at least one witness,
-//! which has either promised or released; this is the entire safety argument.
+//! *releases* from enough of the holder's witnesses that those left to promise
+//! are fewer than a majority. A release is permanent: a witness that released a
+//! lease never promises for it again. The two quorums intersect in at least one
+//! witness, which has either promised or released; this is the entire safety
+//! argument.
 //!
 //! The rules in detail:
 //!
--- a/crates/figscale-core/src/fleet/job.rs
+++ b/crates/figscale-core/src/fleet/job.rs
@@ -36,7 +36,7 @@
     pub(crate) failed_attempts: Vec<u32>,
     /// Highest attempt number ordered.
     pub(crate) attempt: u32,
-    /// Checkpoint from which it can resume; empty to begin anew.
+    /// Checkpoint from which it can resume; empty to start from the beginning.
     pub(crate) checkpoint: String,
     /// Worker on which it failed last.
     pub(crate) failed_on: Option<fleet::WorkerId>,
--- a/crates/figscale-core/src/fleet/leaving.rs
+++ b/crates/figscale-core/src/fleet/leaving.rs
@@ -28,8 +28,8 @@
 const EVACUATION_MARGIN: time::Duration = time::Duration::from_millis(1_000);
 
 impl scheduler::Scheduler {
-    /// Records that a draining worker goes on until `at` at least. Of several
-    /// such times the earliest counts.
+    /// Records that a draining worker leaves at `at` at the earliest. If several
+    /// such times are recorded, the earliest counts.
     pub fn worker_leaves(&mut self, id: &fleet::WorkerId, at: time::Instant) {
         if let Some(worker) = self.workers.get_mut(id) {
             let known = worker.leaves_at.unwrap_or(at);
--- a/crates/figscale-core/src/fleet/recovery.rs
+++ b/crates/figscale-core/src/fleet/recovery.rs
@@ -233,8 +233,8 @@
         self.stop_partial_gangs(now);
     }
 
-    /// Stops gangs of which the last leader had started only some members, so
-    /// that they begin anew.
+    /// Stops the running members of gangs that the last leader had started only
+    /// in part, so that all members are started together again.
     fn stop_partial_gangs(&mut self, now: time::Instant) {
         let mut partial = Vec::new();
         for id in &self.open {
--- a/crates/figscale-core/src/fleet/report.rs
+++ b/crates/figscale-core/src/fleet/report.rs
@@ -50,7 +50,8 @@
         let first = !worker.reported;
         worker.reported = true;
         if first {
-            // Runs of earlier terms may go on for any lease that was sent to it.
+            // Runs of earlier terms may continue until the end of any lease that
+            // was sent to the worker.
             let lease_ms = super::lease::millis(self.config.lease);
             worker.lease.record_sent(report.clock_ms + lease_ms);
         }
--- a/crates/figscale-core/src/fleet/reserve.rs
+++ b/crates/figscale-core/src/fleet/reserve.rs
@@ -7,8 +7,8 @@
 //! them only if it ends before the gang is expected to start. Tickets are
 //! queried shortly before that time.
 //!
-//! A slot is of use only with a ticket for its worker, so a worker with a
-//! ticket, or with one in flight, is preferred to one that is still to be
+//! A slot can be used only with a ticket for its worker, so a worker with a
+//! ticket, or with one in flight, is preferred to one that has yet to be
 //! queried. Without this preference the chosen workers change with each run
 //! that ends, the fetched tickets belong to the previous choice, and a gang
 //! keeps sending queries although there is room.
@@ -38,7 +38,7 @@
     /// When there should be room and tickets for all members.
     pub(crate) ready_at: time::Instant,
     /// Whether the workers are reserved in this pass: other work is kept off
-    /// them, so tickets for them are of use.
+    /// them, so tickets for them can be used.
     pub(crate) active: bool,
 }
 
--- a/crates/figscale-core/src/fleet/scheduler.rs
+++ b/crates/figscale-core/src/fleet/scheduler.rs
@@ -107,7 +107,7 @@
     pub(crate) workers_record_in_flight: bool,
     /// Whether the record in the store may name more workers than `recorded`.
     pub(crate) workers_record_outdated: bool,
-    /// Whether the record of workers has to be written anew. It is cached, since
+    /// Whether the record of workers has to be written again. This is cached, since
     /// computing it takes about 50 us for 350 workers, far too long to do after
     /// each message.
     pub(crate) workers_record_dirty: bool,
--- a/crates/figscale-core/src/job/placement/preempt.rs
+++ b/crates/figscale-core/src/job/placement/preempt.rs
@@ -1,12 +1,12 @@
 //! Preemption: frees resources for urgent work at the expense of less urgent work.
 //!
-//! A plan names one worker and what to do to tasks on it, in this order of
-//! preference: checkpoint (little work is lost), throttle to the declared share of
-//! processor time (only time is lost), stop (the run so far is lost). Each step has a
-//! cost in core seconds. The stops of one plan may not cost more than a budget that
-//! follows from the catalogue's weights: a cell that weighs waiting higher gives up
-//! more work than one that weighs packing higher. Work that may not run twice and
-//! cannot save its state is never preempted.
+//! A plan names one worker and what to do to tasks on it, in this order of preference:
+//! checkpoint (little work is lost), throttle to the declared share of processor time
+//! (only time is lost), stop (the run so far is lost). Each step has a cost in core
+//! seconds. The stops of one plan may not cost more than a budget that follows from the
+//! catalogue's weights: the higher a cell weighs waiting against packing, the more work
+//! may be lost by stops. Work that may not run twice and cannot save its state is never
+//! preempted.
 //!
 //! Tasks that were ordered to end before count as ended, so that resources are not freed
 //! twice for one task.
--- a/crates/figscale-core/src/job/placement/queue.rs
+++ b/crates/figscale-core/src/job/placement/queue.rs
@@ -2,7 +2,7 @@
 //!
 //! Tasks of a job are alike, so the queue has one group per job: cancelling a job of
 //! 10,000 tasks removes one group, and if one task does not fit, neither do the others
-//! of its job. Every pass ranks the groups anew, by [`Level`] first:
+//! of its job. Every pass ranks all groups again, by [`Level`] first:
 //!
 //! 1. interactive work, by fair share among owners;
 //! 2. work that misses its deadline unless it starts soon, earliest first;
--- a/crates/figscale-core/tests/fleet/customers.rs
+++ b/crates/figscale-core/tests/fleet/customers.rs
@@ -256,8 +256,8 @@
     assert_eq!(running(&cluster, 1) + running(&cluster, 2), 6);
 }
 
-/// Guards against tasks of a cancelled job that go on running where the next
-/// leader cannot reach them, and are not counted.
+/// Guards against a leader that does not count the tasks of a cancelled job that
+/// still run on a worker it cannot reach.
 #[test]
 fn a_new_leader_counts_what_a_cancelled_job_left_running() {
     let limits = [("a", 4)];
--- a/crates/figscale/src/fleet/entry/mod.rs
+++ b/crates/figscale/src/fleet/entry/mod.rs
@@ -5,7 +5,7 @@
 //! job's id makes a repeated submission idempotent. A submission is answered with
 //! 503 or 429 only if the job was certainly not accepted. Only a leader can know
 //! that, since an earlier attempt may have gone through another instance. If
-//! nobody knows, the answer is 504.
+//! that is not known, the answer is 504.
 
 mod authorize;
 mod call;
--- a/crates/figscale/src/fleet/term/members.rs
+++ b/crates/figscale/src/fleet/term/members.rs
@@ -27,8 +27,8 @@
 use crate::fleet::calls::LeaderCall;
 use crate::fleet::machine_health;
 
-/// How long a leader that most of its peers cannot reach goes on before it gives
-/// up leadership.
+/// A leader that most of its peers cannot reach gives up leadership after this
+/// time.
 const MAX_ISOLATION: time::Duration = time::Duration::from_millis(900);
 
 /// Shortest duration of a term before it may be handed over to a stronger
--- a/crates/figscale/tests/jobs_faults.rs
+++ b/crates/figscale/tests/jobs_faults.rs
@@ -94,8 +94,8 @@
     judge(&cell);
 }
 
-/// A worker that the list calls leaving gets nothing new within seconds; its
-/// tasks that can be saved go on elsewhere.
+/// A worker that the list of instances marks as leaving stops receiving new tasks
+/// within seconds; its tasks that can be checkpointed resume on other workers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_worker_gets_nothing_new() {
     let cell = start(plan(2, 3)).await;
