--- a/crates/figscale-core/src/fleet/channels.rs
+++ b/crates/figscale-core/src/fleet/channels.rs
@@ -1,9 +1,9 @@
 //! Advice channels: each entry instance as a path to the advisory service.
 //!
 //! Each channel has one query in flight at a time. Some of them are reserved for
-//! short queries. The service approves some workers for a step (they are "good"
-//! in the log) and not others; the fraction approved is learned for each queue
-//! from the responses.
+//! short queries. The service approves only some workers for a step ("good" ones
+//! in the log); the fraction approved is learned for each queue from the
+//! responses.
 
 use figscale_types::fleet;
 use figscale_types::ids;
@@ -22,7 +22,7 @@
 const LEARNING_WEIGHT: f64 = 0.1;
 
 /// Number of consecutive queries without a response after which the service
-/// counts as unavailable. One or two are lost with an instance that leaves.
+/// counts as unavailable. One or two may be lost when an instance leaves.
 const UNAVAILABLE_AFTER: usize = 3;
 
 /// One entry instance as a path to the service.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdviceChannels {
     pub(crate) by_member: IndexMap<ids::MemberId, AdviceChannel>,
-    /// Fraction of the workers that may run a step, by queue.
+    /// Fraction of workers that the service approves for a step, by queue.
     approved_fractions: IndexMap<String, f64>,
     /// Number of queries without a response since the last response.
     without_response: usize,
--- a/crates/figscale-core/src/fleet/config_proof.rs
+++ b/crates/figscale-core/src/fleet/config_proof.rs
@@ -1,15 +1,17 @@
-//! Age of the proof that a configuration is still the operators' newest.
+//! Proof that the configuration known here is still the operators' newest, and
+//! the age of that proof.
 //!
 //! A key that the operators revoke must be invalid at every instance within a
 //! bounded time, including an instance that the store refuses, whose watch
-//! delivers nothing, or whose machine was suspended. So what counts is not when
-//! the last update was received, but when a read of the store that named this
-//! revision was started: a proof is as old as the start of that read.
+//! delivers nothing, or whose machine was suspended. The time of the last update
+//! does not show that no newer one was missed. A read of the store does: it
+//! proves that the revision it returned was the newest when the read was
+//! started, so the age of the proof is the time since then.
 //!
-//! An instance that has such a proof can forward it to others. The receiver
-//! adds the time since its own request to the age. All times are those since
-//! the machine started, from a clock that also runs while the machine is
-//! suspended.
+//! An instance that has such a proof can forward it to others as a stamp. The
+//! receiver adds the time since its own request to the age. All times are
+//! measured from the start of the machine by a clock that also runs while the
+//! machine is suspended.
 
 use std::time;
 
@@ -20,10 +22,10 @@
 /// proof passes through may each be 2% slow.
 const USABLE_PERCENT: u32 = 94;
 
-/// A proof as sent to another instance.
+/// A proof in the form in which it is sent to another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofStamp {
-    /// Revision that the store named.
+    /// Revision that the read of the store returned.
     pub revision: u64,
     /// Time since the read of the store was started, in milliseconds.
     pub age_ms: u64,
@@ -32,14 +34,14 @@
 /// What a stamp shows about the configuration known here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StampOutcome {
-    /// It was still the newest, as of the stamp.
+    /// It was still the newest at the time that the stamp proves.
     Confirmed,
     /// There is a newer one.
     Outdated,
 }
 
 /// Revision of the configuration known here, and the time as of which it is
-/// proven.
+/// proven to be the newest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigProof {
     revision: u64,
@@ -59,8 +61,8 @@
         self.confirm(asked_at);
     }
 
-    /// Records a revision delivered by a watch. That says which revision is
-    /// known, but not that it is still the newest now.
+    /// Records a revision delivered by a watch. It becomes the known revision, but
+    /// a watch does not prove that it is still the newest.
     pub fn record_watched(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
@@ -93,8 +95,8 @@
         Some(now.saturating_sub(proven_at))
     }
 
-    /// Whether the proof is young enough, where `bound` is the maximum age of a
-    /// proof if there is one.
+    /// Whether the proof is recent enough. `bound` is its maximum age; `None` if no
+    /// proof is needed.
     pub fn holds(&self, bound: Option<time::Duration>, now: time::Duration) -> bool {
         bound.is_none_or(|bound| {
             let age = self.age(now);
--- a/crates/figscale-core/src/fleet/lease.rs
+++ b/crates/figscale-core/src/fleet/lease.rs
@@ -2,9 +2,9 @@
 //!
 //! A worker ends all its runs when its lease expires by its own monotonic clock,
 //! of which the leader knows only the readings in the worker's answers. A reading
-//! was taken before its answer arrived, so the worker's clock can only be ahead of
-//! the estimate made here, provided that the estimate allows for a clock that runs
-//! slightly slow.
+//! was taken before the answer arrived. So the worker's clock is never behind the
+//! estimate made here, which also allows for a worker's clock that runs slightly
+//! slow.
 
 use std::time;
 
@@ -13,7 +13,7 @@
 /// leader's own clock.
 const SLOWEST_RATE_PERCENT: u64 = 97;
 
-/// Last reading of a worker's clock, and the lease granted on that clock.
+/// Last reading of a worker's clock, and the end of its lease by that clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Lease {
     reading: Option<(u64, time::Instant)>,
--- a/crates/figscale-core/src/fleet/lost_answers.rs
+++ b/crates/figscale-core/src/fleet/lost_answers.rs
@@ -19,9 +19,10 @@
 /// Wait while answers get lost: ends stay unknown for 0.4 s instead of 1.15 s, at
 /// the price of four times the calls to workers that have nothing to report.
 const LOSSY_WAIT: time::Duration = time::Duration::from_millis(250);
-/// Time without a lost answer after which the loss has ended. Losses come in
-/// periods of seconds. With one call in thirty lost, fifty workers show several
-/// losses a second, so a period is certainly over after this time.
+/// Time without a lost answer after which answers count as no longer lost.
+/// Answers are lost in periods of seconds. With one call in thirty lost, fifty
+/// workers show several losses a second, so a period is certainly over after this
+/// time.
 const LOSSY_PERIOD: time::Duration = time::Duration::from_secs(3);
 
 /// Tracks when an answer of any worker was last lost.
--- a/crates/figscale-core/src/fleet/open_workers.rs
+++ b/crates/figscale-core/src/fleet/open_workers.rs
@@ -1,4 +1,4 @@
-//! The workers that a step's tasks could run on now, and the choice among them.
+//! Choice of workers for a step's tasks among those that could run them now.
 
 use std::time;
 
@@ -11,9 +11,9 @@
 use super::worker;
 
 /// Priority-0 work no longer than this may use reserved workers: one such task
-/// delays a gang by no more than runs miss their estimates by. A stream of them
-/// would delay it forever, so they are kept off the workers reserved for the
-/// step that is overdue longest.
+/// delays a gang by no more than the usual error of a run's estimate. A stream
+/// of them would delay it forever, so they are kept off the workers reserved
+/// for the step that is overdue longest.
 const SHORT_WORK_MS: u64 = 1_200;
 
 /// Sort key of the workers for a task; the smallest is chosen.
@@ -21,8 +21,8 @@
 struct Fit {
     failed_here: bool,
     unproven: bool,
-    /// Runs that would be lost with the worker; counted only for a task in need
-    /// of quarantine, which may crash it.
+    /// Runs that would be lost if the task crashed the worker; counted only for
+    /// a task that needs quarantine.
     runs_at_risk: usize,
     outside_data_rack: bool,
     left_cpu_millis: u64,
@@ -44,8 +44,8 @@
         let ends = pass.now + time::Duration::from_millis(description.estimate_ms);
         let is_short = rank.class == 0 && description.estimate_ms <= SHORT_WORK_MS;
         let need = job::occupied(description);
-        // A gang is exempt: it would rarely find all its workers without
-        // recently started runs at the same time.
+        // A gang is exempt: there are rarely enough workers for it at one time
+        // that have no recently started runs.
         let quarantined = !description.gang && job.needs_quarantine(task);
         let mut places = Vec::new();
         for (id, worker) in self.allowed_workers(job, step, pass) {
@@ -146,8 +146,8 @@
     runs: usize,
 }
 
-/// Assigns `count` tasks to the given workers, to the fullest first that has
-/// room for one. `None` if they do not all fit.
+/// Assigns `count` tasks to the given workers, each to the fullest worker that has
+/// room for it. `None` if they do not all fit.
 pub(crate) fn assign_fullest_first(
     mut places: Vec<OpenWorker<'_>>,
     description: &fleet::StepDescription,
--- a/crates/figscale-core/src/fleet/query.rs
+++ b/crates/figscale-core/src/fleet/query.rs
@@ -18,9 +18,9 @@
 /// Maximum number of workers in one query.
 const MAX_QUERIED: usize = 30;
 /// Maximum number of workers in a query for a gang's tickets, which is also the
-/// most that the service accepts. Spread over several queries the first tickets
-/// would expire before the last arrive, and a gang on 61 workers would never
-/// start.
+/// most that the service accepts. If the tickets were spread over several
+/// queries, the first would expire before the last arrive, and a gang on 61
+/// workers would never start.
 const MAX_QUERIED_FOR_TICKETS: usize = 100;
 /// Minimum number of workers in one query, if there are that many.
 const MIN_QUERIED: usize = 4;
@@ -29,15 +29,17 @@
 /// response arrives; queries about few workers then had to be repeated, up to
 /// 400 times a second on a busy day.
 const CHEAP_FRACTION: f64 = 1.0 / 3.0;
-/// Expected number of approved slots to query for, for each slot needed.
+/// Expected number of approved slots on the workers of a query, for each slot
+/// needed.
 const QUERY_FACTOR: f64 = 1.6;
 /// Slots wanted on approved workers for each member of a gang, so that it can
 /// choose those that become free first.
 const GANG_CHOICE_FACTOR: f64 = 1.5;
-/// The same for a gang that would wait longer than [`MAX_GANG_WAIT`] for the
-/// approved workers it knows.
+/// Used instead of [`GANG_CHOICE_FACTOR`] for a gang that would wait longer than
+/// [`MAX_GANG_WAIT`] for workers that are known to be approved.
 const GANG_WIDE_CHOICE_FACTOR: f64 = 4.0;
-/// Waiting for room up to this long is better than another query.
+/// Up to this time, it is better for a gang to wait for room than to query more
+/// workers.
 const MAX_GANG_WAIT: time::Duration = time::Duration::from_millis(600);
 /// Tickets for a gang are queried this long before they are needed.
 const TICKET_LEAD_TIME: time::Duration = time::Duration::from_millis(100);
@@ -153,8 +155,8 @@
         self.take_enough(workers, step.waiting() as f64 * QUERY_FACTOR, &job.queue)
     }
 
-    /// Workers to query for their approval for a gang, those with most
-    /// free resources first, until there is a choice among approved ones.
+    /// Workers to query for approval for a gang, those with most free resources
+    /// first, as many as are likely to give it a choice among approved ones.
     fn choice_to_query(
         &self,
         candidate: &pass::Candidate,
@@ -290,8 +292,8 @@
     }
 }
 
-/// Workers reserved for a gang for which it has no ticket that stays valid
-/// until it can start.
+/// Workers reserved for a gang without a ticket that is valid until the gang
+/// can start.
 fn tickets_to_query(
     candidate: &pass::Candidate,
     step: &job::Step,
--- a/crates/figscale-core/src/fleet/unsaved.rs
+++ b/crates/figscale-core/src/fleet/unsaved.rs
@@ -4,19 +4,20 @@
 //! one of them at most, so that its records are written in the order of its
 //! changes.
 //!
-//! The acknowledgement of a worker's ends depends on the changes of several jobs.
-//! So changes carry a generation number, and ends are stored with the generation
-//! at the time that they were applied; they are due once no change of that or an
-//! earlier generation is unsaved. New jobs are exempt: none of their tasks has run,
-//! so no end depends on them.
+//! The acknowledgement of a worker's ends depends on the changes of several
+//! jobs. So changes carry a generation number, and ends are stored with the
+//! generation at the time that they were applied; they can be acknowledged once
+//! no change of that or an earlier generation is unsaved. New jobs are exempt:
+//! none of their tasks has run, so no end depends on them.
 
 use std::collections::VecDeque;
 
 use figscale_types::fleet;
 use indexmap::IndexMap;
 
-/// Most batches of ends that wait to be acknowledged. At most one write is begun
-/// every 20 ms, and it takes 0.25 s with a slow store, so there are about a dozen.
+/// Maximum number of batches of ends that wait to be acknowledged. At most one
+/// write is begun every 20 ms, and it takes 0.25 s with a slow store, so there
+/// are about a dozen.
 const MAX_PENDING_ENDS: usize = 32;
 
 /// Generation of a new job's record, later than that of any batch of ends.
@@ -31,7 +32,8 @@
     /// Jobs with changes that are in no write, each with the generation of the
     /// oldest one.
     waiting: IndexMap<fleet::JobId, u64>,
-    /// Jobs in a write in flight, likewise.
+    /// Jobs in a write in flight, each with the generation of its oldest change in
+    /// that write.
     writing: IndexMap<fleet::JobId, u64>,
     /// Batches of ends with the generation in which they were applied, oldest
     /// first.
@@ -106,8 +108,8 @@
         self.generation += 1;
     }
 
-    /// Takes the ends whose effects are all in the store; each batch is returned
-    /// once.
+    /// Removes and returns the ends whose effects are all in the store, which can be
+    /// acknowledged.
     pub(crate) fn due(&mut self) -> Ends {
         let generations = self.waiting.values().chain(self.writing.values());
         let oldest = generations.min().copied().unwrap_or(NEW_JOB);
--- a/crates/figscale-core/src/fleet/view.rs
+++ b/crates/figscale-core/src/fleet/view.rs
@@ -5,7 +5,7 @@
 use super::job;
 use super::scheduler;
 
-/// Most jobs in one listing; each takes about 100 bytes.
+/// Maximum number of jobs in one listing; each takes about 100 bytes.
 const MAX_LISTED: usize = 500;
 
 impl scheduler::Scheduler {
--- a/crates/figscale/src/fleet/config_watch.rs
+++ b/crates/figscale/src/fleet/config_watch.rs
@@ -1,11 +1,12 @@
 //! Follows the operators' configuration, and maintains the proof that the version
-//! known here is in force.
+//! known here is still the newest.
 //!
 //! A watch delivers a new version to the leader within milliseconds. Each watch
 //! lasts less than a second and is then issued again, since a connection can
 //! stop responding and only the missing answer shows it. A watch without an event
-//! proves nothing, so the store is also queried for the configuration unless it
-//! has the revision known here; such an answer is never older than its query.
+//! proves nothing, so the store is also queried for the configuration, which it
+//! returns only if the revision is not the one known here. Its answer shows the
+//! state at the time of the query or later.
 //!
 //! The leader queries the store continually and sends its proof with its answers
 //! to heartbeats, by which the other instances learn of a newer version too.
@@ -35,13 +36,14 @@
 const PROOF_CHECK_PAUSE: time::Duration = time::Duration::from_millis(250);
 /// The leader renews its proof when it is this old.
 const LEADER_PROOF_AGE: time::Duration = time::Duration::from_millis(400);
-/// Another instance needs no watch of its own while its proof is younger: the
-/// leader's answers to heartbeats then arrive and report changes.
+/// An instance that does not lead needs no watch of its own while its proof is
+/// younger: the leader's answers to heartbeats then arrive and report changes.
 const MAX_AGE_WITHOUT_WATCH: time::Duration = time::Duration::from_millis(1_250);
-/// Another instance queries the store itself when its proof is this old.
+/// An instance that does not lead queries the store itself when its proof is this
+/// old.
 const FOLLOWER_PROOF_AGE: time::Duration = time::Duration::from_millis(1_500);
 
-/// The proof that the configuration known to this instance is in force.
+/// The proof that the configuration known to this instance is still the newest.
 #[derive(Default)]
 pub(super) struct SharedProof {
     proof: sync::Mutex<scheduling::ConfigProof>,
@@ -55,7 +57,7 @@
         *mutex::lock(&self.proof)
     }
 
-    /// Applies a proof that the leader sent with its answer to a heartbeat of
+    /// Applies a proof that the leader sent with its answer to a heartbeat sent at
     /// `asked_at`.
     pub(super) fn apply_leader_proof(
         &self,
@@ -73,13 +75,13 @@
     }
 }
 
-/// Starts following.
+/// Starts the tasks that follow the configuration and renew the proof.
 pub(super) fn start(context: &Context) {
     tokio::spawn(watch(context.clone()));
     tokio::spawn(renew_proof(context.clone()));
 }
 
-/// Whether the configuration known here is proven to be in force.
+/// Whether the proof is recent enough for the configuration known here to be used.
 pub(super) fn is_proven(context: &Context) -> bool {
     let bound = context.fleet.max_config_age();
     let proof = context.config_proof.proof();
--- a/crates/figscale/src/fleet/direct_store.rs
+++ b/crates/figscale/src/fleet/direct_store.rs
@@ -1,11 +1,11 @@
-//! Direct access of this instance to the store, and whether it works.
+//! Direct access of this instance to the store, with its availability and latency.
 //!
 //! A failed call means that the store may be unavailable, to this instance or to
 //! all. From then on a background task probes it until it answers, so that no
 //! call waits for a timeout to find that out. Without this, a leader that was cut
-//! off from an unresponsive store accepted jobs after 0.5 s at the median; with
-//! it, they cost one more hop between peers. After a single lost answer the first
-//! probe makes the store available again. The cost is one read every 0.2 s per
+//! off from an unresponsive store took 0.5 s at the median to accept a job; with
+//! it, a job costs one more hop between peers. After a single lost answer the first
+//! probe marks the store as available again. The cost is one read every 0.2 s per
 //! instance while the store is unavailable to it.
 
 use std::mem;
@@ -24,14 +24,15 @@
 const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// Answers that take longer count as slow. The platform's store answers in 4 ms;
-/// a short job has about 0.4 s of slack, and writing its record takes one answer.
+/// a short job has about 0.4 s of slack, and the write of its record waits for one
+/// answer.
 const SLOW_ANSWER: time::Duration = time::Duration::from_millis(80);
 /// Consecutive slow answers after which the store counts as slow, or quick ones
 /// after which it counts as normal: a single one may be due to a moment of load
 /// on this instance.
 const ANSWERS_IN_A_ROW: u32 = 3;
 
-/// The store as reached directly, with its availability and latency.
+/// The store, called directly.
 pub(super) struct DirectStore {
     store: store::Store,
     metrics: sync::Arc<metrics::Metrics>,
--- a/crates/figscale/src/fleet/leader_client.rs
+++ b/crates/figscale/src/fleet/leader_client.rs
@@ -54,8 +54,8 @@
 }
 
 /// Completes when a leader of a later epoch becomes known. A request to a leader
-/// that lost power would otherwise wait for its timeout; turning to the next
-/// leader at once gives an answer 0.4 s sooner.
+/// that lost power would otherwise wait for its timeout; calling the next leader
+/// at once gives an answer 0.4 s sooner.
 async fn superseded(context: &Context) {
     let mut changes = context.leadership.subscribe();
     let epoch = |known: &leadership::Leadership| known.leader.as_ref().map(|leader| leader.epoch);
--- a/crates/figscale/src/fleet/ledger.rs
+++ b/crates/figscale/src/fleet/ledger.rs
@@ -1,16 +1,16 @@
 //! The leader's writes to the store: several chains of transactions.
 //!
-//! Each chain has a head, a key that every transaction of the chain changes, on
-//! the condition that it is as the previous transaction left it. So a transaction
-//! that was abandoned can never be executed after a later one, and since a new
-//! leader changes all heads, a former leader can no longer write. A transaction
-//! without an answer is sent again unchanged: at most one of the attempts is
-//! executed, and the head shows whether one was.
+//! Each chain has a head, a key that every transaction of the chain changes on
+//! the condition that it is unchanged since the previous transaction. So a
+//! transaction that was abandoned can never be executed after a later one, and
+//! since a new leader changes all heads, a former leader can no longer write. A
+//! transaction without an answer is sent again unchanged: at most one of the
+//! attempts is executed, and the head shows whether one was.
 //!
 //! A chain has one transaction in flight at a time, with many records. One chain
 //! alone was too slow with a store that takes 0.25 s for each answer: it carries
 //! 116 records a second, and a burst of 107 jobs a second with their ends needs
-//! twice that, so that quick jobs waited 1.1 s for their record at the median.
+//! twice that, so that short jobs waited 1.1 s for their record at the median.
 //! The price of more chains is a larger transaction at each election.
 
 use std::sync;
@@ -32,11 +32,12 @@
 
 /// Shortest time from the start of one attempt to the next.
 const RETRY_PAUSE: time::Duration = time::Duration::from_millis(50);
-/// How long a transaction is retried that was certainly not executed. Callers wait
+/// How long a transaction that was certainly not executed is retried. Callers wait
 /// about 500 ms for the outcome.
 const MAX_RETRY_TIME: time::Duration = time::Duration::from_millis(120);
-/// After this time without an answer the store is probed for a lost answer; it
-/// answers within 4 ms, or 0.25 s when it is slow.
+/// After this time without an answer to a transaction, the store is probed to find
+/// out whether the answer was lost. The store answers within 4 ms, or 0.25 s when
+/// it is slow.
 const DOUBT_AFTER: time::Duration = time::Duration::from_millis(100);
 /// Time between reads that probe whether the store answers.
 const PROBE_PAUSE: time::Duration = time::Duration::from_millis(100);
@@ -49,7 +50,7 @@
 const HEAD_ENTRIES: usize = 2;
 /// Entry for the leader's key, which some transactions also write.
 const LEAD_ENTRIES: usize = 1;
-/// Most records of one transaction.
+/// Maximum number of records in one transaction.
 pub(super) const MAX_RECORDS: usize = store::MAX_TRANSACTION_ENTRIES - HEAD_ENTRIES - LEAD_ENTRIES;
 
 /// The state of all heads, on which an election is conditional.
@@ -59,8 +60,8 @@
     pub(super) epoch: fleet::Epoch,
     /// Revision of each chain's head; 0 where there is no head.
     pub(super) revisions: Vec<u64>,
-    /// Most processor capacity of an instance that was known when the latest term
-    /// was won, in thousandths of a core.
+    /// Processor capacity of the strongest instance known when the latest term was
+    /// won, in thousandths of a core.
     pub(super) strongest_millis: u64,
 }
 
@@ -98,7 +99,7 @@
     pub(super) leader: ids::MemberKey,
     /// Number of transactions of this chain in the term.
     pub(super) sequence: u64,
-    /// Most processor capacity of an instance that was known when the term was
+    /// Processor capacity of the strongest instance known when the term was
     /// won, in thousandths of a core; absent from heads written by earlier
     /// versions.
     #[serde(default)]
@@ -106,9 +107,8 @@
 }
 
 impl Head {
-    /// Revision of the chain's head if it equals this one, according to the keys
-    /// returned with a conflict: then an earlier attempt of the transaction was
-    /// executed.
+    /// Revision of the chain's head if `current`, the keys returned with a conflict,
+    /// contains this head: then an earlier attempt of the transaction was executed.
     pub(super) fn revision_in(&self, chain: usize, current: &[store::Item]) -> Option<u64> {
         let key = keys::head(chain);
         let item = current.iter().find(|item| item.key == key)?;
@@ -136,7 +136,7 @@
 }
 
 impl Chain {
-    /// Continues a chain after the head that was written at `revision`.
+    /// Continues a chain from `head`, which was written at `revision`.
     pub(super) fn new(
         store: sync::Arc<access::Access>,
         number: usize,
@@ -161,7 +161,8 @@
         self.revision
     }
 
-    /// Writes records, and the leader's key with `leader_key`, its value and lease.
+    /// Writes records. `leader_key` is the value and lease for the leader's key if
+    /// that is to be written too.
     pub(super) async fn write(
         &mut self,
         records: &[Record],
