--- a/crates/figscale/src/events/mod.rs
+++ b/crates/figscale/src/events/mod.rs
@@ -1,12 +1,13 @@
-//! Numbered events: everything that a process logs.
+//! Numbered events: all that a process logs.
 //!
-//! Each event has a number that never changes its meaning, a name, a level and
-//! a line of help. docs/EVENTS.md lists them all, and a test holds the page
-//! against this table. Numbers go by area: 1000 process, 2000 claims and store,
-//! 3000 catalogue, 4000 requests, 5000 jobs, 6000 the fleet.
+//! Each event has a number whose meaning never changes, a name, a level and one
+//! line of help text. docs/EVENTS.md lists all events, and a test compares that
+//! page with the definitions here. Each area has its range of numbers: process
+//! from 1000, claims and store from 2000, catalogue from 3000, requests from 4000,
+//! jobs from 5000, fleet from 6000.
 //!
-//! Use [`crate::event!`] to log one, with fields as `name = value` pairs that
-//! are written by `Display`.
+//! Use [`crate::event!`] to log an event, with fields as `name = value` pairs that
+//! are formatted by `Display`.
 
 pub mod catalogue;
 pub mod claims;
@@ -24,11 +25,11 @@
     pub name: &'static str,
     /// Its level.
     pub level: log::Level,
-    /// What it means and what to do.
+    /// Help text: what the event means and what to do.
     pub help: &'static str,
 }
 
-/// Defines the events of an area and the list of them.
+/// Defines the events of an area and `ALL`, the list of them.
 macro_rules! define_events {
     ($($code:literal $name:ident $level:ident $help:literal;)*) => {
         $(
@@ -47,7 +48,7 @@
 }
 pub(crate) use define_events;
 
-/// Every event, by area.
+/// All events, grouped by area.
 pub fn all() -> Vec<Event> {
     [
         process::ALL,
